--- a/internal/core/query/knowledge.go
+++ b/internal/core/query/knowledge.go
@@ -6,34 +6,34 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Bounds of a Knowledge. A shard that lists more versions counts with its
+// Bounds of ShardVersions. A shard that lists more versions counts with its
 // newest; a new shard that finds the table full is not remembered.
 const (
 	maxKnownShards   = 1 << 16
 	maxKnownVersions = 8
 )
 
-// Knowledge remembers which versions each shard last said it serves. It only
+// ShardVersions remembers which versions each shard last said it serves. It only
 // chooses the version to try first; an answer is checked by its own parts.
-type Knowledge struct {
+type ShardVersions struct {
 	serves map[core.ShardRef][]core.Version
 	limit  int
 }
 
-// NewKnowledge makes an empty Knowledge.
-func NewKnowledge() *Knowledge {
-	return &Knowledge{serves: map[core.ShardRef][]core.Version{}, limit: maxKnownShards}
+// NewShardVersions makes an empty ShardVersions.
+func NewShardVersions() *ShardVersions {
+	return &ShardVersions{serves: map[core.ShardRef][]core.Version{}, limit: maxKnownShards}
 }
 
-// Knows reports whether learning the shard's word would change nothing.
-func (k *Knowledge) Knows(ref core.ShardRef, serves []core.Version) bool {
+// UpToDate reports whether learning the shard's word would change nothing.
+func (k *ShardVersions) UpToDate(ref core.ShardRef, serves []core.Version) bool {
 	known, ok := k.serves[ref]
 	return len(serves) == 0 || !ok && len(k.serves) >= k.limit || slices.Equal(known, serves)
 }
 
-// Learn takes a shard's own word.
-func (k *Knowledge) Learn(ref core.ShardRef, serves []core.Version) {
-	if k.Knows(ref, serves) {
+// Update takes a shard's own word.
+func (k *ShardVersions) Update(ref core.ShardRef, serves []core.Version) {
+	if k.UpToDate(ref, serves) {
 		return
 	}
 	kept := slices.Clone(serves)
@@ -45,7 +45,7 @@
 }
 
 // Retain forgets the shards that the text no longer lists.
-func (k *Knowledge) Retain(listed func(core.ShardRef) bool) {
+func (k *ShardVersions) Retain(listed func(core.ShardRef) bool) {
 	for ref := range k.serves {
 		if !listed(ref) {
 			delete(k.serves, ref)
@@ -54,12 +54,12 @@
 }
 
 // Len is the number of shards remembered.
-func (k *Knowledge) Len() int { return len(k.serves) }
+func (k *ShardVersions) Len() int { return len(k.serves) }
 
 // Preferred returns the version that the fewest shards of the plan are known to
 // lack, the newest of equals: the newest version of all shards where there is
 // one. It is 0 when nothing is known.
-func (k *Knowledge) Preferred(plan *Plan) core.Version {
+func (k *ShardVersions) Preferred(plan *Plan) core.Version {
 	var counts []versionCount
 	for i := range plan.Needs {
 		for _, version := range k.serves[plan.Needs[i].Ref] {
--- a/internal/core/query/machine_test.go
+++ b/internal/core/query/machine_test.go
@@ -364,14 +364,14 @@
 }
 
 func TestKnowledgeIsBoundedAndForgets(t *testing.T) {
-	k := NewKnowledge()
+	k := NewShardVersions()
 	k.limit = 2
 	for i := range 5 {
-		k.Learn(core.ShardRef{Service: "base", Shard: i}, []core.Version{7, 8})
+		k.Update(core.ShardRef{Service: "base", Shard: i}, []core.Version{7, 8})
 	}
 	require.Equal(t, 2, k.Len())
 	require.Equal(t, core.Version(8), k.Preferred(lagPlan()))
-	k.Learn(core.ShardRef{Service: "base"}, []core.Version{7})
+	k.Update(core.ShardRef{Service: "base"}, []core.Version{7})
 	require.Equal(t, core.Version(7), k.Preferred(lagPlan()), "the newest that all serve")
 	k.Retain(func(ref core.ShardRef) bool { return ref.Shard == 1 })
 	require.Equal(t, 1, k.Len())
--- a/internal/core/query/precaution.go
+++ b/internal/core/query/precaution.go
@@ -26,8 +26,8 @@
 	ShardTrial
 	// ServiceTrial means that only one replica of the service runs the question.
 	ServiceTrial
-	// QuestionTrial means that only one replica of the whole closure runs the question.
-	QuestionTrial
+	// QueryTrial means that only one replica of the whole closure runs the question.
+	QueryTrial
 )
 
 // allServices is used in place of a service index, also in Machine.broken and Machine.gaveUp, to refer to all services of
@@ -88,7 +88,7 @@
 func (m *Machine) trial(index int) Trial {
 	switch {
 	case m.oneAtATime(allServices):
-		return QuestionTrial
+		return QueryTrial
 	case m.oneAtATime(m.plan.Needs[index].Service):
 		return ServiceTrial
 	case m.shardSuspect(index):
@@ -129,7 +129,7 @@
 	}
 	m.broken[service], m.broken[allServices] = true, true
 	m.gaveUp[service] = m.gaveUp[service] || need.trial >= ServiceTrial
-	m.gaveUp[allServices] = m.gaveUp[allServices] || need.trial == QuestionTrial
+	m.gaveUp[allServices] = m.gaveUp[allServices] || need.trial == QueryTrial
 }
 
 // settleExcluded settles a shard that must not be asked, and reports whether it did.
--- a/internal/core/query/precaution_test.go
+++ b/internal/core/query/precaution_test.go
@@ -39,7 +39,7 @@
 	}
 	further := sendsOf(m.Step(testOptions().RetryPause+1, Woken{}))
 	require.Len(t, further, 1)
-	require.Equal(t, []Trial{QuestionTrial}, further[0].Trials)
+	require.Equal(t, []Trial{QueryTrial}, further[0].Trials)
 	actions := m.Step(testOptions().RetryPause+2, brokenReply(further[0]))
 	require.Empty(t, sendsOf(actions))
 	require.Zero(t, answerOf(t, actions).Coverage.Answered)
@@ -136,7 +136,7 @@
 	}
 	further := sendsOf(m.Step(testOptions().RetryPause+1, Woken{}))
 	require.Len(t, further, 1)
-	require.Equal(t, []Trial{QuestionTrial}, further[0].Trials)
+	require.Equal(t, []Trial{QueryTrial}, further[0].Trials)
 	answer := answerOf(t, m.Step(testOptions().RetryPause+2, brokenReply(further[0])))
 	require.Zero(t, answer.Coverage.Answered)
 }
--- a/internal/core/topk/excerpt.go
+++ b/internal/core/topk/excerpt.go
@@ -25,9 +25,9 @@
 type Excerpt struct {
 	// Records are the greatest first.
 	Records []byte
-	// Cut is set when records were left out that are no greater than the last one sent, and
+	// Truncated is set when records were left out that are no greater than the last one sent, and
 	// that the answer might hold.
-	Cut bool
+	Truncated bool
 }
 
 // least is the last record; nil when there is none.
@@ -38,21 +38,21 @@
 	return e.Records[len(e.Records)-RecordBytes:]
 }
 
-// Sender makes the excerpts that go to one merge, one after the other. It is told the records
+// ExcerptBuilder makes the excerpts that go to one merge, one after the other. It is told the records
 // of the answer and the number of its parts, 0 to leave nothing out for being unlikely.
-type Sender struct {
+type ExcerptBuilder struct {
 	limit, parts int
 	sent         *Merger
 }
 
-// NewSender makes a sender of which nothing was sent.
-func NewSender(limit, parts int) *Sender {
-	return &Sender{limit: limit, parts: parts, sent: New(limit)}
+// NewExcerptBuilder makes an ExcerptBuilder of which nothing was sent.
+func NewExcerptBuilder(limit, parts int) *ExcerptBuilder {
+	return &ExcerptBuilder{limit: limit, parts: parts, sent: New(limit)}
 }
 
-// Excerpt takes parts that no earlier excerpt had. Records that the earlier ones already outdo
+// Build takes parts that no earlier excerpt had. Records that the earlier ones already outdo
 // are left out for certain: those are always merged together with this one.
-func (s *Sender) Excerpt(parts [][]byte) Excerpt {
+func (s *ExcerptBuilder) Build(parts [][]byte) Excerpt {
 	merger := New(s.limit)
 	for _, part := range parts {
 		merger.Add(part)
@@ -65,21 +65,21 @@
 	}
 	made := Excerpt{Records: records}
 	if most := s.likely(len(parts)) * RecordBytes; len(records) > most {
-		made = Excerpt{Records: records[:most], Cut: true}
+		made = Excerpt{Records: records[:most], Truncated: true}
 	}
 	s.sent.Add(made.Records)
 	return made
 }
 
-// Greatest returns the greatest records of one part that goes by itself, falling.
-func (s *Sender) Greatest(part []byte) []byte {
+// Top returns the greatest records of one part that goes by itself, falling.
+func (s *ExcerptBuilder) Top(part []byte) []byte {
 	merger := New(s.limit)
 	merger.Add(part)
 	return merger.Bytes()
 }
 
 // likely is how many records of so many parts the answer will hold at most.
-func (s *Sender) likely(parts int) int {
+func (s *ExcerptBuilder) likely(parts int) int {
 	if s.parts <= 0 {
 		return s.limit
 	}
@@ -126,7 +126,7 @@
 	dropped := false
 	for i, excerpts := range senders {
 		for _, one := range excerpts {
-			if used[i] && one.Cut && (floor == nil || bytes.Compare(one.least(), floor) > 0) {
+			if used[i] && one.Truncated && (floor == nil || bytes.Compare(one.least(), floor) > 0) {
 				used[i] = false
 				dropped = true
 			}
--- a/internal/core/topk/excerpt_test.go
+++ b/internal/core/topk/excerpt_test.go
@@ -29,12 +29,12 @@
 		var senders [][]Excerpt
 		var theirs [][][]byte
 		for range rapid.IntRange(0, 3).Draw(t, "senders") {
-			sender := NewSender(limit, total)
+			sender := NewExcerptBuilder(limit, total)
 			var excerpts []Excerpt
 			var all [][]byte
 			for range rapid.IntRange(1, 4).Draw(t, "excerpts") {
 				parts := rapid.SliceOfN(part, 1, 5).Draw(t, "batch")
-				excerpts = append(excerpts, sender.Excerpt(parts))
+				excerpts = append(excerpts, sender.Build(parts))
 				all = append(all, parts...)
 			}
 			senders, theirs = append(senders, excerpts), append(theirs, all)
@@ -57,8 +57,8 @@
 	lacking := 0
 	for round := range rounds {
 		parts := randomPartsOf(uint64(round), total)
-		one := NewSender(limit, total).Excerpt(parts[:1])
-		require.True(t, one.Cut)
+		one := NewExcerptBuilder(limit, total).Build(parts[:1])
+		require.True(t, one.Truncated)
 		require.Len(t, one.Records, 13*RecordBytes)
 		if _, used := Merge(limit, parts[1:], [][]Excerpt{{one}}); !used[0] {
 			lacking++
@@ -74,14 +74,14 @@
 	for i := range high {
 		high[i] = 0xff
 	}
-	one := NewSender(20, 10).Excerpt([][]byte{high})
-	require.True(t, one.Cut)
+	one := NewExcerptBuilder(20, 10).Build([][]byte{high})
+	require.True(t, one.Truncated)
 	low := make([]byte, 100*RecordBytes)
 	body, used := Merge(20, [][]byte{low}, [][]Excerpt{{one}})
 	require.False(t, used[0])
 	require.Equal(t, string(low[:20*RecordBytes]), string(body))
-	whole := NewSender(20, 0).Excerpt([][]byte{high})
-	require.False(t, whole.Cut)
+	whole := NewExcerptBuilder(20, 0).Build([][]byte{high})
+	require.False(t, whole.Truncated)
 	_, used = Merge(20, [][]byte{low}, [][]Excerpt{{whole}})
 	require.True(t, used[0])
 }
@@ -89,9 +89,9 @@
 // Later excerpts of one sender leave out what the earlier ones outdo.
 func TestALaterExcerptHoldsOnlyWhatIsNews(t *testing.T) {
 	parts := randomPartsOf(1, 20)
-	sender := NewSender(50, 0)
-	require.Len(t, sender.Excerpt(parts[:18]).Records, 50*RecordBytes)
-	later := sender.Excerpt(parts[18:])
-	require.False(t, later.Cut)
+	sender := NewExcerptBuilder(50, 0)
+	require.Len(t, sender.Build(parts[:18]).Records, 50*RecordBytes)
+	later := sender.Build(parts[18:])
+	require.False(t, later.Truncated)
 	require.Less(t, len(later.Records), 20*RecordBytes)
 }
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -38,7 +38,7 @@
 				carry(b, &peerpb.Envelope{Body: &peerpb.Envelope_DelegateRequest{DelegateRequest: message}})
 				var reply *peerpb.Envelope
 				inbound := peer.NewInbound(b.Context(), peer.Identity{}, &peerpb.Envelope{}, func(sent *peerpb.Envelope) { reply = sent })
-				r := &replies{inbound: inbound, sender: topk.NewSender(10, shards), pending: ends, pauseAge: func(replica.Incarnation) (time.Duration, bool) { return 0, false }}
+				r := &replies{inbound: inbound, sender: topk.NewExcerptBuilder(10, shards), pending: ends, pauseAge: func(replica.Incarnation) (time.Duration, bool) { return 0, false }}
 				r.flush(true)
 				g := &group{members: map[uint32]*exchange{}}
 				for i := range shards {
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -263,7 +263,7 @@
 
 // take reads the ends of sends out of a reply.
 func (g *group) take(reply *peerpb.DelegateReply) []*exchange {
-	merged := &batch{excerpt: topk.Excerpt{Records: reply.GetRecords(), Cut: reply.GetCut()}}
+	merged := &batch{excerpt: topk.Excerpt{Records: reply.GetRecords(), Truncated: reply.GetCut()}}
 	var ends []*exchange
 	for _, part := range reply.GetParts() {
 		one := g.end(part.GetId())
--- a/internal/edge/delegated.go
+++ b/internal/edge/delegated.go
@@ -54,7 +54,7 @@
 	for _, send := range message.GetSends() {
 		n.startDelegated(ctx, q, send)
 	}
-	replies := &replies{inbound: inbound, pauseAge: n.beliefs.pauseAge, apart: message.GetApart(), sender: topk.NewSender(int(message.GetTopK()), int(message.GetParts()))}
+	replies := &replies{inbound: inbound, pauseAge: n.beliefs.pauseAge, apart: message.GetApart(), sender: topk.NewExcerptBuilder(int(message.GetTopK()), int(message.GetParts()))}
 	replies.run(ctx, q, time.Duration(message.GetFlushUs())*time.Microsecond, len(message.GetSends()))
 }
 
@@ -107,7 +107,7 @@
 // replies sends what has ended back to the entry.
 type replies struct {
 	inbound *peer.Inbound
-	sender  *topk.Sender
+	sender  *topk.ExcerptBuilder
 	// pauseAge tells how long ago a pause of a replica ended.
 	pauseAge func(life replica.Incarnation) (time.Duration, bool)
 	// apart is set when each part is to have its own records.
@@ -157,7 +157,7 @@
 		case one.verdict == scatter.Whole:
 			part.Status, part.Stamp = uint32(one.response.Status), platform.Stamp(one.response.Header)
 			if r.apart {
-				part.Records = r.sender.Greatest(one.response.Body)
+				part.Records = r.sender.Top(one.response.Body)
 			} else {
 				parts = append(parts, one.response.Body)
 			}
@@ -168,8 +168,8 @@
 		}
 		reply.Parts = append(reply.Parts, part)
 	}
-	excerpt := r.sender.Excerpt(parts)
-	reply.Records, reply.Cut = excerpt.Records, excerpt.Cut
+	excerpt := r.sender.Build(parts)
+	reply.Records, reply.Cut = excerpt.Records, excerpt.Truncated
 	r.pending = nil
 	r.told = true
 	r.inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_DelegateReply{DelegateReply: reply}}, last)
--- a/internal/edge/delegated_test.go
+++ b/internal/edge/delegated_test.go
@@ -23,7 +23,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		(&replies{inbound: inbound, sender: topk.NewSender(1, 0), pauseAge: func(replica.Incarnation) (time.Duration, bool) { return 0, false }}).run(t.Context(), helper, time.Millisecond, 1)
+		(&replies{inbound: inbound, sender: topk.NewExcerptBuilder(1, 0), pauseAge: func(replica.Incarnation) (time.Duration, bool) { return 0, false }}).run(t.Context(), helper, time.Millisecond, 1)
 	}()
 	first := <-sent
 	require.NotNil(t, first.GetDelegateReply())
--- a/internal/edge/merge_test.go
+++ b/internal/edge/merge_test.go
@@ -35,11 +35,11 @@
 }
 
 // merged is a request of three shards, of which another node sent the second on by a sender.
-func merged(n *Node, route *policy.Route, sender *topk.Sender) *request {
+func merged(n *Node, route *policy.Route, sender *topk.ExcerptBuilder) *request {
 	q := &request{node: n, route: route, services: route.Gather.Shards}
 	q.sends = []*exchange{ended(0, 0, sixtyRecords("a")), ended(1, 1, nil), ended(2, 2, sixtyRecords("b"))}
 	far := q.sends[1]
-	far.batch = &batch{excerpt: sender.Excerpt([][]byte{sixtyRecords("z")}), members: []*exchange{far}}
+	far.batch = &batch{excerpt: sender.Build([][]byte{sixtyRecords("z")}), members: []*exchange{far}}
 	far.group = &group{batches: []*batch{far.batch}}
 	return q
 }
@@ -52,7 +52,7 @@
 	route := &policy.Route{Name: "deep", Gather: &policy.Gather{Shards: []string{"s1", "s2", "s3"}, TopK: 50, LeastCoverage: 0.6}}
 	result := scatter.Result{Parts: []int{0, 1, 2}, Got: 3, Enough: true}
 
-	q := merged(n, route, topk.NewSender(50, n.beliefs.excerptParts(route)))
+	q := merged(n, route, topk.NewExcerptBuilder(50, n.beliefs.excerptParts(route)))
 	body, stamps, taken := q.merge(result)
 	require.Equal(t, []bool{true, false, true}, taken)
 	require.ElementsMatch(t, []string{"stamp-0", "stamp-2"}, stamps)
@@ -60,7 +60,7 @@
 	require.Equal(t, "b059", strings.Fields(string(body))[0])
 	require.Equal(t, "excerpt_unused", q.trail[0].Event)
 
-	q = merged(n, route, topk.NewSender(50, n.beliefs.excerptParts(route)))
+	q = merged(n, route, topk.NewExcerptBuilder(50, n.beliefs.excerptParts(route)))
 	body, stamps, taken = q.merge(result)
 	require.Equal(t, []bool{true, true, true}, taken)
 	require.Len(t, stamps, 3)
--- a/internal/entry/knowledge.go
+++ b/internal/entry/knowledge.go
@@ -12,24 +12,24 @@
 // one for all: with one for each loop, a new version was met four times over.
 type knowledge struct {
 	mutex    sync.RWMutex
-	core     *query.Knowledge
+	core     *query.ShardVersions
 	revision uint64
 }
 
-func newKnowledge() *knowledge { return &knowledge{core: query.NewKnowledge()} }
+func newKnowledge() *knowledge { return &knowledge{core: query.NewShardVersions()} }
 
 // learn takes a shard's own word. Nearly always it is known already, and then
 // readers go on beside it.
 func (k *knowledge) learn(ref core.ShardRef, serves []core.Version) {
 	k.mutex.RLock()
-	known := k.core.Knows(ref, serves)
+	known := k.core.UpToDate(ref, serves)
 	k.mutex.RUnlock()
 	if known {
 		return
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.core.Learn(ref, serves)
+	k.core.Update(ref, serves)
 }
 
 func (k *knowledge) preferred(plan *query.Plan) core.Version {
--- a/internal/owner/evidence.go
+++ b/internal/owner/evidence.go
@@ -76,7 +76,7 @@
 // questionIdentity implements work.
 func (w *bundleWork) questionIdentity() (identity func() quarantine.Identity, trial quarantine.Fact, ok bool) {
 	message := w.reply.inbound.Envelope.GetBundleRequest()
-	if query.Trial(w.ask.GetTrial()) == query.QuestionTrial {
+	if query.Trial(w.ask.GetTrial()) == query.QueryTrial {
 		trial = quarantine.Trial
 	}
 	return func() quarantine.Identity {
@@ -92,7 +92,7 @@
 // trialMarks implements work.
 func (w *bundleWork) trialMarks() quarantine.Fact {
 	switch query.Trial(w.ask.GetTrial()) {
-	case query.ServiceTrial, query.QuestionTrial:
+	case query.ServiceTrial, query.QueryTrial:
 		return quarantine.Trial | quarantine.ShardTrial
 	case query.ShardTrial:
 		return quarantine.ShardTrial
--- a/internal/owner/loop.go
+++ b/internal/owner/loop.go
@@ -80,7 +80,7 @@
 	// the marks that the quarantine sets if a call ends without an answer.
 	identity() quarantine.Identity
 	// questionIdentity returns the identity of the request over all services that it is sent to, and the mark that the
-	// quarantine sets for it if a call that ran in a QuestionTrial ends without an answer. ok is false if the request is
+	// quarantine sets for it if a call that ran in a QueryTrial ends without an answer. ok is false if the request is
 	// sent to one service only.
 	questionIdentity() (identity func() quarantine.Identity, trial quarantine.Fact, ok bool)
 	describe(call upstream.Call) string
