--- a/internal/core/query/ask.go
+++ b/internal/core/query/ask.go
@@ -7,22 +7,22 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// askFallbacks sends the shards of a silent owner to the next node in the
-// bundle's order. A paused or cut-off owner shows only by its silence; the
-// connections that owners leave unused make a second one safe.
+// askFallbacks sends the open shards of a silent owner to the next node in the bundle's owner
+// order. Silence is the only sign of a paused or partitioned owner. A second owner is safe because
+// of the connections that owners leave unused.
 func (m *Machine) askFallbacks() {
-	if !m.alarmed {
+	if !m.alarmFired {
 		return
 	}
-	m.alarmed = false
-	for place, count := 0, len(m.sends); place < count; place++ {
-		send := &m.sends[place]
+	m.alarmFired = false
+	for position, count := 0, len(m.sends); position < count; position++ {
+		send := &m.sends[position]
 		if !send.open() || send.silentAt == 0 || m.now < send.silentAt {
 			continue
 		}
 		send.silentAt = 0
-		granted := m.granted(send.left)
-		if len(granted) < len(send.left) {
+		granted := m.grantFallbacks(send.remaining)
+		if len(granted) < len(send.remaining) {
 			send.silentAt = m.now + m.options.FallbackAfter
 			m.wakeBy(send.silentAt)
 		}
@@ -33,20 +33,20 @@
 	}
 }
 
-// granted returns the shards that no second node is asked for yet and that the
-// budget has a token for.
-func (m *Machine) granted(left []int) []int {
+// grantFallbacks returns the shards that have no second open send, are not on trial and get a token
+// from the budget.
+func (m *Machine) grantFallbacks(remaining []int) []int {
 	var granted []int
-	for _, index := range left {
-		if m.needs[index].open == 1 && m.needs[index].trial == NoTrial && m.extra(index) {
+	for _, index := range remaining {
+		if m.needs[index].openSends == 1 && m.needs[index].trial == NoTrial && m.takeExtra(index) {
 			granted = append(granted, index)
 		}
 	}
 	return granted
 }
 
-// askDue sends every shard that is due. Giving up on stragglers can make
-// further services ready, hence the loop; each round settles or sends something.
+// askDue sends all due shards. It loops because settling stragglers can make further services
+// ready; each iteration settles or sends at least one shard.
 func (m *Machine) askDue() {
 	for m.dueChanged {
 		m.dueChanged = false
@@ -54,31 +54,31 @@
 	}
 }
 
-// askReady sends one message for each bundle with due shards.
+// askReady sends one request for each bundle and rank with due shards.
 func (m *Machine) askReady() {
-	m.due = m.due[:0]
+	m.dueNeeds = m.dueNeeds[:0]
 	for service := range m.plan.Services {
 		if m.ready(service) {
-			m.collect(service)
+			m.collectDue(service)
 		}
 	}
 	if m.oneAtATime(allServices) {
-		m.due = m.limitToOne(allServices, m.due)
+		m.dueNeeds = m.selectOne(allServices, m.dueNeeds)
 	}
-	slices.SortStableFunc(m.due, m.compareSends)
-	for start, end := 0, 0; start < len(m.due); start = end {
-		for end = start + 1; end < len(m.due) && m.compareSends(m.due[start], m.due[end]) == 0; {
+	slices.SortStableFunc(m.dueNeeds, m.compareSends)
+	for start, end := 0, 0; start < len(m.dueNeeds); start = end {
+		for end = start + 1; end < len(m.dueNeeds) && m.compareSends(m.dueNeeds[start], m.dueNeeds[end]) == 0; {
 			end++
 		}
-		needs := m.due[start:end]
-		written := m.plan.Needs[needs[0]]
-		m.noteTries(needs)
-		m.send(Send{Bundle: written.Bundle, Rank: m.needs[needs[0]].rank, Version: m.target, Needs: needs})
+		needs := m.dueNeeds[start:end]
+		first := m.plan.Needs[needs[0]]
+		m.countAttempts(needs)
+		m.send(Send{Bundle: first.Bundle, Rank: m.needs[needs[0]].rank, Version: m.target, Needs: needs})
 	}
 }
 
-// compareSends orders shards by the message that they belong to. Services
-// with different dependencies never share one.
+// compareSends orders shards by the request that they belong to. Services with different
+// dependencies never share a bundle.
 func (m *Machine) compareSends(a, b int) int {
 	return cmp.Or(
 		cmp.Compare(m.plan.Needs[a].Bundle, m.plan.Needs[b].Bundle),
@@ -86,29 +86,29 @@
 	)
 }
 
-// collect adds a service's due shards. A service none of whose dependencies
-// has a part is not asked: it would compute from nothing.
-func (m *Machine) collect(service int) {
+// collectDue adds a service's due shards. A service is not asked if it has dependencies and none of
+// them returned a part: it would have no input.
+func (m *Machine) collectDue(service int) {
 	s := &m.services[service]
-	first := len(m.due)
+	first := len(m.dueNeeds)
 	for _, index := range m.plan.Services[service].Shards {
 		need := &m.needs[index]
-		if need.settled || need.open > 0 || need.retryAt > m.now || m.hasTarget(index) || m.settleExcluded(index) {
+		if need.settled || need.openSends > 0 || need.retryAt > m.now || m.hasTarget(index) || m.settleExcluded(index) {
 			continue
 		}
 		if s.depShards > 0 && s.depAnswered == 0 {
 			m.settle(index, core.ReasonDependency)
 			continue
 		}
-		m.due = append(m.due, index)
+		m.dueNeeds = append(m.dueNeeds, index)
 	}
 	if m.oneAtATime(service) {
-		m.due = append(m.due[:first], m.limitToOne(service, m.due[first:])...)
+		m.dueNeeds = append(m.dueNeeds[:first], m.selectOne(service, m.dueNeeds[first:])...)
 	}
 }
 
-// noteTries counts first tries and retries.
-func (m *Machine) noteTries(needs []int) {
+// countAttempts counts first attempts and retries.
+func (m *Machine) countAttempts(needs []int) {
 	for _, index := range needs {
 		need := &m.needs[index]
 		if need.retryAt > 0 {
@@ -116,43 +116,43 @@
 		}
 		need.retryAt = 0
 		if !need.asked && m.options.Budget != nil {
-			m.options.Budget.FirstTry(m.service(index).Name, 1)
+			m.options.Budget.FirstTry(m.serviceOf(index).Name, 1)
 		}
 		need.asked = true
 	}
 }
 
-// send records a message and asks for it.
+// send records a send and adds its action.
 func (m *Machine) send(action Send) {
-	// One array holds the shards as asked and those still left.
+	// One array holds the requested and the remaining shards.
 	count := len(action.Needs)
-	both := append(append(make([]int, 0, 2*count), action.Needs...), action.Needs...)
-	action.Needs = both[:count:count]
-	state := sendState{bundle: action.Bundle, rank: action.Rank, version: action.Version, left: both[count:]}
+	copies := append(append(make([]int, 0, 2*count), action.Needs...), action.Needs...)
+	action.Needs = copies[:count:count]
+	state := sendState{bundle: action.Bundle, rank: action.Rank, version: action.Version, remaining: copies[count:]}
 	if m.options.FallbackAfter > 0 {
 		state.silentAt = m.now + m.options.FallbackAfter
 		m.wakeBy(state.silentAt)
 	}
 	m.sends = append(m.sends, state)
 	for _, index := range action.Needs {
-		m.needs[index].open++
+		m.needs[index].openSends++
 		m.settleStragglers(index)
 	}
 	action.Trials = m.startTrials(action.Needs)
-	action.ID = m.id(len(m.sends) - 1)
+	action.ID = m.sendID(len(m.sends) - 1)
 	action.TimeLeft = m.options.Deadline - m.now
 	m.actions = append(m.actions, action)
 }
 
-// settleStragglers gives up on the dependencies of a shard that is asked
-// before they all answered, which only an early answer does: the shard's part
-// will have been computed without them.
+// settleStragglers settles the unanswered dependencies of a shard that is asked before all of them
+// have answered. This happens only for an early answer. The shard's part is then computed without
+// them.
 func (m *Machine) settleStragglers(index int) {
 	s := &m.services[m.plan.Needs[index].Service]
 	if s.depAnswered+s.depSettled == s.depShards {
 		return
 	}
-	for _, dependency := range m.service(index).DependsOn {
+	for _, dependency := range m.serviceOf(index).DependsOn {
 		for _, straggler := range m.plan.Services[dependency].Shards {
 			if m.needs[straggler].settled || m.hasTarget(straggler) {
 				continue
@@ -163,19 +163,18 @@
 	}
 }
 
-// withdrawNeed takes a shard off its open sends; a send with no shard left is
-// cancelled.
+// withdrawNeed removes a shard from its open sends and cancels a send that has no shard left.
 func (m *Machine) withdrawNeed(index int) {
-	for place := range m.sends {
-		send := &m.sends[place]
-		at := slices.Index(send.left, index)
+	for position := range m.sends {
+		send := &m.sends[position]
+		at := slices.Index(send.remaining, index)
 		if at < 0 {
 			continue
 		}
-		m.needs[index].open--
-		send.left = slices.Delete(send.left, at, at+1)
+		m.needs[index].openSends--
+		send.remaining = slices.Delete(send.remaining, at, at+1)
 		if !send.open() {
-			m.actions = append(m.actions, CancelSend{ID: m.id(place)})
+			m.actions = append(m.actions, CancelSend{ID: m.sendID(position)})
 		}
 	}
 }
--- a/internal/core/query/bench_test.go
+++ b/internal/core/query/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// leadPlan is a lead service that depends on all the others, of one shard each,
-// in bundles of the given size.
-func leadPlan(shards, bundle int) *Plan {
+// aggregatorPlan returns a plan of services with one shard each, in bundles of the given size. The
+// last service depends on all the others.
+func aggregatorPlan(shards, bundle int) *Plan {
 	services := make([]ServicePlan, shards)
 	needs := make([]Need, shards)
 	for i := range shards {
@@ -26,10 +26,10 @@
 	return NewPlan(services, needs)
 }
 
-// benchmarkQuestion runs whole questions, every shard answering once, and
-// reports the cost of one shard's part.
-func benchmarkQuestion(b *testing.B, shards, bundle int) {
-	plan := leadPlan(shards, bundle)
+// benchmarkQuery runs complete queries in which every shard answers once, and reports the cost of
+// one shard's part.
+func benchmarkQuery(b *testing.B, shards, bundle int) {
+	plan := aggregatorPlan(shards, bundle)
 	serves := []core.Version{7, 8}
 	var sends []Send
 	b.ReportAllocs()
@@ -42,7 +42,7 @@
 			}
 		}
 		if m.answered != shards {
-			b.Fatal("the question did not end whole")
+			b.Fatal("the query ended without all parts")
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*shards), "ns/part")
@@ -57,6 +57,6 @@
 	return sends
 }
 
-func BenchmarkQuestion20Shards(b *testing.B)         { benchmarkQuestion(b, 20, 1) }
-func BenchmarkQuestion110Shards(b *testing.B)        { benchmarkQuestion(b, 110, 1) }
-func BenchmarkQuestion110ShardsBundled(b *testing.B) { benchmarkQuestion(b, 110, 10) }
+func BenchmarkQuery20Shards(b *testing.B)         { benchmarkQuery(b, 20, 1) }
+func BenchmarkQuery110Shards(b *testing.B)        { benchmarkQuery(b, 110, 1) }
+func BenchmarkQuery110ShardsBundled(b *testing.B) { benchmarkQuery(b, 110, 10) }
--- a/internal/core/query/event.go
+++ b/internal/core/query/event.go
@@ -6,28 +6,28 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// SendID identifies one message to an owner within a question.
+// SendID identifies one request to a bundle's owner within a query. IDs start at 1.
 type SendID uint32
 
-// Event is something that happened to a question.
+// Event is an input of a query's state machine.
 type Event interface{ isEvent() }
 
-// Started begins the question.
+// Started begins the query.
 type Started struct{}
 
-// PartArrived is a shard's part at one version, in reply to a send. A Need that
-// the send did not ask for is dropped and counted.
+// PartArrived is a shard's part at one version, in reply to a send. If the send does not ask for
+// Need, or no longer does, the part is dropped and counted.
 type PartArrived struct {
 	Send    SendID
 	Need    int
 	Version core.Version
 	Serves  []core.Version
 	Payload []byte
-	// Last says that the send brings no more replies.
+	// Last is set if the send brings no further replies.
 	Last bool
 }
 
-// PartFailed says that a shard gave no part to a send.
+// PartFailed reports that a shard returned no part to a send.
 type PartFailed struct {
 	Send       SendID
 	Need       int
@@ -35,13 +35,13 @@
 	Reason     core.Reason
 	Serves     []core.Version
 	RetryAfter time.Duration
-	// Broken is set when a replica closed the connection instead of answering.
+	// Broken is set if a replica closed the connection instead of answering.
 	Broken bool
-	// Last says that the send brings no more replies.
+	// Last is set if the send brings no further replies.
 	Last bool
 }
 
-// SendFailed says that a send ended without answering its remaining shards.
+// SendFailed reports that a send ended without an answer for its remaining shards.
 type SendFailed struct {
 	Send       SendID
 	Outcome    core.Outcome
@@ -49,17 +49,17 @@
 	RetryAfter time.Duration
 }
 
-// Woken is the alarm that a WakeAt asked for.
+// Woken is the alarm that a WakeAt requested.
 type Woken struct{}
 
-// Replanned brings the plan of a newer text, in answer to a Replan.
+// Replanned carries the plan of a newer configuration, in response to a Replan.
 type Replanned struct {
 	Plan *Plan
-	// Precautions apply to the newer plan.
+	// Precautions apply to the new plan.
 	Precautions Precautions
 }
 
-// Cancelled says that the caller has gone.
+// Cancelled reports that the caller has disconnected.
 type Cancelled struct{}
 
 func (Started) isEvent()     {}
@@ -70,36 +70,38 @@
 func (Replanned) isEvent()   {}
 func (Cancelled) isEvent()   {}
 
-// Action is something the question wants done.
+// Action is an output of a query's state machine, to be carried out by its user.
 type Action interface{ isAction() }
 
-// Send asks the node at Rank of the bundle's order for parts.
+// Send requests parts from the node at position Rank of the bundle's owner order.
 type Send struct {
 	ID      SendID
 	Bundle  core.BundleID
 	Rank    int
 	Version core.Version
-	// TimeLeft is the time to the deadline.
+	// TimeLeft is the remaining time until the deadline.
 	TimeLeft time.Duration
-	// Needs lists the shards asked, all of one bundle. It must not be changed.
+	// Needs lists the requested shards, all of one bundle. It must not be modified.
 	Needs []int
-	// Trials holds the trial of each entry of Needs, in the same order; nil means that none is on trial.
+	// Trials holds the trial of each entry of Needs, in the same order. It is nil if no shard is on
+	// trial.
 	Trials []Trial
-	// Fallback marks a send in addition to one whose owner is silent.
+	// Fallback is set if the send supplements one whose owner has not replied in time.
 	Fallback bool
 }
 
-// CancelSend withdraws what is left of a send.
+// CancelSend cancels the unanswered rest of a send.
 type CancelSend struct{ ID SendID }
 
-// WakeAt asks for a Woken event at the given time; a later WakeAt replaces it.
+// WakeAt requests a Woken event at the given time. A later WakeAt replaces an earlier one.
 type WakeAt struct{ At core.Time }
 
-// Replan says that an owner refused a shard by another text than the plan's. A
-// newer text at hand is passed in as Replanned; else nothing is to be done.
+// Replan reports that an owner refused a shard because its configuration differs from the plan's.
+// If the node has a newer configuration, its plan is passed in as Replanned; otherwise nothing is
+// to be done.
 type Replan struct{}
 
-// Finish ends the question; no action follows it.
+// Finish ends the query. No action follows it.
 type Finish struct{ Answer Answer }
 
 func (Send) isAction()       {}
--- a/internal/core/query/knowledge.go
+++ b/internal/core/query/knowledge.go
@@ -6,34 +6,34 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Bounds of ShardVersions. A shard that lists more versions counts with its
-// newest; a new shard that finds the table full is not remembered.
+// Bounds of ShardVersions. Of a shard that lists more versions, the newest are kept. A new shard is
+// not recorded while the table is full.
 const (
 	maxKnownShards   = 1 << 16
 	maxKnownVersions = 8
 )
 
-// ShardVersions remembers which versions each shard last said it serves. It only
-// chooses the version to try first; an answer is checked by its own parts.
+// ShardVersions records which versions each shard last reported to serve. It only selects the
+// version to request first; an answer is checked by its own parts.
 type ShardVersions struct {
 	serves map[core.ShardRef][]core.Version
 	limit  int
 }
 
-// NewShardVersions makes an empty ShardVersions.
+// NewShardVersions returns an empty table.
 func NewShardVersions() *ShardVersions {
 	return &ShardVersions{serves: map[core.ShardRef][]core.Version{}, limit: maxKnownShards}
 }
 
-// UpToDate reports whether learning the shard's word would change nothing.
-func (k *ShardVersions) UpToDate(ref core.ShardRef, serves []core.Version) bool {
-	known, ok := k.serves[ref]
-	return len(serves) == 0 || !ok && len(k.serves) >= k.limit || slices.Equal(known, serves)
+// UpToDate reports whether an Update with these arguments would change nothing.
+func (s *ShardVersions) UpToDate(ref core.ShardRef, serves []core.Version) bool {
+	known, ok := s.serves[ref]
+	return len(serves) == 0 || !ok && len(s.serves) >= s.limit || slices.Equal(known, serves)
 }
 
-// Update takes a shard's own word.
-func (k *ShardVersions) Update(ref core.ShardRef, serves []core.Version) {
-	if k.UpToDate(ref, serves) {
+// Update records the versions that a shard reports to serve.
+func (s *ShardVersions) Update(ref core.ShardRef, serves []core.Version) {
+	if s.UpToDate(ref, serves) {
 		return
 	}
 	kept := slices.Clone(serves)
@@ -41,30 +41,30 @@
 		slices.Sort(kept)
 		kept = kept[len(kept)-maxKnownVersions:]
 	}
-	k.serves[ref] = kept
+	s.serves[ref] = kept
 }
 
-// Retain forgets the shards that the text no longer lists.
-func (k *ShardVersions) Retain(listed func(core.ShardRef) bool) {
-	for ref := range k.serves {
+// Retain removes the shards that the configuration no longer lists.
+func (s *ShardVersions) Retain(listed func(core.ShardRef) bool) {
+	for ref := range s.serves {
 		if !listed(ref) {
-			delete(k.serves, ref)
+			delete(s.serves, ref)
 		}
 	}
 }
 
-// Len is the number of shards remembered.
-func (k *ShardVersions) Len() int { return len(k.serves) }
+// Len returns the number of recorded shards.
+func (s *ShardVersions) Len() int { return len(s.serves) }
 
-// Preferred returns the version that the fewest shards of the plan are known to
-// lack, the newest of equals: the newest version of all shards where there is
-// one. It is 0 when nothing is known.
-func (k *ShardVersions) Preferred(plan *Plan) core.Version {
+// Preferred returns the version that most shards of the plan are known to serve, the newest in case
+// of a tie. If all shards have a version in common, it is the newest of those. It is 0 if nothing
+// is known.
+func (s *ShardVersions) Preferred(plan *Plan) core.Version {
 	var counts []versionCount
 	for i := range plan.Needs {
-		for _, version := range k.serves[plan.Needs[i].Ref] {
-			counts = count(counts, version)
+		for _, version := range s.serves[plan.Needs[i].Ref] {
+			counts = addVersion(counts, version)
 		}
 	}
-	return most(counts, 0)
+	return mostCommon(counts, 0)
 }
--- a/internal/core/query/lifecycle.go
+++ b/internal/core/query/lifecycle.go
@@ -5,12 +5,12 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// lifeCycle is the question's state chart: it says in which state a version may be
-// chosen, shards may be asked and the answer is given.
+// lifeCycle is the query's state chart. It defines in which state a version may be chosen, shards
+// may be asked and the answer is returned.
 var lifeCycle = chart.Must(chart.Source("query"), chart.Bindings[*Machine]{
 	Guards: map[string]func(*Machine) bool{
 		"may_replan":     (*Machine).mayReplan,
-		"version_known":  func(m *Machine) bool { return m.target != 0 || m.first != 0 },
+		"version_known":  func(m *Machine) bool { return m.target != 0 || m.firstVersion != 0 },
 		"no_switch_left": (*Machine).noSwitchLeft,
 		"switch_pays":    (*Machine).switchPays,
 		"complete":       (*Machine).complete,
@@ -41,32 +41,32 @@
 
 func (m *Machine) fire(event chart.Event) { m.state = lifeCycle.Fire(m.state, event, m) }
 
-// Step takes one event at the given time and returns what to do. The slice is
-// valid until the next Step. After the Finish it returns nothing.
+// Step processes one event at the given time and returns the resulting actions. The slice is valid
+// until the next Step. After Finish, Step returns nothing.
 func (m *Machine) Step(now core.Time, event Event) []Action {
 	m.actions = m.actions[:0]
 	if m.state == stateFinished {
 		return nil
 	}
 	m.now = now
-	m.record(event)
+	m.handle(event)
 	m.advance()
 	return m.actions
 }
 
-// record takes in what the event says.
-func (m *Machine) record(event Event) {
+// handle updates the state by the content of the event.
+func (m *Machine) handle(event Event) {
 	switch e := event.(type) {
 	case Started:
 		m.wakeBy(m.options.Deadline)
 	case PartArrived:
-		m.partArrived(e)
+		m.handlePart(e)
 	case PartFailed:
-		m.partFailed(e)
+		m.handlePartFailure(e)
 	case SendFailed:
-		m.endSend(e.Send, failedTry{outcome: e.Outcome, reason: e.Reason, retryAfter: e.RetryAfter})
+		m.endSend(e.Send, failedAttempt{outcome: e.Outcome, reason: e.Reason, retryAfter: e.RetryAfter})
 	case Woken:
-		m.rang()
+		m.handleAlarm()
 	case Replanned:
 		m.offered, m.offeredPrecautions = e.Plan, e.Precautions
 		m.fire(eventReplanned)
@@ -76,7 +76,7 @@
 	}
 }
 
-// advance does all that the present state calls for.
+// advance fires the chart events that can apply after any input.
 func (m *Machine) advance() {
 	if m.now >= m.options.Deadline {
 		m.fire(eventDeadline)
@@ -84,8 +84,8 @@
 	}
 	m.fire(eventDecide)
 	m.fire(eventAsk)
-	if m.replan {
-		m.replan = false
+	if m.replanNeeded {
+		m.replanNeeded = false
 		m.actions = append(m.actions, Replan{})
 	}
 	m.fire(eventCheck)
--- a/internal/core/query/machine_test.go
+++ b/internal/core/query/machine_test.go
@@ -45,7 +45,7 @@
 			return finish.Answer
 		}
 	}
-	require.Fail(t, "no Finish among the actions")
+	require.Fail(t, "the actions contain no Finish")
 	return Answer{}
 }
 
@@ -63,9 +63,8 @@
 	require.Empty(t, answer.Coverage.Missing)
 }
 
-// A supervisor would see cues of two index versions in one list. The index
-// moves from 7 to 8 between the replies of two shards, so the first parts
-// disagree; the question must settle on one version before it answers.
+// Guards against an answer that mixes index versions. The index moves from 7 to 8 between the
+// replies of two shards, so the first parts differ; the query must settle on one version.
 func TestVersionChangeMidQueryNeverMixes(t *testing.T) {
 	m := New(twoServicePlan(), testOptions())
 	m.Step(0, Started{})
@@ -80,7 +79,7 @@
 	require.Equal(t, 3, answer.Coverage.Answered)
 }
 
-// A thin list must say that it is thin: one shard stays silent until the
+// Guards against an incomplete answer that looks complete: one shard does not reply until the
 // caller's deadline, and the answer names it with the reason.
 func TestDeadlineReportsMissingShard(t *testing.T) {
 	m := New(twoServicePlan(), testOptions())
@@ -92,8 +91,8 @@
 	require.Equal(t, core.ReasonDeadline, answer.Coverage.Missing[0].Reason)
 }
 
-// The owner of a bundle pauses without closing its connection. Its silence is
-// the only sign; the next node is asked, and the late reply is dropped.
+// Guards against waiting for the owner of a bundle that pauses without closing its connection. The
+// next node is asked, and the late reply is dropped.
 func TestSilentOwnerFallsBack(t *testing.T) {
 	options := testOptions()
 	options.FallbackAfter = 50 * time.Millisecond
@@ -111,8 +110,8 @@
 	require.Equal(t, 1, answer.Dropped)
 }
 
-// lagPlan is one service of three shards, each in its own bundle.
-func lagPlan() *Plan {
+// threeShardPlan returns a plan of one service with three shards, each in its own bundle.
+func threeShardPlan() *Plan {
 	service := ServicePlan{Name: "base", Shards: []int{0, 1, 2}}
 	var needs []Need
 	for i := range 3 {
@@ -121,75 +120,74 @@
 	return NewPlan([]ServicePlan{service}, needs)
 }
 
-// A new index is out and one shard lags. The chef must not get a list without
-// that shard while version 7 would give a whole one: the question goes back to
-// it, and shards that answered at 8 are asked again at 7.
+// Guards against leaving out a lagging shard while an older version covers all shards. The query
+// returns to version 7, and shards that answered at 8 are asked again at 7.
 func TestALaggingShardMovesTheQuestionToTheVersionOfAll(t *testing.T) {
 	options := testOptions()
 	options.Preferred = 8
-	w := newWorld(t, lagPlan(), options, 7, 8)
-	w.serves[core.ShardRef{Service: "base", Shard: 2}] = []core.Version{7}
-	w.step(Started{})
-	for len(w.pending) > 0 {
-		w.step(w.part(w.take(0), true))
+	h := newHarness(t, threeShardPlan(), options, 7, 8)
+	h.serves[core.ShardRef{Service: "base", Shard: 2}] = []core.Version{7}
+	h.step(Started{})
+	for len(h.pending) > 0 {
+		h.step(h.honestReply(h.take(0), true))
 	}
-	require.NotNil(t, w.finished)
-	require.Equal(t, core.Version(7), w.finished.Version)
-	require.Equal(t, 3, w.finished.Coverage.Answered)
-	require.Equal(t, 1, w.finished.Switches)
+	require.NotNil(t, h.finished)
+	require.Equal(t, core.Version(7), h.finished.Version)
+	require.Equal(t, 3, h.finished.Coverage.Answered)
+	require.Equal(t, 1, h.finished.Switches)
 }
 
-// Versions come and go faster than shards answer: each reply names another one.
-// A question that followed each would never end; it must settle on what covers
-// most, before its deadline, and name the version as gone where it is.
+// Guards against a query that never ends: versions change faster than shards answer, and each reply
+// names another one. The query must settle on the version that covers most before its deadline, and
+// report the version as gone for the other shards.
 func TestVersionsInFluxEndTheQuestionInTime(t *testing.T) {
-	w := newWorld(t, lagPlan(), testOptions(), 7)
-	w.step(Started{})
+	h := newHarness(t, threeShardPlan(), testOptions(), 7)
+	h.step(Started{})
 	version := core.Version(7)
-	for replies := 0; w.finished == nil && replies < 100; replies++ {
-		if len(w.pending) == 0 {
-			w.now = w.wake
-			w.step(Woken{})
+	for replies := 0; h.finished == nil && replies < 100; replies++ {
+		if len(h.pending) == 0 {
+			h.now = h.wake
+			h.step(Woken{})
 			continue
 		}
 		version++
-		a := w.take(0)
-		w.serves[a.plan.Needs[a.need].Ref] = []core.Version{version}
-		w.step(w.part(a, true))
+		a := h.take(0)
+		h.serves[a.plan.Needs[a.need].Ref] = []core.Version{version}
+		h.step(h.honestReply(a, true))
 	}
-	require.NotNil(t, w.finished)
-	require.Less(t, w.now, w.options.Deadline)
-	require.LessOrEqual(t, w.finished.Switches, w.options.MaxSwitches)
-	require.Equal(t, 1, w.finished.Coverage.Answered)
-	for _, missing := range w.finished.Coverage.Missing {
+	require.NotNil(t, h.finished)
+	require.Less(t, h.now, h.options.Deadline)
+	require.LessOrEqual(t, h.finished.Switches, h.options.MaxSwitches)
+	require.Equal(t, 1, h.finished.Coverage.Answered)
+	for _, missing := range h.finished.Coverage.Missing {
 		require.Equal(t, core.ReasonVersionGone, missing.Reason)
 	}
 }
 
-// A chef asks for an early answer and one of twenty shards hangs. Its dependent
-// must be asked without it, the answer must name it, and its part, should it
-// come after all, must not stand beside a part computed without it.
+// Guards against an early answer that waits for a straggler: one of twenty shards hangs. Its
+// dependent must be asked without it, the answer must name it, and its late part must not be merged
+// with a part that was computed without it.
 func TestAnEarlyAnswerLeavesOutTheStraggler(t *testing.T) {
 	options := testOptions()
 	options.Preference = PreferEarly
-	w := newWorld(t, leadPlan(21, 1), options, 7)
-	w.step(Started{})
+	h := newHarness(t, aggregatorPlan(21, 1), options, 7)
+	h.step(Started{})
 	for range 19 {
-		w.step(w.part(w.take(0), true))
+		h.step(h.honestReply(h.take(0), true))
 	}
-	require.Len(t, w.pending, 2, "the hanging shard and the lead")
-	w.step(w.part(w.take(0), true))
-	require.Equal(t, 1, w.m.dropped)
-	w.step(w.part(w.take(0), true))
-	require.Equal(t, 20, w.finished.Coverage.Answered)
-	require.Equal(t, core.ReasonStraggler, w.finished.Coverage.Missing[0].Reason)
-	require.Equal(t, 1, w.finished.Coverage.Incomplete, "the lead lacked a dependency")
-	require.False(t, w.finished.BelowLeast)
+	require.Len(t, h.pending, 2, "the hanging shard and the aggregator")
+	h.step(h.honestReply(h.take(0), true))
+	require.Equal(t, 1, h.m.dropped)
+	h.step(h.honestReply(h.take(0), true))
+	require.Equal(t, 20, h.finished.Coverage.Answered)
+	require.Equal(t, core.ReasonStraggler, h.finished.Coverage.Missing[0].Reason)
+	require.Equal(t, 1, h.finished.Coverage.Incomplete, "the aggregator lacked a dependency")
+	require.False(t, h.finished.BelowLeast)
 }
 
-// Least coverage is reached before the service that was asked has its turn. An
-// early answer without the very part that the chef asked for would be useless.
-func TestAnEarlyAnswerWaitsForTheServiceAsked(t *testing.T) {
+// Guards against an early answer without the queried service, if the least coverage is reached
+// before that service is asked.
+func TestEarlyAnswerWaitsForQueriedService(t *testing.T) {
 	services := []ServicePlan{
 		{Name: "base", Shards: []int{0, 1, 2, 3}},
 		{Name: "mid", DependsOn: []int{0}, Shards: []int{4}},
@@ -202,177 +200,179 @@
 	options := testOptions()
 	options.Preference = PreferEarly
 	options.LeastCoverage = 0.5
-	w := newWorld(t, NewPlan(services, needs), options, 7)
-	w.step(Started{})
-	w.step(w.part(w.take(0), true))
-	w.step(w.part(w.take(0), true))
-	w.step(w.part(w.take(2), true))
-	require.Nil(t, w.finished, "half is there, the service asked is not")
-	w.step(w.part(w.take(2), true))
-	require.Equal(t, 4, w.finished.Coverage.Answered)
-	require.Equal(t, 2, w.finished.Coverage.Incomplete)
+	h := newHarness(t, NewPlan(services, needs), options, 7)
+	h.step(Started{})
+	h.step(h.honestReply(h.take(0), true))
+	h.step(h.honestReply(h.take(0), true))
+	h.step(h.honestReply(h.take(2), true))
+	require.Nil(t, h.finished, "half of the shards have answered, the queried service has not")
+	h.step(h.honestReply(h.take(2), true))
+	require.Equal(t, 4, h.finished.Coverage.Answered)
+	require.Equal(t, 2, h.finished.Coverage.Incomplete)
 }
 
-// As many shards have lost 7 as never got 8. To move would ask all again and
-// cover no more; the question stays.
-func TestAnEqualVersionIsNoReasonToSwitch(t *testing.T) {
+// Guards against a switch that asks all shards again without a gain in coverage: as many shards
+// have lost 7 as lack 8.
+func TestEqualCoverageDoesNotSwitchVersion(t *testing.T) {
 	options := testOptions()
 	options.Preferred = 7
-	w := newWorld(t, lagPlan(), options, 7)
-	w.serves[core.ShardRef{Service: "base"}] = []core.Version{8}
-	w.step(Started{})
-	w.step(w.part(w.take(1), true))
-	w.step(w.part(w.take(0), true))
-	require.Zero(t, w.m.switches)
-	require.Equal(t, core.Version(7), w.m.target)
+	h := newHarness(t, threeShardPlan(), options, 7)
+	h.serves[core.ShardRef{Service: "base"}] = []core.Version{8}
+	h.step(Started{})
+	h.step(h.honestReply(h.take(1), true))
+	h.step(h.honestReply(h.take(0), true))
+	require.Zero(t, h.m.switches)
+	require.Equal(t, core.Version(7), h.m.target)
 }
 
-// A shard's first try fails and its second one hangs. What keeps the part out
-// is the deadline, and an operator must not be sent after the first failure.
+// Guards against reporting the reason of an earlier failure: a shard's first attempt fails and its
+// second one hangs, so the part is missing because of the deadline.
 func TestTheReasonIsThatOfTheLastTry(t *testing.T) {
-	w := newWorld(t, lagPlan(), testOptions(), 7)
-	w.step(Started{})
-	w.step(SendFailed{Send: 1, Reason: core.ReasonPeerLost})
-	w.now = w.wake
-	w.step(Woken{})
-	require.Equal(t, 4, w.sent)
-	w.now = w.options.Deadline
-	w.step(Woken{})
-	require.Equal(t, core.ReasonDeadline, w.finished.Coverage.Missing[0].Reason)
+	h := newHarness(t, threeShardPlan(), testOptions(), 7)
+	h.step(Started{})
+	h.step(SendFailed{Send: 1, Reason: core.ReasonPeerLost})
+	h.now = h.wake
+	h.step(Woken{})
+	require.Equal(t, 4, h.sendCount)
+	h.now = h.options.Deadline
+	h.step(Woken{})
+	require.Equal(t, core.ReasonDeadline, h.finished.Coverage.Missing[0].Reason)
 }
 
-// An owner says to come back after the caller's deadline. Nothing more can
-// come, so the answer is given at once rather than at the deadline.
-func TestARetryPastTheDeadlineIsNotWaitedFor(t *testing.T) {
-	w := newWorld(t, lagPlan(), testOptions(), 7)
-	w.step(Started{})
+// Guards against waiting for nothing: an owner asks for a retry after the caller's deadline, so the
+// answer is returned at once.
+func TestRetryPastDeadlineIsNotAwaited(t *testing.T) {
+	h := newHarness(t, threeShardPlan(), testOptions(), 7)
+	h.step(Started{})
 	for range 2 {
-		w.step(w.part(w.take(0), true))
+		h.step(h.honestReply(h.take(0), true))
 	}
-	w.step(SendFailed{Send: 3, Outcome: core.NotRun, Reason: core.ReasonOverloaded, RetryAfter: 2 * time.Second})
-	require.Equal(t, 2, w.finished.Coverage.Answered)
-	require.Equal(t, core.ReasonOverloaded, w.finished.Coverage.Missing[0].Reason)
+	h.step(SendFailed{Send: 3, Outcome: core.NotRun, Reason: core.ReasonOverloaded, RetryAfter: 2 * time.Second})
+	require.Equal(t, 2, h.finished.Coverage.Answered)
+	require.Equal(t, core.ReasonOverloaded, h.finished.Coverage.Missing[0].Reason)
 }
 
-// A caller wants nine tenths and only two shards of three can be had. What is
-// there is worth more than nothing: it is returned, marked, without waiting.
+// Guards against withholding or not marking an answer below the least coverage: the caller requires
+// 0.9, and only two shards of three are available. The answer is returned without waiting, and
+// marked.
 func TestAnAnswerBelowTheLeastCoverageIsMarked(t *testing.T) {
 	options := testOptions()
 	options.LeastCoverage = 0.9
 	options.MaxTries = 1
-	w := newWorld(t, lagPlan(), options, 7)
-	w.step(Started{})
-	w.step(w.part(w.take(0), true))
-	w.step(w.part(w.take(0), true))
-	a := w.take(0)
-	w.step(PartFailed{Send: a.send.ID, Need: a.need, Outcome: core.Unknown, Reason: core.ReasonUpstreamFailed, Last: true})
-	require.True(t, w.finished.BelowLeast)
-	require.Equal(t, 2, w.finished.Coverage.Answered)
-	require.Empty(t, w.finished.Reason)
+	h := newHarness(t, threeShardPlan(), options, 7)
+	h.step(Started{})
+	h.step(h.honestReply(h.take(0), true))
+	h.step(h.honestReply(h.take(0), true))
+	a := h.take(0)
+	h.step(PartFailed{Send: a.send.ID, Need: a.need, Outcome: core.Unknown, Reason: core.ReasonUpstreamFailed, Last: true})
+	require.True(t, h.finished.BelowLeast)
+	require.Equal(t, 2, h.finished.Coverage.Answered)
+	require.Empty(t, h.finished.Reason)
 }
 
-// All that a service depends on is lost. It would compute from nothing, so it
-// is not asked, and the answer says that its dependency is missing.
+// Guards against asking a service of which no dependency has a part. It would have no input, so the
+// answer reports its dependency as missing.
 func TestAServiceWithoutAnyDependencyIsNotAsked(t *testing.T) {
 	options := testOptions()
 	options.MaxTries = 1
-	w := newWorld(t, twoServicePlan(), options, 7)
-	w.step(Started{})
-	w.step(SendFailed{Send: 1, Reason: core.ReasonPeerLost})
-	require.Equal(t, 1, w.finished.Sends)
-	require.Zero(t, w.finished.Version)
-	require.Equal(t, core.ReasonPeerLost, w.finished.Coverage.Missing[0].Reason)
-	require.Equal(t, core.ReasonDependency, w.finished.Coverage.Missing[2].Reason)
+	h := newHarness(t, twoServicePlan(), options, 7)
+	h.step(Started{})
+	h.step(SendFailed{Send: 1, Reason: core.ReasonPeerLost})
+	require.Equal(t, 1, h.finished.Sends)
+	require.Zero(t, h.finished.Version)
+	require.Equal(t, core.ReasonPeerLost, h.finished.Coverage.Missing[0].Reason)
+	require.Equal(t, core.ReasonDependency, h.finished.Coverage.Missing[2].Reason)
 }
 
-// The question moves from 7 to 8 and back to 7, where the dependent has already
-// answered without a shard that lacked 7 then. Should that shard now answer at
-// 7, the dependent's part would stand beside a part that it was not given.
+// Guards against adding a part to a dependent that was computed without it. The query switches from
+// 7 to 8 and back to 7, where the dependent has already answered without a shard that lacked a part
+// at 7 then.
 func TestAReturnToAVersionAddsNothingToAnsweredDependents(t *testing.T) {
 	options := testOptions()
 	options.MaxTries = 1
-	w := newWorld(t, twoServicePlan(), options, 7)
+	h := newHarness(t, twoServicePlan(), options, 7)
 	second := core.ShardRef{Service: "base", Shard: 1}
-	w.step(Started{})
-	w.step(w.part(w.take(0), false))
-	a := w.take(0)
-	w.step(PartFailed{Send: a.send.ID, Need: a.need, Outcome: core.Unknown, Reason: core.ReasonUpstreamFailed, Last: true})
-	w.serves[core.ShardRef{Service: "top"}] = []core.Version{8}
-	top := w.take(0)
-	w.m.needs[2].parts = append(w.m.needs[2].parts, versionPart{version: 7, payload: w.partAt(top, 7, false).(PartArrived).Payload})
-	w.m.switchTo(8)
-	w.m.switchTo(7)
-	w.step(Woken{})
-	require.NotNil(t, w.finished)
-	require.Equal(t, core.Version(7), w.finished.Version)
-	require.Equal(t, 2, w.finished.Coverage.Answered)
-	require.Equal(t, second, w.finished.Coverage.Missing[0].Ref)
-	require.Equal(t, core.ReasonUpstreamFailed, w.finished.Coverage.Missing[0].Reason)
+	h.step(Started{})
+	h.step(h.honestReply(h.take(0), false))
+	a := h.take(0)
+	h.step(PartFailed{Send: a.send.ID, Need: a.need, Outcome: core.Unknown, Reason: core.ReasonUpstreamFailed, Last: true})
+	h.serves[core.ShardRef{Service: "top"}] = []core.Version{8}
+	top := h.take(0)
+	h.m.needs[2].parts = append(h.m.needs[2].parts, versionPart{version: 7, payload: h.replyAt(top, 7, false).(PartArrived).Payload})
+	h.m.switchTo(8)
+	h.m.switchTo(7)
+	h.step(Woken{})
+	require.NotNil(t, h.finished)
+	require.Equal(t, core.Version(7), h.finished.Version)
+	require.Equal(t, 2, h.finished.Coverage.Answered)
+	require.Equal(t, second, h.finished.Coverage.Missing[0].Ref)
+	require.Equal(t, core.ReasonUpstreamFailed, h.finished.Coverage.Missing[0].Reason)
 }
 
-// Shards fail and the fleet is sick. Once the budget of extra tries is spent,
-// what may have run is not sent again, while "not owner" still is.
-func TestASpentBudgetEndsRetriesOfWhatMayHaveRun(t *testing.T) {
+// Guards against retries without a token: once the budget is exhausted, an attempt that may have
+// run, or was refused because of overload, is not repeated, while "not owner" still is.
+func TestExhaustedBudgetStopsUnsafeRetries(t *testing.T) {
 	options := testOptions()
 	options.MaxReroutes = 2
-	options.Budget = &countedBudget{bucket: spentBudget()}
-	w := newWorld(t, lagPlan(), options, 7)
-	w.step(Started{})
-	w.step(SendFailed{Send: 1, Outcome: core.Unknown, Reason: core.ReasonPeerLost})
-	w.step(SendFailed{Send: 2, Outcome: core.NotRun, Reason: core.ReasonOverloaded})
-	w.step(SendFailed{Send: 3, Outcome: core.NotRun, Reason: core.ReasonNotOwner})
-	w.now = w.wake
-	w.step(Woken{})
-	require.Equal(t, 4, w.sent)
-	require.Equal(t, 2, w.pending[len(w.pending)-1].need)
+	options.Budget = &countingBudget{bucket: exhaustedBudget()}
+	h := newHarness(t, threeShardPlan(), options, 7)
+	h.step(Started{})
+	h.step(SendFailed{Send: 1, Outcome: core.Unknown, Reason: core.ReasonPeerLost})
+	h.step(SendFailed{Send: 2, Outcome: core.NotRun, Reason: core.ReasonOverloaded})
+	h.step(SendFailed{Send: 3, Outcome: core.NotRun, Reason: core.ReasonNotOwner})
+	h.now = h.wake
+	h.step(Woken{})
+	require.Equal(t, 4, h.sendCount)
+	require.Equal(t, 2, h.pending[len(h.pending)-1].need)
 }
 
-// Every shard fails every time. Retried freely, the sick fleet gets three times
-// its load and does not recover; by the budget it gets a tenth more.
+// Guards against retries overloading a failing fleet. If every attempt fails and retries are
+// unlimited, the fleet receives three times its load and does not recover; with the budget it
+// receives a tenth more.
 func TestASickFleetIsNotAskedThreeTimes(t *testing.T) {
-	const questions, shards = 200, 20
+	const queries, shards = 200, 20
 	load := func(b Budget) float64 {
 		asked := 0
-		for range questions {
+		for range queries {
 			options := testOptions()
 			options.Budget = b
-			w := newWorld(t, leadPlan(shards+1, 1), options, 7)
-			w.step(Started{})
-			for w.finished == nil {
-				for len(w.pending) > 0 {
+			h := newHarness(t, aggregatorPlan(shards+1, 1), options, 7)
+			h.step(Started{})
+			for h.finished == nil {
+				for len(h.pending) > 0 {
 					asked++
-					w.step(SendFailed{Send: w.take(0).send.ID, Reason: core.ReasonUpstreamFailed})
+					h.step(SendFailed{Send: h.take(0).send.ID, Reason: core.ReasonUpstreamFailed})
 				}
-				if w.finished == nil {
-					w.now = w.wake
-					w.step(Woken{})
+				if h.finished == nil {
+					h.now = h.wake
+					h.step(Woken{})
 				}
 			}
 		}
-		return float64(asked) / (questions * shards)
+		return float64(asked) / (queries * shards)
 	}
-	free, bounded := load(nil), load(&countedBudget{bucket: budget.New(budget.Config{})})
-	t.Logf("load over first tries: %.3f without a budget, %.3f with one", free, bounded)
+	free, bounded := load(nil), load(&countingBudget{bucket: budget.New(budget.Config{})})
+	t.Logf("attempts per first attempt: %.3f without a budget, %.3f with one", free, bounded)
 	require.Equal(t, 3.0, free)
-	require.LessOrEqual(t, bounded, 1+budget.DefaultRatio+budget.DefaultFloor/float64(questions*shards))
+	require.LessOrEqual(t, bounded, 1+budget.DefaultRatio+budget.DefaultFloor/float64(queries*shards))
 }
 
-func spentBudget() *budget.Budget {
+func exhaustedBudget() *budget.Budget {
 	b := budget.New(budget.Config{Floor: 1, Ratio: 0.001})
 	b.TryExtra()
 	return b
 }
 
-func TestKnowledgeIsBoundedAndForgets(t *testing.T) {
-	k := NewShardVersions()
-	k.limit = 2
+func TestShardVersionsBoundedAndPruned(t *testing.T) {
+	versions := NewShardVersions()
+	versions.limit = 2
 	for i := range 5 {
-		k.Update(core.ShardRef{Service: "base", Shard: i}, []core.Version{7, 8})
+		versions.Update(core.ShardRef{Service: "base", Shard: i}, []core.Version{7, 8})
 	}
-	require.Equal(t, 2, k.Len())
-	require.Equal(t, core.Version(8), k.Preferred(lagPlan()))
-	k.Update(core.ShardRef{Service: "base"}, []core.Version{7})
-	require.Equal(t, core.Version(7), k.Preferred(lagPlan()), "the newest that all serve")
-	k.Retain(func(ref core.ShardRef) bool { return ref.Shard == 1 })
-	require.Equal(t, 1, k.Len())
+	require.Equal(t, 2, versions.Len())
+	require.Equal(t, core.Version(8), versions.Preferred(threeShardPlan()))
+	versions.Update(core.ShardRef{Service: "base"}, []core.Version{7})
+	require.Equal(t, core.Version(7), versions.Preferred(threeShardPlan()), "the newest version that all shards serve")
+	versions.Retain(func(ref core.ShardRef) bool { return ref.Shard == 1 })
+	require.Equal(t, 1, versions.Len())
 }
--- a/internal/core/query/plan.go
+++ b/internal/core/query/plan.go
@@ -1,5 +1,5 @@
-// Package query decides one caller's question: which shards to ask when, which
-// index version the answer is drawn from, and what the answer covers.
+// Package query decides how one caller's query is run: which shards are asked when, which index
+// version the answer is taken from, and what the answer covers.
 //
 // docs/design/query.md gives the reasons.
 package query
@@ -11,33 +11,33 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Need is one shard that the question needs.
+// Need is one shard that the query needs.
 type Need struct {
 	Ref     core.ShardRef
 	Bundle  core.BundleID
 	Service int
 }
 
-// ServicePlan is one service of the closure. DependsOn and Shards are indexes
-// into the plan's Services and Needs. The number of shards is the service's
-// layout: it says which data a shard number stands for.
+// ServicePlan is one service of the closure. DependsOn and Shards are indexes into the plan's
+// Services and Needs. The number of shards is the service's layout: it determines which data a
+// shard number refers to.
 type ServicePlan struct {
 	Name      string
 	DependsOn []int
 	Shards    []int
-	// dependents are the services that depend on this one.
+	// dependents are the indexes of the services that depend on this one.
 	dependents []int
 }
 
-// Plan is what a question needs, dependencies before their dependents; the last
-// service is the one asked. It is immutable, so questions may share it.
+// Plan lists the services and shards that a query needs. Dependencies precede their dependents; the
+// last service is the queried one. A plan is immutable, so queries may share it.
 type Plan struct {
 	Services []ServicePlan
 	Needs    []Need
 	bundles  int
 }
 
-// NewPlan makes a plan of services in order and their needs.
+// NewPlan creates a plan from ordered services and their needs.
 func NewPlan(services []ServicePlan, needs []Need) *Plan {
 	bundles := map[core.BundleID]bool{}
 	for _, need := range needs {
@@ -51,8 +51,7 @@
 	return &Plan{Services: services, Needs: needs, bundles: len(bundles)}
 }
 
-// Equal reports whether both plans ask the same shards in the same bundles and
-// order.
+// Equal reports whether both plans ask the same shards in the same bundles and order.
 func (p *Plan) Equal(other *Plan) bool {
 	if len(p.Services) != len(other.Services) || len(p.Needs) != len(other.Needs) {
 		return false
@@ -70,8 +69,8 @@
 	return true
 }
 
-// sameService reports whether a service has the same name, layout and direct
-// dependencies in both plans.
+// sameService reports whether a service has the same name, layout and direct dependencies in both
+// plans.
 func sameService(a *Plan, i int, b *Plan, j int) bool {
 	first, second := &a.Services[i], &b.Services[j]
 	if first.Name != second.Name || len(first.Shards) != len(second.Shards) || len(first.DependsOn) != len(second.DependsOn) {
@@ -91,53 +90,54 @@
 const (
 	// PreferWhole waits for stragglers until the deadline.
 	PreferWhole Preference = iota
-	// PreferEarly answers as soon as the least coverage is reached and the
-	// service asked has answered or cannot. A service is asked as soon as its
-	// dependencies reach the least coverage together.
+	// PreferEarly answers as soon as the least coverage is reached and the queried service has
+	// answered or cannot answer. A service is asked as soon as its dependencies together reach the
+	// least coverage.
 	PreferEarly
 )
 
-// DefaultEarlyCoverage is the least coverage of an early answer whose caller
-// states none: one straggler in twenty shards is not waited for.
+// DefaultEarlyCoverage is the least coverage of an early answer if the caller specifies none: of
+// twenty shards, one straggler is not waited for.
 const DefaultEarlyCoverage = 0.95
 
-// Budget bounds the tries beyond the first ones.
+// Budget limits the attempts beyond the first ones.
 type Budget interface {
-	// FirstTry notes n first tries to a service.
+	// FirstTry records n first attempts to a service.
 	FirstTry(service string, n int)
-	// TryExtra takes the right to one more try of one shard of a service.
+	// TryExtra takes a token for one further attempt of one shard of a service, and reports whether
+	// there was one.
 	TryExtra(service string) bool
 }
 
-// Options are the choices of one question.
+// Options are the parameters of one query.
 type Options struct {
 	// Deadline is when the caller stops waiting, on this node's clock.
 	Deadline core.Time
-	// LeastCoverage is the share of shards, 0 to 1, that the caller wants at
-	// least. An early answer that states 0 takes DefaultEarlyCoverage.
+	// LeastCoverage is the minimum share of shards, 0 to 1, that the caller requires. For an early
+	// answer, 0 stands for DefaultEarlyCoverage.
 	LeastCoverage float64
 	Preference    Preference
-	// Preferred is the newest version that all shards are believed to serve,
-	// or 0 when nothing is known.
+	// Preferred is the newest version that all shards are believed to serve, or 0 if nothing is
+	// known.
 	Preferred core.Version
-	// RetryPause is the wait before a shard is asked again; it doubles each
-	// time that the shard could not be routed.
+	// RetryPause is the delay before a shard is asked again. It doubles with each attempt that
+	// could not be routed.
 	RetryPause time.Duration
-	// MaxTries bounds how often a shard may fail at one version.
+	// MaxTries limits how often a shard may fail at one version.
 	MaxTries int
-	// MaxReroutes bounds how often a shard is asked again at one version after
-	// it reached nobody who could run it; these tries put no load on upstreams.
+	// MaxReroutes limits how often a shard is asked again at one version after it reached no owner
+	// that could run it. These attempts put no load on upstreams.
 	MaxReroutes int
-	// MaxSwitches bounds how often the question moves to another version, and
-	// SwitchReserve is the time before the deadline in which it does not.
+	// MaxSwitches limits how often the query switches to another version. SwitchReserve is the time
+	// before the deadline in which it does not switch.
 	MaxSwitches   int
 	SwitchReserve time.Duration
-	// MaxReplans bounds how often the question takes over a newer text.
+	// MaxReplans limits how often the query adopts the plan of a newer configuration.
 	MaxReplans int
-	// FallbackAfter is how long an owner may stay silent before the next
-	// node in the bundle's order is asked as well; 0 is never.
+	// FallbackAfter is how long an owner may stay silent before the next node in the bundle's owner
+	// order is asked as well; 0 means never.
 	FallbackAfter time.Duration
-	// Budget bounds retries and fallbacks; nil is no bound.
+	// Budget limits retries and fallbacks; nil means no limit.
 	Budget Budget
 	// Precautions restrict how the shards of the plan are asked.
 	Precautions Precautions
@@ -150,11 +150,11 @@
 	return o
 }
 
-// roundingSlack keeps a share such as 0.9 of 10, which floats put a little
-// above 9, from asking for one shard more.
+// roundingSlack prevents floating-point error from requiring one shard more, for example if 0.9 of
+// 10 is computed as slightly above 9.
 const roundingSlack = 1e-9
 
-// leastOf is how many of n shards the least coverage asks for.
-func (o Options) leastOf(n int) int {
+// minParts returns how many of n shards the least coverage requires.
+func (o Options) minParts(n int) int {
 	return int(math.Ceil(o.LeastCoverage*float64(n) - roundingSlack))
 }
--- a/internal/core/query/precaution_test.go
+++ b/internal/core/query/precaution_test.go
@@ -8,7 +8,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// shardedPlan has the asked service top depend on a service of four shards, each in its own bundle.
+// shardedPlan returns a plan in which the queried service top depends on a service of four shards,
+// each in its own bundle.
 func shardedPlan() *Plan {
 	needs := []Need{{Ref: core.ShardRef{Service: "top"}, Bundle: 9, Service: 1}}
 	var shards []int
@@ -19,54 +20,54 @@
 	return NewPlan([]ServicePlan{{Name: "base", Shards: shards}, {Name: "top", DependsOn: []int{0}, Shards: []int{0}}}, needs)
 }
 
-func brokenReply(send Send) PartFailed {
+func closedReply(send Send) PartFailed {
 	return PartFailed{Send: send.ID, Need: send.Needs[0], Reason: core.ReasonUpstreamFailed, Broken: true, Last: true}
 }
 
-func answerReply(send Send) PartArrived {
+func partReply(send Send) PartArrived {
 	return PartArrived{Send: send.ID, Need: send.Needs[0], Version: 7, Payload: []byte("p"), Last: true}
 }
 
-// Guards against retries ending all replicas of a service: the first sends end one replica of each shard, the next send
-// ends one more, and no further send is made.
+// Guards against retries crashing all replicas of a service: the first sends crash one replica of
+// each shard, the next send crashes one more, and no further send is made.
 func TestAQuestionThatEndsReplicasEndsOneOfEachShardAndOneMore(t *testing.T) {
 	m := New(shardedPlan(), testOptions())
 	first := sendsOf(m.Step(0, Started{}))
 	require.Len(t, first, 4)
 	for _, send := range first {
 		require.Nil(t, send.Trials)
-		require.Empty(t, sendsOf(m.Step(1, brokenReply(send))))
+		require.Empty(t, sendsOf(m.Step(1, closedReply(send))))
 	}
 	further := sendsOf(m.Step(testOptions().RetryPause+1, Woken{}))
 	require.Len(t, further, 1)
 	require.Equal(t, []Trial{QueryTrial}, further[0].Trials)
-	actions := m.Step(testOptions().RetryPause+2, brokenReply(further[0]))
+	actions := m.Step(testOptions().RetryPause+2, closedReply(further[0]))
 	require.Empty(t, sendsOf(actions))
 	require.Zero(t, answerOf(t, actions).Coverage.Answered)
 }
 
-// Guards against repeated sends to a shard whose replicas the question ends while other shards answer: the shard is asked
-// once more, on trial, and the answer names it as missing.
-func TestAQuestionThatEndsTheReplicasOfOneShardIsAnsweredWithoutIt(t *testing.T) {
+// Guards against repeated sends to a shard whose replicas the query crashes while other shards
+// answer: the shard is asked once more, on trial, and the answer names it as missing.
+func TestQueryCrashingReplicasOfOneShardIsAnsweredWithoutIt(t *testing.T) {
 	m := New(shardedPlan(), testOptions())
 	first := sendsOf(m.Step(0, Started{}))
-	m.Step(1, brokenReply(first[0]))
+	m.Step(1, closedReply(first[0]))
 	for _, send := range first[1:] {
-		m.Step(2, answerReply(send))
+		m.Step(2, partReply(send))
 	}
 	further := sendsOf(m.Step(testOptions().RetryPause+2, Woken{}))
 	require.Len(t, further, 1)
 	require.Equal(t, []Trial{ShardTrial}, further[0].Trials)
-	top := sendsOf(m.Step(testOptions().RetryPause+3, brokenReply(further[0])))
+	top := sendsOf(m.Step(testOptions().RetryPause+3, closedReply(further[0])))
 	require.Len(t, top, 1)
 	require.Equal(t, []int{0}, top[0].Needs)
-	answer := answerOf(t, m.Step(testOptions().RetryPause+4, answerReply(top[0])))
+	answer := answerOf(t, m.Step(testOptions().RetryPause+4, partReply(top[0])))
 	require.Equal(t, []Missing{{Ref: core.ShardRef{Service: "base"}, Reason: core.ReasonUpstreamFailed}}, answer.Coverage.Missing)
 }
 
-// Guards against a known suspect question ending a replica of each shard: one replica of the service is asked first, the
-// other shards only after it has answered.
-func TestASuspectServiceIsAskedOfOneReplicaFirst(t *testing.T) {
+// Guards against a suspect query crashing a replica of each shard: one replica of the service is
+// asked first, the other shards only after it has answered.
+func TestSuspectServiceIsAskedOfOneReplicaFirst(t *testing.T) {
 	options := testOptions()
 	options.Precautions = Precautions{SuspectServices: map[int]bool{0: true}, SuspectNeeds: map[int]bool{1: true}}
 	m := New(shardedPlan(), options)
@@ -74,7 +75,7 @@
 	require.Len(t, first, 1)
 	require.Equal(t, []int{2}, first[0].Needs, "a shard that is not suspect comes first")
 	require.Equal(t, []Trial{ServiceTrial}, first[0].Trials)
-	others := sendsOf(m.Step(1, answerReply(first[0])))
+	others := sendsOf(m.Step(1, partReply(first[0])))
 	require.Len(t, others, 3)
 	for _, send := range others {
 		if send.Needs[0] == 1 {
@@ -85,8 +86,8 @@
 	}
 }
 
-// Guards against asking a shard where the question is set aside: the answer names it as missing.
-func TestAShardWhereAQuestionIsSetAsideIsNotAsked(t *testing.T) {
+// Guards against asking a shard for which the query is set aside: the answer names it as missing.
+func TestSetAsideShardIsNotAsked(t *testing.T) {
 	options := testOptions()
 	options.Precautions = Precautions{SetAside: map[int]bool{3: true}}
 	m := New(shardedPlan(), options)
@@ -95,14 +96,15 @@
 	var top []Send
 	for _, send := range first {
 		require.NotEqual(t, 3, send.Needs[0])
-		top = sendsOf(m.Step(1, answerReply(send)))
+		top = sendsOf(m.Step(1, partReply(send)))
 	}
-	answer := answerOf(t, m.Step(2, answerReply(top[0])))
+	answer := answerOf(t, m.Step(2, partReply(top[0])))
 	require.Equal(t, []Missing{{Ref: core.ShardRef{Service: "base", Shard: 2}, Reason: core.ReasonSetAside}}, answer.Coverage.Missing)
 }
 
-// Guards against two replicas ending at once: while the owner of a shard on trial is silent, no other node is asked.
-func TestAShardOnTrialHasNoFallback(t *testing.T) {
+// Guards against two replicas crashing at once: while the owner of a shard on trial is silent, no
+// other node is asked.
+func TestShardOnTrialHasNoFallback(t *testing.T) {
 	options := testOptions()
 	options.FallbackAfter = options.Deadline / 4
 	options.Precautions = Precautions{SuspectServices: map[int]bool{0: true}}
@@ -113,7 +115,8 @@
 	}
 }
 
-// singleShardPlan has the asked service top depend on four services of one shard each, each in its own bundle.
+// singleShardPlan returns a plan in which the queried service top depends on four services of one
+// shard each, each in its own bundle.
 func singleShardPlan() *Plan {
 	needs := []Need{{Ref: core.ShardRef{Service: "top"}, Bundle: 9, Service: 4}}
 	var services []ServicePlan
@@ -127,28 +130,29 @@
 	return NewPlan(append(services, ServicePlan{Name: "top", DependsOn: dependencies, Shards: []int{0}}), needs)
 }
 
-// Guards against each service having a trial of its own if the question ends the replicas of all services: the first sends
-// end one replica of each service, the next send ends one more, and no further send is made.
-func TestAQuestionThatEndsAllServicesEndsOneOfEachAndOneMore(t *testing.T) {
+// Guards against a separate trial for each service if the query crashes the replicas of all
+// services: the first sends crash one replica of each service, the next send crashes one more, and
+// no further send is made.
+func TestQueryCrashingAllServicesStopsAfterOneTrial(t *testing.T) {
 	m := New(singleShardPlan(), testOptions())
 	for _, send := range sendsOf(m.Step(0, Started{})) {
-		require.Empty(t, sendsOf(m.Step(1, brokenReply(send))))
+		require.Empty(t, sendsOf(m.Step(1, closedReply(send))))
 	}
 	further := sendsOf(m.Step(testOptions().RetryPause+1, Woken{}))
 	require.Len(t, further, 1)
 	require.Equal(t, []Trial{QueryTrial}, further[0].Trials)
-	answer := answerOf(t, m.Step(testOptions().RetryPause+2, brokenReply(further[0])))
+	answer := answerOf(t, m.Step(testOptions().RetryPause+2, closedReply(further[0])))
 	require.Zero(t, answer.Coverage.Answered)
 }
 
-// Guards against several services being asked at the same time if replicas of several have ended under the question
-// before: one replica is asked first, and the others once it has answered.
-func TestASuspectQuestionIsAskedOfOneReplicaFirst(t *testing.T) {
+// Guards against several services being asked at the same time if the query has crashed replicas of
+// several services before: one replica is asked first, and the others once it has answered.
+func TestSuspectQueryIsAskedOfOneReplicaFirst(t *testing.T) {
 	options := testOptions()
 	options.Precautions = Precautions{Suspect: true, SuspectServices: map[int]bool{0: true, 1: true}}
 	m := New(singleShardPlan(), options)
 	first := sendsOf(m.Step(0, Started{}))
 	require.Len(t, first, 1)
 	require.Equal(t, []int{3}, first[0].Needs, "a service that is not suspect comes first")
-	require.Len(t, sendsOf(m.Step(1, answerReply(first[0]))), 3)
+	require.Len(t, sendsOf(m.Step(1, partReply(first[0]))), 3)
 }
--- a/internal/core/query/property_test.go
+++ b/internal/core/query/property_test.go
@@ -37,19 +37,19 @@
 	return NewPlan(services, needs)
 }
 
-// countedBudget lets extra tries through by a real bucket and counts them.
-type countedBudget struct {
+// countingBudget grants extra attempts from a real budget and counts them.
+type countingBudget struct {
 	bucket *budget.Budget
 	first  int
 	extra  int
 }
 
-func (b *countedBudget) FirstTry(_ string, n int) {
+func (b *countingBudget) FirstTry(_ string, n int) {
 	b.first += n
 	b.bucket.FirstTry(n)
 }
 
-func (b *countedBudget) TryExtra(string) bool {
+func (b *countingBudget) TryExtra(string) bool {
 	granted := b.bucket.TryExtra()
 	if granted {
 		b.extra++
@@ -89,52 +89,51 @@
 	}
 }
 
-// kinds weighs what may happen next; honest replies are most of it, so that
-// questions get far enough to be broken.
-var kinds = []string{
-	"part", "part", "part", "part", "part", "part", "part", "part", "gone back", "gone back",
+// eventKinds lists each kind of event as often as its weight. Most events are valid replies, so
+// that queries get far enough for the other events to matter.
+var eventKinds = []string{
+	"part", "part", "part", "part", "part", "part", "part", "part", "one version", "one version",
 	"failed", "crossed", "late", "index", "wake", "time", "send failed", "unknown", "text", "cancel",
 }
 
-// disturb does one thing that may happen at any moment: an honest reply, a
-// crossed, late, repeated, cut or unknown one, a failure, an alarm, another
-// index version at a shard, or a newer text.
-func (w *world) disturb(t *rapid.T) {
-	kind := rapid.SampledFrom(kinds).Draw(t, "kind")
+// randomEvent applies one random event: a valid, crossed, late, repeated, cut or unknown reply, a
+// failure, an alarm, another index version at a shard, or a newer configuration.
+func (h *harness) randomEvent(t *rapid.T) {
+	kind := rapid.SampledFrom(eventKinds).Draw(t, "kind")
 	last := rapid.IntRange(0, 9).Draw(t, "last") == 9
 	switch kind {
 	case "part", "failed", "crossed", "late", "send failed":
-		w.reply(t, kind, last)
+		h.reply(t, kind, last)
 	case "unknown":
-		w.step(PartArrived{Send: SendID(rapid.IntRange(0, 9).Draw(t, "send")), Need: rapid.SampledFrom([]int{-1, 99}).Draw(t, "need"), Version: 7})
+		h.step(PartArrived{Send: SendID(rapid.IntRange(0, 9).Draw(t, "send")), Need: rapid.SampledFrom([]int{-1, 99}).Draw(t, "need"), Version: 7})
 	case "wake":
-		w.now = w.wake
-		w.step(Woken{})
+		h.now = h.wake
+		h.step(Woken{})
 	case "time":
-		w.now = min(w.now+time.Millisecond, w.wake)
+		h.now = min(h.now+time.Millisecond, h.wake)
 	case "index":
-		ref := rapid.SampledFrom(w.plan.Needs).Draw(t, "shard").Ref
-		w.serves[ref] = rapid.SampledFrom([][]core.Version{{7}, {7, 8}, {8}, {8, 9}, {9}}).Draw(t, "serves")
-	case "gone back":
+		ref := rapid.SampledFrom(h.plan.Needs).Draw(t, "shard").Ref
+		h.serves[ref] = rapid.SampledFrom([][]core.Version{{7}, {7, 8}, {8}, {8, 9}, {9}}).Draw(t, "serves")
+	case "one version":
 		version := rapid.SampledFrom([]core.Version{7, 8}).Draw(t, "all serve")
-		for ref := range w.serves {
-			w.serves[ref] = []core.Version{version}
+		for ref := range h.serves {
+			h.serves[ref] = []core.Version{version}
 		}
 	case "text":
 		if rapid.IntRange(0, 3).Draw(t, "really") == 3 {
-			w.replan(drawPlan(t))
+			h.replan(drawPlan(t))
 		}
 	case "cancel":
 		if rapid.IntRange(0, 9).Draw(t, "really") == 9 {
-			w.step(Cancelled{})
+			h.step(Cancelled{})
 		}
 	}
 }
 
-func (w *world) reply(t *rapid.T, kind string, last bool) {
-	from := w.pending
+func (h *harness) reply(t *rapid.T, kind string, last bool) {
+	from := h.pending
 	if kind == "late" {
-		from = w.replied
+		from = h.replied
 	}
 	if len(from) == 0 {
 		return
@@ -142,67 +141,66 @@
 	i := rapid.IntRange(0, len(from)-1).Draw(t, "which")
 	a := from[i]
 	if kind != "late" {
-		a = w.take(i)
+		a = h.take(i)
 	}
 	switch kind {
 	case "part", "late":
-		w.step(w.part(a, last))
+		h.step(h.honestReply(a, last))
 	case "failed":
-		w.step(PartFailed{
+		h.step(PartFailed{
 			Send: a.send.ID, Need: a.need, Last: last,
 			Outcome: rapid.SampledFrom([]core.Outcome{core.NotRun, core.Unknown}).Draw(t, "outcome"),
 			Reason:  rapid.SampledFrom(testReasons).Draw(t, "reason"),
 			Broken:  rapid.Bool().Draw(t, "broken"),
 		})
 	case "send failed":
-		w.step(SendFailed{Send: a.send.ID, Reason: core.ReasonPeerLost})
+		h.step(SendFailed{Send: a.send.ID, Reason: core.ReasonPeerLost})
 	case "crossed":
-		w.step(w.partAt(a, rapid.SampledFrom([]core.Version{0, 6, 7, 8}).Draw(t, "version"), last))
+		h.step(h.replyAt(a, rapid.SampledFrom([]core.Version{0, 6, 7, 8}).Draw(t, "version"), last))
 	}
 }
 
-// replan offers the machine a newer text, which it may decline.
-func (w *world) replan(plan *Plan) {
-	if w.finished != nil {
+// replan offers the machine the plan of a newer configuration, which it may decline.
+func (h *harness) replan(plan *Plan) {
+	if h.finished != nil {
 		return
 	}
 	for _, need := range plan.Needs {
-		if w.serves[need.Ref] == nil {
-			w.serves[need.Ref] = []core.Version{7, 8}
+		if h.serves[need.Ref] == nil {
+			h.serves[need.Ref] = []core.Version{7, 8}
 		}
 	}
-	if w.m.replans < w.options.MaxReplans && !plan.Equal(w.plan) {
-		w.plan = plan
+	if h.m.replans < h.options.MaxReplans && !plan.Equal(h.plan) {
+		h.plan = plan
 	}
-	w.step(Replanned{Plan: plan})
-	if w.m.Plan() != w.plan {
-		w.t.Errorf("the plan was not taken over")
+	h.step(Replanned{Plan: plan})
+	if h.m.Plan() != h.plan {
+		h.t.Errorf("the machine did not adopt the new plan")
 	}
 }
 
-// A chef would set a special on prices of two indexes, or a supervisor read a
-// list that hides what it lacks. Replies come late, crossed, twice and cut, the
-// index moves, the text is changed and owners fall silent, all in any order;
-// whatever the order, the answer keeps what world.checkAnswer checks.
+// Guards against answers that mix index versions or hide missing parts. Replies arrive late,
+// crossed, repeated and cut, the index and the configuration change and owners stay silent, in any
+// order. Every answer must pass harness.checkAnswer.
 func TestNoOrderOfEventsBreaksAnAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &countedBudget{bucket: budget.New(budget.Config{Floor: 2})}
-		w := newWorld(t, drawPlan(t), drawOptions(t, b), 7, 8)
-		w.step(Started{})
+		b := &countingBudget{bucket: budget.New(budget.Config{Floor: 2})}
+		h := newHarness(t, drawPlan(t), drawOptions(t, b), 7, 8)
+		h.step(Started{})
 		for range rapid.IntRange(10, 80).Draw(t, "events") {
-			if w.finished == nil && w.now >= w.wake {
-				w.now = w.wake
-				w.step(Woken{})
+			if h.finished == nil && h.now >= h.wake {
+				h.now = h.wake
+				h.step(Woken{})
 			}
-			w.disturb(t)
+			h.randomEvent(t)
 		}
-		w.drain()
-		w.step(Woken{})
-		if w.finished.Fallbacks > b.extra {
-			t.Errorf("%d fallbacks, %d of them from the budget", w.finished.Fallbacks, b.extra)
+		h.runToEnd()
+		h.step(Woken{})
+		if h.finished.Fallbacks > b.extra {
+			t.Errorf("%d fallbacks, but only %d tokens granted", h.finished.Fallbacks, b.extra)
 		}
 		if b.extra*10 > b.first+2*10 {
-			t.Errorf("%d extra tries for %d first ones", b.extra, b.first)
+			t.Errorf("%d extra attempts for %d first attempts", b.extra, b.first)
 		}
 	})
 }
--- a/internal/core/query/retry.go
+++ b/internal/core/query/retry.go
@@ -6,58 +6,59 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// failedTry says how a try of a shard ended without a part.
-type failedTry struct {
+// failedAttempt describes how an attempt of a shard ended without a part.
+type failedAttempt struct {
 	outcome    core.Outcome
 	reason     core.Reason
 	retryAfter time.Duration
-	// broken is set when a replica closed the connection instead of answering.
-	broken bool
+	// closedConnection is set if a replica closed the connection instead of answering.
+	closedConnection bool
 }
 
-// failed records a failed try and plans the next one, or settles the shard.
-func (m *Machine) failed(index int, try failedTry) {
+// handleFailure records a failed attempt and schedules the next one, or settles the shard.
+func (m *Machine) handleFailure(index int, attempt failedAttempt) {
 	need := &m.needs[index]
-	need.failure = failure{try.reason, m.target}
-	if try.broken {
-		m.noteBroken(index)
+	need.failure = failure{attempt.reason, m.target}
+	if attempt.closedConnection {
+		m.recordClosedConnection(index)
 	}
-	// Other shards of the service may be waiting for this one to end.
-	m.dueChanged = m.dueChanged || m.shardsMayWait(m.plan.Needs[index].Service)
-	if try.reason == core.ReasonLayout || try.reason == core.ReasonNotOwner {
-		m.replan = m.replan || m.replans < m.options.MaxReplans
+	// Other shards of the service may be waiting for the end of this attempt.
+	m.dueChanged = m.dueChanged || m.mayHoldBackShards(m.plan.Needs[index].Service)
+	if attempt.reason == core.ReasonLayout || attempt.reason == core.ReasonNotOwner {
+		m.replanNeeded = m.replanNeeded || m.replans < m.options.MaxReplans
 	}
-	if need.open > 0 || need.settled || m.hasTarget(index) {
+	if need.openSends > 0 || need.settled || m.hasTarget(index) {
 		return
 	}
-	pause := max(try.retryAfter, m.options.RetryPause<<need.reroutes)
-	if m.now+pause >= m.options.Deadline || need.gaveUp || !m.takeRetry(index, try) {
-		m.settle(index, try.reason)
+	pause := max(attempt.retryAfter, m.options.RetryPause<<need.reroutes)
+	if m.now+pause >= m.options.Deadline || need.trialFailed || !m.takeRetry(index, attempt) {
+		m.settle(index, attempt.reason)
 		return
 	}
 	need.retryAt = m.now + pause
 	m.wakeBy(need.retryAt)
 }
 
-// maxGone is how often a shard may say that it lacks the version: another
-// replica of it may have it, while an index is being rolled out.
-const maxGone = 2
+// maxVersionGone is the number of replies that the version is gone after which a shard is not asked
+// again. A second attempt is made because another replica may serve the version while an index is being
+// rolled out.
+const maxVersionGone = 2
 
-// takeRetry counts a failed try against its bound and the budget and reports
-// whether the shard is asked again. A try that reached nobody put no load on an
-// upstream and is repeated freely, up to its bound. Anything that may have run,
-// and a refusal for load, is repeated only from the budget: otherwise a sick
-// fleet would be asked several times over.
-func (m *Machine) takeRetry(index int, try failedTry) bool {
+// takeRetry counts a failed attempt against its limit and the budget, and reports whether the shard
+// is asked again. An attempt that reached no owner put no load on an upstream and is repeated
+// without a token, up to its limit. An attempt that may have run, or was refused because of
+// overload, is repeated only from the budget: otherwise a failing fleet would receive several times
+// its load.
+func (m *Machine) takeRetry(index int, attempt failedAttempt) bool {
 	need := &m.needs[index]
-	reason, notRun := try.reason, try.outcome == core.NotRun
+	reason, notRun := attempt.reason, attempt.outcome == core.NotRun
 	switch {
 	case reason == core.ReasonDeadline:
 		return false
 	case reason == core.ReasonVersionGone && notRun:
-		need.gone++
-		return need.gone < maxGone
-	case notRun && unrouted(reason):
+		need.versionGone++
+		return need.versionGone < maxVersionGone
+	case notRun && notRouted(reason):
 		need.reroutes++
 		need.rank = nextRank(need.rank, reason, need.reroutes)
 		return need.reroutes <= m.options.MaxReroutes
@@ -69,17 +70,17 @@
 	if need.failures >= m.options.MaxTries {
 		return false
 	}
-	return notRun && reason != core.ReasonOverloaded || m.extra(index)
+	return notRun && reason != core.ReasonOverloaded || m.takeExtra(index)
 }
 
-// unrouted reports whether the reason says that no owner took the request.
-func unrouted(reason core.Reason) bool {
+// notRouted reports whether the reason means that no owner accepted the request.
+func notRouted(reason core.Reason) bool {
 	return reason == core.ReasonNotOwner || reason == core.ReasonPeerUnreached || reason == core.ReasonLayout
 }
 
-// nextRank is the place to ask next. "Not owner" asks the same place again, by
-// the newest view; only from the second time on the next node is asked, in case
-// this node's own view lags.
+// nextRank returns the position in the owner order to ask next. After "not owner" the same position
+// is asked again, by the newest view. From the second time on the next node is asked, in case this
+// node's own view lags.
 func nextRank(rank int, reason core.Reason, reroutes int) int {
 	if reason == core.ReasonPeerUnreached || reason == core.ReasonNotOwner && reroutes > 1 {
 		return rank + 1
@@ -87,11 +88,11 @@
 	return rank
 }
 
-func (m *Machine) extra(index int) bool {
+func (m *Machine) takeExtra(index int) bool {
 	budget := m.options.Budget
-	return budget == nil || budget.TryExtra(m.service(index).Name)
+	return budget == nil || budget.TryExtra(m.serviceOf(index).Name)
 }
 
-func (m *Machine) service(index int) *ServicePlan {
+func (m *Machine) serviceOf(index int) *ServicePlan {
 	return &m.plan.Services[m.plan.Needs[index].Service]
 }
--- a/internal/core/query/search_test.go
+++ b/internal/core/query/search_test.go
@@ -12,17 +12,16 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// searchDepth is the number of events, after the start, up to which every
-// interleaving is tried. CI takes 5; 9 takes minutes.
+// searchDepth is the number of events after the start up to which every interleaving is tried. CI
+// uses 5; 9 takes minutes.
 var searchDepth = flag.Int("depth", 5, "events up to which every interleaving is tried")
 
-// rollout is how a shard's versions move, one place an event.
+// rollout is the sequence of a shard's versions; each event moves it by one position.
 var rollout = [][]core.Version{{7}, {7, 8}, {8}}
 
-// Two versions are in flux while a question runs: each shard goes from 7 over
-// both to 8 at its own moment, replies and failures come in every order, and a
-// caller must never see the two mixed. Every interleaving up to searchDepth
-// events is tried; equal states are followed once.
+// Guards against answers that mix two versions. While a query runs, each shard moves independently
+// from 7 through both to 8, and replies and failures arrive in every order. Every interleaving up
+// to searchDepth events is tried; equal states are explored once.
 func TestEveryShortInterleaving(t *testing.T) {
 	for _, preference := range []Preference{PreferWhole, PreferEarly} {
 		t.Run(fmt.Sprint("preference ", preference), func(t *testing.T) {
@@ -30,36 +29,36 @@
 				Deadline: testDeadline, Preference: preference, LeastCoverage: 0.5, RetryPause: testPause,
 				MaxTries: 2, MaxReroutes: 1, MaxSwitches: 2, FallbackAfter: 30 * time.Millisecond,
 			}
-			w := newWorld(t, twoServicePlan(), options, rollout[0]...)
-			w.step(Started{})
-			states, answers := search(w)
-			t.Logf("depth %d: %d states, %d of them answers", *searchDepth, states, answers)
+			h := newHarness(t, twoServicePlan(), options, rollout[0]...)
+			h.step(Started{})
+			states, answers := exploreStates(h)
+			t.Logf("depth %d: %d states, %d of them finished", *searchDepth, states, answers)
 			require.Greater(t, states, 1000)
 			require.NotZero(t, answers)
 		})
 	}
 }
 
-// search follows every event from each new state, breadth first.
-func search(start *world) (states, answers int) {
+// exploreStates applies every event to each new state, breadth first.
+func exploreStates(start *harness) (states, answers int) {
 	seen := map[string]bool{start.fingerprint(): true}
-	level := []*world{start}
+	level := []*harness{start}
 	for range *searchDepth {
-		var next []*world
-		for _, from := range level {
-			for choice := range from.choices() {
-				to := from.clone()
-				to.choose(choice)
+		var nextLevel []*harness
+		for _, current := range level {
+			for choice := range current.countChoices() {
+				to := current.clone()
+				to.applyChoice(choice)
 				if key := to.fingerprint(); !seen[key] {
 					seen[key] = true
-					next = append(next, to)
+					nextLevel = append(nextLevel, to)
 				}
 			}
 		}
-		level = next
+		level = nextLevel
 	}
-	for _, left := range level {
-		left.drain()
+	for _, unfinished := range level {
+		unfinished.runToEnd()
 	}
 	for key := range seen {
 		if key[0] == 'f' {
@@ -69,36 +68,36 @@
 	return len(seen), answers
 }
 
-// choices counts the events that may come next: for each shard on its way an
-// honest reply or the loss of the peer, for each shard a new version, the alarm.
-func (w *world) choices() int {
-	if w.finished != nil {
+// countChoices counts the possible next events: for each pending shard a valid reply or the loss of
+// the peer, for each shard a new version, and the alarm.
+func (h *harness) countChoices() int {
+	if h.finished != nil {
 		return 0
 	}
-	return 2*len(w.pending) + len(w.plan.Needs) + 1
+	return 2*len(h.pending) + len(h.plan.Needs) + 1
 }
 
-func (w *world) choose(choice int) {
-	replies := 2 * len(w.pending)
+func (h *harness) applyChoice(choice int) {
+	replies := 2 * len(h.pending)
 	switch {
 	case choice < replies && choice%2 == 0:
-		w.step(w.part(w.take(choice/2), false))
+		h.step(h.honestReply(h.take(choice/2), false))
 	case choice < replies:
-		a := w.take(choice / 2)
-		w.step(PartFailed{Send: a.send.ID, Need: a.need, Reason: core.ReasonPeerLost})
-	case choice < replies+len(w.plan.Needs):
-		ref := w.plan.Needs[choice-replies].Ref
-		at := slices.IndexFunc(rollout, func(v []core.Version) bool { return slices.Equal(v, w.serves[ref]) })
-		w.serves[ref] = rollout[min(at+1, len(rollout)-1)]
+		a := h.take(choice / 2)
+		h.step(PartFailed{Send: a.send.ID, Need: a.need, Reason: core.ReasonPeerLost})
+	case choice < replies+len(h.plan.Needs):
+		ref := h.plan.Needs[choice-replies].Ref
+		at := slices.IndexFunc(rollout, func(v []core.Version) bool { return slices.Equal(v, h.serves[ref]) })
+		h.serves[ref] = rollout[min(at+1, len(rollout)-1)]
 	default:
-		w.now = w.wake
-		w.step(Woken{})
+		h.now = h.wake
+		h.step(Woken{})
 	}
 }
 
-func (w *world) clone() *world {
-	copied := *w
-	m := *w.m
+func (h *harness) clone() *harness {
+	copied := *h
+	m := *h.m
 	copied.m = &m
 	m.needs = slices.Clone(m.needs)
 	for i := range m.needs {
@@ -107,33 +106,33 @@
 	m.services = slices.Clone(m.services)
 	m.sends = slices.Clone(m.sends)
 	for i := range m.sends {
-		m.sends[i].left = slices.Clone(m.sends[i].left)
+		m.sends[i].remaining = slices.Clone(m.sends[i].remaining)
 	}
-	m.actions, m.due = nil, nil
-	copied.pending = slices.Clone(w.pending)
+	m.actions, m.dueNeeds = nil, nil
+	copied.pending = slices.Clone(h.pending)
 	copied.replied = nil
 	copied.serves = map[core.ShardRef][]core.Version{}
-	for ref, serves := range w.serves {
+	for ref, serves := range h.serves {
 		copied.serves[ref] = serves
 	}
 	copied.ended = map[SendID]bool{}
 	return &copied
 }
 
-// fingerprint tells states apart; a finished one starts with f.
-func (w *world) fingerprint() string {
-	if w.finished != nil {
-		return fmt.Sprintf("f %+v", *w.finished)
+// fingerprint returns a key that differs between states. That of a finished query starts with f.
+func (h *harness) fingerprint() string {
+	if h.finished != nil {
+		return fmt.Sprintf("f %+v", *h.finished)
 	}
-	m := *w.m
-	m.plan, m.actions, m.due = nil, nil, nil
+	m := *h.m
+	m.plan, m.actions, m.dueNeeds = nil, nil, nil
 	m.options = Options{}
-	return fmt.Sprintf("%v %+v %v %v", w.now, m, w.pendingKeys(), w.serves)
+	return fmt.Sprintf("%v %+v %v %v", h.now, m, h.pendingKeys(), h.serves)
 }
 
-func (w *world) pendingKeys() []string {
+func (h *harness) pendingKeys() []string {
 	var keys []string
-	for _, a := range w.pending {
+	for _, a := range h.pending {
 		keys = append(keys, fmt.Sprint(a.send.ID, a.need, a.inputs))
 	}
 	slices.Sort(keys)
--- a/internal/core/query/sends.go
+++ b/internal/core/query/sends.go
@@ -6,42 +6,42 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// sendState is a message to an owner.
+// sendState is the state of one request to an owner.
 type sendState struct {
 	bundle  core.BundleID
 	rank    int
 	version core.Version
-	// left lists the shards that have not answered.
-	left []int
-	// silentAt is when the owner counts as silent; 0 is never.
+	// remaining lists the shards that have not answered.
+	remaining []int
+	// silentAt is when the owner counts as silent; 0 means never.
 	silentAt core.Time
 }
 
-func (s *sendState) open() bool { return len(s.left) > 0 }
+func (s *sendState) open() bool { return len(s.remaining) > 0 }
 
-func (m *Machine) id(place int) SendID { return SendID(place + 1) }
+func (m *Machine) sendID(position int) SendID { return SendID(position + 1) }
 
-// find returns a send by id, or nil when the id was never used.
-func (m *Machine) find(id SendID) *sendState {
+// findSend returns a send by ID, or nil if the ID was never used.
+func (m *Machine) findSend(id SendID) *sendState {
 	if id == 0 || int(id) > len(m.sends) {
 		return nil
 	}
 	return &m.sends[id-1]
 }
 
-// reply takes one shard off its send. It returns nil for a reply that no open
-// send waits for: late, repeated, or for a shard that was not asked.
-func (m *Machine) reply(id SendID, index int) *sendState {
-	send := m.find(id)
+// takeOffSend removes one shard from its send. It returns nil for a reply that no open send waits
+// for: late, repeated, or for a shard that was not asked.
+func (m *Machine) takeOffSend(id SendID, index int) *sendState {
+	send := m.findSend(id)
 	if send == nil {
 		return nil
 	}
-	at := slices.Index(send.left, index)
+	at := slices.Index(send.remaining, index)
 	if at < 0 {
 		return nil
 	}
-	send.left = slices.Delete(send.left, at, at+1)
-	m.needs[index].open--
+	send.remaining = slices.Delete(send.remaining, at, at+1)
+	m.needs[index].openSends--
 	if send.silentAt > 0 {
 		send.silentAt = m.now + m.options.FallbackAfter
 		m.wakeBy(send.silentAt)
@@ -49,46 +49,46 @@
 	return send
 }
 
-func (m *Machine) partArrived(e PartArrived) {
-	m.merged(e)
+func (m *Machine) handlePart(e PartArrived) {
+	m.acceptPart(e)
 	if e.Last {
-		m.endSend(e.Send, failedTry{reason: core.ReasonCutReply})
+		m.endSend(e.Send, failedAttempt{reason: core.ReasonCutReply})
 	}
 }
 
-// merged keeps a part, or drops and counts it.
-func (m *Machine) merged(e PartArrived) {
-	send := m.reply(e.Send, e.Need)
+// acceptPart stores a part, or drops and counts it.
+func (m *Machine) acceptPart(e PartArrived) {
+	send := m.takeOffSend(e.Send, e.Need)
 	if send == nil {
 		m.dropped++
 		return
 	}
-	// A part of a version that was not asked for is a crossed reply: merging
-	// it would mix snapshots.
+	// A part of a version other than the requested one is a crossed reply. Merging it would mix
+	// versions.
 	if e.Version == 0 || send.version != 0 && send.version != e.Version {
 		m.dropped++
-		m.failed(e.Need, failedTry{reason: core.ReasonCrossedReply})
+		m.handleFailure(e.Need, failedAttempt{reason: core.ReasonCrossedReply})
 		return
 	}
 	need := &m.needs[e.Need]
-	m.learn(need, e.Serves)
-	// Whatever the send brought, the shard may still have none at the target.
+	m.updateServes(need, e.Serves)
+	// Whatever version the part has, the shard may still lack a part at the target.
 	m.dueChanged = m.dueChanged || e.Version != m.target
-	if _, ok := need.part(e.Version); ok || m.closed(m.plan.Needs[e.Need].Service, e.Version) {
+	if _, ok := need.partAt(e.Version); ok || m.dependentAsked(m.plan.Needs[e.Need].Service, e.Version) {
 		m.dropped++
 		return
 	}
-	m.keep(e)
+	m.storePart(e)
 }
 
-// keep stores the first part of a shard at a version.
-func (m *Machine) keep(e PartArrived) {
+// storePart stores the first part of a shard at a version.
+func (m *Machine) storePart(e PartArrived) {
 	need := &m.needs[e.Need]
 	// Other shards of the service may be waiting for its first answer.
-	m.dueChanged = m.dueChanged || m.shardsMayWait(m.plan.Needs[e.Need].Service)
+	m.dueChanged = m.dueChanged || m.mayHoldBackShards(m.plan.Needs[e.Need].Service)
 	need.parts = append(need.parts, versionPart{version: e.Version, payload: e.Payload})
-	if m.first == 0 {
-		m.first = e.Version
+	if m.firstVersion == 0 {
+		m.firstVersion = e.Version
 	}
 	switch {
 	case e.Version != m.target:
@@ -100,41 +100,41 @@
 	}
 }
 
-func (m *Machine) partFailed(e PartFailed) {
-	if m.reply(e.Send, e.Need) == nil {
+func (m *Machine) handlePartFailure(e PartFailed) {
+	if m.takeOffSend(e.Send, e.Need) == nil {
 		m.dropped++
 	} else {
-		m.learn(&m.needs[e.Need], e.Serves)
-		m.failed(e.Need, failedTry{e.Outcome, e.Reason, e.RetryAfter, e.Broken})
+		m.updateServes(&m.needs[e.Need], e.Serves)
+		m.handleFailure(e.Need, failedAttempt{e.Outcome, e.Reason, e.RetryAfter, e.Broken})
 	}
 	if e.Last {
-		m.endSend(e.Send, failedTry{reason: core.ReasonCutReply})
+		m.endSend(e.Send, failedAttempt{reason: core.ReasonCutReply})
 	}
 }
 
-// endSend fails the shards that a send leaves unanswered.
-func (m *Machine) endSend(id SendID, try failedTry) {
-	send := m.find(id)
+// endSend fails the unanswered shards of a send.
+func (m *Machine) endSend(id SendID, attempt failedAttempt) {
+	send := m.findSend(id)
 	if send == nil {
 		return
 	}
-	left := send.left
-	send.left = nil
-	for _, index := range left {
-		m.needs[index].open--
-		m.failed(index, try)
+	unanswered := send.remaining
+	send.remaining = nil
+	for _, index := range unanswered {
+		m.needs[index].openSends--
+		m.handleFailure(index, attempt)
 	}
 }
 
-// withdraw cancels what is left of a send.
-func (m *Machine) withdraw(place int) {
-	send := &m.sends[place]
+// withdrawSend cancels the unanswered rest of a send.
+func (m *Machine) withdrawSend(position int) {
+	send := &m.sends[position]
 	if !send.open() {
 		return
 	}
-	for _, index := range send.left {
-		m.needs[index].open--
+	for _, index := range send.remaining {
+		m.needs[index].openSends--
 	}
-	send.left = nil
-	m.actions = append(m.actions, CancelSend{ID: m.id(place)})
+	send.remaining = nil
+	m.actions = append(m.actions, CancelSend{ID: m.sendID(position)})
 }
--- a/internal/core/query/world_test.go
+++ b/internal/core/query/world_test.go
@@ -11,142 +11,142 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// testDeadline and the other times are small, so that events fall on alarms.
+// testDeadline and the other times are small, so that events coincide with alarms.
 const (
 	testDeadline = 100 * time.Millisecond
 	testPause    = 5 * time.Millisecond
 )
 
-// fatal is what both testing.T and rapid.T offer.
-type fatal interface {
+// testingT is the part of testing.T and rapid.T that the harness uses.
+type testingT interface {
 	Errorf(format string, args ...any)
 	FailNow()
 }
 
-// madePart is a part as an upstream computed it. It is the payload, so that an
-// answer shows what each part was computed from.
-type madePart struct {
-	// ID is its content: what it was computed from, all the way down.
+// fakePart is a part computed by a simulated upstream. It is the payload, so that an answer shows
+// what each part was computed from.
+type fakePart struct {
+	// ID represents the content: everything that the part was computed from, directly or
+	// transitively.
 	ID      string
 	Ref     core.ShardRef
 	Version core.Version
-	// Shards is the layout of the service that it was computed in.
+	// Shards is the layout of the service when the part was computed.
 	Shards int
-	// Inputs are the ids of the dependencies' parts given, by shard.
+	// Inputs holds the IDs of the dependencies' parts that were passed in, by shard.
 	Inputs map[string]string
 }
 
-// asked is one shard of a message on its way.
-type asked struct {
+// pendingShard is one shard of a send.
+type pendingShard struct {
 	send   Send
 	need   int
 	plan   *Plan
 	inputs map[string]string
 }
 
-// world stands for everything outside one question and checks each of the
-// machine's steps.
-type world struct {
-	t       fatal
+// harness simulates everything outside one query and checks each step of the machine.
+type harness struct {
+	t       testingT
 	m       *Machine
 	plan    *Plan
 	options Options
 	now     core.Time
 	wake    core.Time
 	serves  map[core.ShardRef][]core.Version
-	// pending are shards that have not replied, replied those that have.
-	pending []asked
-	replied []asked
-	// ended are the sends that will bring no more replies.
-	ended    map[SendID]bool
-	sent     int
-	finished *Answer
+	// pending holds the shards that have not replied, replied those that have.
+	pending []pendingShard
+	replied []pendingShard
+	// ended holds the sends that bring no further replies.
+	ended     map[SendID]bool
+	sendCount int
+	finished  *Answer
 }
 
-func newWorld(t fatal, plan *Plan, options Options, serves ...core.Version) *world {
-	w := &world{t: t, plan: plan, options: options.withDefaults(), m: New(plan, options), serves: map[core.ShardRef][]core.Version{}, ended: map[SendID]bool{}}
+func newHarness(t testingT, plan *Plan, options Options, serves ...core.Version) *harness {
+	h := &harness{t: t, plan: plan, options: options.withDefaults(), m: New(plan, options), serves: map[core.ShardRef][]core.Version{}, ended: map[SendID]bool{}}
 	for _, need := range plan.Needs {
-		w.serves[need.Ref] = serves
+		h.serves[need.Ref] = serves
 	}
-	return w
+	return h
 }
 
-// step gives the machine an event and checks what it does.
-func (w *world) step(event Event) {
-	over := w.finished != nil
+// step passes an event to the machine and checks the resulting state and actions.
+func (h *harness) step(event Event) {
+	finishedBefore := h.finished != nil
 	switch e := event.(type) {
 	case PartArrived:
-		w.ended[e.Send] = w.ended[e.Send] || e.Last
+		h.ended[e.Send] = h.ended[e.Send] || e.Last
 	case PartFailed:
-		w.ended[e.Send] = w.ended[e.Send] || e.Last
+		h.ended[e.Send] = h.ended[e.Send] || e.Last
 	case SendFailed:
-		w.ended[e.Send] = true
+		h.ended[e.Send] = true
 	}
-	switches := w.m.switches
-	actions := w.m.Step(w.now, event)
-	if w.m.switches > switches {
-		require.LessOrEqual(w.t, w.m.switches, w.options.MaxSwitches, "too many switches")
-		require.Greater(w.t, w.options.Deadline-w.now, w.options.SwitchReserve, "a switch in the reserve")
+	switches := h.m.switches
+	actions := h.m.Step(h.now, event)
+	if h.m.switches > switches {
+		require.LessOrEqual(h.t, h.m.switches, h.options.MaxSwitches, "too many switches")
+		require.Greater(h.t, h.options.Deadline-h.now, h.options.SwitchReserve, "a switch within the reserve before the deadline")
 	}
-	if over {
-		require.Empty(w.t, actions, "nothing follows the Finish")
+	if finishedBefore {
+		require.Empty(h.t, actions, "actions after Finish")
 		return
 	}
 	for _, action := range actions {
-		require.Nil(w.t, w.finished, "an action after the Finish")
-		w.act(action)
+		require.Nil(h.t, h.finished, "an action after Finish")
+		h.act(action)
 	}
-	if w.finished == nil {
-		require.Less(w.t, w.now, w.options.Deadline, "the question outlives its deadline")
-		require.Greater(w.t, w.wake, w.now, "the alarm is not in the future")
-		require.LessOrEqual(w.t, w.wake, w.options.Deadline, "the alarm comes after the deadline")
-		w.checkCounts()
-		w.checkProgress()
+	if h.finished == nil {
+		require.Less(h.t, h.now, h.options.Deadline, "the query runs past its deadline")
+		require.Greater(h.t, h.wake, h.now, "the alarm is not in the future")
+		require.LessOrEqual(h.t, h.wake, h.options.Deadline, "the alarm is after the deadline")
+		h.checkCounts()
+		h.checkNoStall()
 	}
 }
 
-func (w *world) act(action Action) {
+func (h *harness) act(action Action) {
 	switch a := action.(type) {
 	case Send:
-		w.sent++
-		require.EqualValues(w.t, w.sent, a.ID)
-		require.Equal(w.t, w.options.Deadline-w.now, a.TimeLeft)
-		require.Positive(w.t, a.TimeLeft)
-		require.NotEmpty(w.t, a.Needs)
+		h.sendCount++
+		require.EqualValues(h.t, h.sendCount, a.ID)
+		require.Equal(h.t, h.options.Deadline-h.now, a.TimeLeft)
+		require.Positive(h.t, a.TimeLeft)
+		require.NotEmpty(h.t, a.Needs)
 		for _, need := range a.Needs {
-			require.Equal(w.t, a.Bundle, w.plan.Needs[need].Bundle)
-			w.pending = append(w.pending, asked{send: a, need: need, plan: w.plan, inputs: w.inputs(need, a.Version)})
+			require.Equal(h.t, a.Bundle, h.plan.Needs[need].Bundle)
+			h.pending = append(h.pending, pendingShard{send: a, need: need, plan: h.plan, inputs: h.inputs(need, a.Version)})
 		}
 	case WakeAt:
-		w.wake = a.At
+		h.wake = a.At
 	case Finish:
-		w.finished = &a.Answer
-		w.checkAnswer(a.Answer)
+		h.finished = &a.Answer
+		h.checkAnswer(a.Answer)
 	}
 }
 
-// inputs are what the entry would give the shard of its dependencies' parts.
-func (w *world) inputs(need int, version core.Version) map[string]string {
+// inputs returns the dependencies' parts that the entry would pass to the shard.
+func (h *harness) inputs(need int, version core.Version) map[string]string {
 	inputs := map[string]string{}
-	for _, dependency := range w.plan.Services[w.plan.Needs[need].Service].DependsOn {
-		for _, part := range w.m.Parts(dependency, version) {
-			inputs[part.Ref.String()] = made(w.t, part.Payload).ID
+	for _, dependency := range h.plan.Services[h.plan.Needs[need].Service].DependsOn {
+		for _, part := range h.m.Parts(dependency, version) {
+			inputs[part.Ref.String()] = decodePart(h.t, part.Payload).ID
 		}
 	}
 	return inputs
 }
 
-func made(t fatal, payload []byte) madePart {
-	var part madePart
+func decodePart(t testingT, payload []byte) fakePart {
+	var part fakePart
 	require.NoError(t, json.Unmarshal(payload, &part))
 	return part
 }
 
-// part is the shard's honest reply: the version asked for or the newest, or
-// "version gone" when it has it no longer.
-func (w *world) part(a asked, last bool) Event {
+// honestReply returns a part of the requested version, or of the newest one if none was requested,
+// or "version gone" if the shard does not serve it.
+func (h *harness) honestReply(a pendingShard, last bool) Event {
 	ref := a.plan.Needs[a.need].Ref
-	serves := w.serves[ref]
+	serves := h.serves[ref]
 	version := a.send.Version
 	if version == 0 {
 		version = serves[len(serves)-1]
@@ -154,103 +154,103 @@
 	if !slices.Contains(serves, version) {
 		return PartFailed{Send: a.send.ID, Need: a.need, Outcome: core.NotRun, Reason: core.ReasonVersionGone, Serves: serves, Last: last}
 	}
-	return w.partAt(a, version, last)
+	return h.replyAt(a, version, last)
 }
 
-func (w *world) partAt(a asked, version core.Version, last bool) Event {
-	written := a.plan.Needs[a.need]
-	shards := len(a.plan.Services[written.Service].Shards)
-	payload, err := json.Marshal(madePart{
-		ID: fmt.Sprint(written.Ref, version, shards, a.inputs), Ref: written.Ref, Version: version,
+func (h *harness) replyAt(a pendingShard, version core.Version, last bool) Event {
+	need := a.plan.Needs[a.need]
+	shards := len(a.plan.Services[need.Service].Shards)
+	payload, err := json.Marshal(fakePart{
+		ID: fmt.Sprint(need.Ref, version, shards, a.inputs), Ref: need.Ref, Version: version,
 		Shards: shards, Inputs: a.inputs,
 	})
-	require.NoError(w.t, err)
-	return PartArrived{Send: a.send.ID, Need: a.need, Version: version, Serves: w.serves[written.Ref], Payload: payload, Last: last}
+	require.NoError(h.t, err)
+	return PartArrived{Send: a.send.ID, Need: a.need, Version: version, Serves: h.serves[need.Ref], Payload: payload, Last: last}
 }
 
-// drain lets only alarms ring until the question ends.
-func (w *world) drain() {
+// runToEnd fires only alarms until the query ends.
+func (h *harness) runToEnd() {
 	for range 1000 {
-		if w.finished != nil {
+		if h.finished != nil {
 			return
 		}
-		w.now = w.wake
-		w.step(Woken{})
+		h.now = h.wake
+		h.step(Woken{})
 	}
-	require.Fail(w.t, "the question does not end")
+	require.Fail(h.t, "the query does not end")
 }
 
-// take removes a shard that has not replied.
-func (w *world) take(i int) asked {
-	a := w.pending[i]
-	w.pending = append(w.pending[:i:i], w.pending[i+1:]...)
-	w.replied = append(w.replied, a)
+// take removes a shard from the pending ones.
+func (h *harness) take(i int) pendingShard {
+	a := h.pending[i]
+	h.pending = append(h.pending[:i:i], h.pending[i+1:]...)
+	h.replied = append(h.replied, a)
 	return a
 }
 
-// checkProgress finds a shard that is waited for although nothing can come.
-func (w *world) checkProgress() {
-	for id, ended := range w.ended {
-		if ended && int(id) <= len(w.m.sends) {
-			require.Empty(w.t, w.m.sends[id-1].left, "send %d has ended and is waited for", id)
+// checkNoStall fails if a shard is waited for although no event can bring its part.
+func (h *harness) checkNoStall() {
+	for id, ended := range h.ended {
+		if ended && int(id) <= len(h.m.sends) {
+			require.Empty(h.t, h.m.sends[id-1].remaining, "send %d has ended but still has pending shards", id)
 		}
 	}
-	for _, send := range w.m.sends {
-		require.True(w.t, !send.open() || send.silentAt == 0 || w.wake <= send.silentAt, "no alarm for a silent owner")
-		require.True(w.t, !send.open() || send.version == 0 || send.version == w.m.target, "a send of a former version is open")
+	for _, send := range h.m.sends {
+		require.True(h.t, !send.open() || send.silentAt == 0 || h.wake <= send.silentAt, "no alarm for a silent owner")
+		require.True(h.t, !send.open() || send.version == 0 || send.version == h.m.target, "a send for a former version is still open")
 	}
-	for index := range w.m.needs {
-		need := &w.m.needs[index]
-		// Of a service that is asked one shard at a time the others wait for the one in work.
-		service := w.plan.Needs[index].Service
-		held := w.m.oneAtATime(service) && w.hasPendingShard(service) || w.m.oneAtATime(allServices) && w.hasPendingShard(allServices)
-		if need.open == 0 && !need.settled && need.retryAt > 0 && (need.retryAt > w.now || !held) {
-			require.LessOrEqual(w.t, w.wake, need.retryAt, "no alarm for the retry")
+	for index := range h.m.needs {
+		need := &h.m.needs[index]
+		// If a service is asked one shard at a time, the other shards wait for the one in flight.
+		service := h.plan.Needs[index].Service
+		held := h.m.oneAtATime(service) && h.hasPendingShard(service) || h.m.oneAtATime(allServices) && h.hasPendingShard(allServices)
+		if need.openSends == 0 && !need.settled && need.retryAt > 0 && (need.retryAt > h.now || !held) {
+			require.LessOrEqual(h.t, h.wake, need.retryAt, "no alarm for the retry")
 		}
-		if need.open > 0 || need.settled || need.retryAt > 0 || w.m.hasTarget(index) {
+		if need.openSends > 0 || need.settled || need.retryAt > 0 || h.m.hasTarget(index) {
 			continue
 		}
 		if held {
 			continue
 		}
-		require.False(w.t, w.m.ready(service), "shard %d is not asked", index)
+		require.False(h.t, h.m.ready(service), "shard %d is ready but not asked", index)
 	}
 }
 
 // hasPendingShard reports whether a shard of the service is being asked or has a retry scheduled.
-func (w *world) hasPendingShard(service int) bool {
-	return w.m.anyShard(service, func(need *needState) bool { return need.open > 0 || !need.settled && need.retryAt > w.now })
+func (h *harness) hasPendingShard(service int) bool {
+	return h.m.anyNeed(service, func(need *needState) bool { return need.openSends > 0 || !need.settled && need.retryAt > h.now })
 }
 
-func (w *world) checkCounts() {
-	answered, settled, services := w.m.answered, w.m.settled, append([]serviceState(nil), w.m.services...)
-	due := w.m.dueChanged
-	w.m.recount()
-	w.m.dueChanged = due
-	require.Equal(w.t, w.m.answered, answered)
-	require.Equal(w.t, w.m.settled, settled)
-	require.Equal(w.t, w.m.services, services)
+func (h *harness) checkCounts() {
+	answered, settled, services := h.m.answered, h.m.settled, append([]serviceState(nil), h.m.services...)
+	due := h.m.dueChanged
+	h.m.recount()
+	h.m.dueChanged = due
+	require.Equal(h.t, h.m.answered, answered)
+	require.Equal(h.t, h.m.settled, settled)
+	require.Equal(h.t, h.m.services, services)
 }
 
-// checkAnswer is the promise to the caller: one version, one layout, dependents
-// computed from the very parts that stand beside them, and true coverage.
-func (w *world) checkAnswer(answer Answer) {
-	merged := map[string]madePart{}
+// checkAnswer checks the guarantees to the caller: one version, one layout, dependents computed
+// from exactly the parts in the answer, and correct coverage.
+func (h *harness) checkAnswer(answer Answer) {
+	merged := map[string]fakePart{}
 	for _, part := range answer.Parts {
-		one := made(w.t, part.Payload)
-		require.Equal(w.t, part.Ref, one.Ref)
-		require.Equal(w.t, answer.Version, one.Version, "a part of another version")
-		require.NotContains(w.t, merged, part.Ref.String(), "a shard stands twice")
-		merged[part.Ref.String()] = one
+		decoded := decodePart(h.t, part.Payload)
+		require.Equal(h.t, part.Ref, decoded.Ref)
+		require.Equal(h.t, answer.Version, decoded.Version, "a part of another version")
+		require.NotContains(h.t, merged, part.Ref.String(), "a shard occurs twice")
+		merged[part.Ref.String()] = decoded
 	}
 	incomplete, incompleteServices := 0, map[string]bool{}
-	for _, service := range w.plan.Services {
+	for _, service := range h.plan.Services {
 		inputs := map[string]string{}
 		for _, dependency := range service.DependsOn {
-			name := w.plan.Services[dependency].Name
+			name := h.plan.Services[dependency].Name
 			incompleteServices[service.Name] = incompleteServices[service.Name] || incompleteServices[name]
-			for _, need := range w.plan.Services[dependency].Shards {
-				part, ok := merged[w.plan.Needs[need].Ref.String()]
+			for _, need := range h.plan.Services[dependency].Shards {
+				part, ok := merged[h.plan.Needs[need].Ref.String()]
 				if !ok {
 					incompleteServices[service.Name] = true
 					continue
@@ -259,32 +259,32 @@
 			}
 		}
 		for _, need := range service.Shards {
-			part, ok := merged[w.plan.Needs[need].Ref.String()]
+			part, ok := merged[h.plan.Needs[need].Ref.String()]
 			if !ok {
 				continue
 			}
-			require.Equal(w.t, len(service.Shards), part.Shards, "a part of another layout")
-			require.Equal(w.t, inputs, part.Inputs, "%s was computed from other parts than those beside it", part.Ref)
+			require.Equal(h.t, len(service.Shards), part.Shards, "a part of another layout")
+			require.Equal(h.t, inputs, part.Inputs, "%s was computed from parts other than those in the answer", part.Ref)
 			if incompleteServices[service.Name] {
 				incomplete++
 			}
 		}
 	}
-	w.checkCoverage(answer, merged, incomplete)
+	h.checkCoverage(answer, merged, incomplete)
 }
 
-func (w *world) checkCoverage(answer Answer, merged map[string]madePart, incomplete int) {
+func (h *harness) checkCoverage(answer Answer, merged map[string]fakePart, incomplete int) {
 	coverage := answer.Coverage
-	require.Equal(w.t, len(w.plan.Needs), coverage.Asked)
-	require.Equal(w.t, len(merged), coverage.Answered)
-	require.Equal(w.t, coverage.Asked-coverage.Answered, len(coverage.Missing))
-	require.Equal(w.t, incomplete, coverage.Incomplete)
-	require.Equal(w.t, coverage.Answered < w.options.leastOf(coverage.Asked), answer.BelowLeast)
+	require.Equal(h.t, len(h.plan.Needs), coverage.Asked)
+	require.Equal(h.t, len(merged), coverage.Answered)
+	require.Equal(h.t, coverage.Asked-coverage.Answered, len(coverage.Missing))
+	require.Equal(h.t, incomplete, coverage.Incomplete)
+	require.Equal(h.t, coverage.Answered < h.options.minParts(coverage.Asked), answer.BelowLeast)
 	for _, missing := range coverage.Missing {
-		require.NotContains(w.t, merged, missing.Ref.String())
-		require.NotEmpty(w.t, missing.Reason)
+		require.NotContains(h.t, merged, missing.Ref.String())
+		require.NotEmpty(h.t, missing.Reason)
 		if missing.Reason == core.ReasonDeadline {
-			require.Equal(w.t, core.ReasonDeadline, answer.Reason, "a shard is said to be late before the deadline")
+			require.Equal(h.t, core.ReasonDeadline, answer.Reason, "a shard is reported as past the deadline before the deadline")
 		}
 	}
 }
