--- a/internal/core/topk/topk.go
+++ b/internal/core/topk/topk.go
@@ -1,4 +1,4 @@
-// Package topk keeps the greatest fixed-size records of the parts of an answer.
+// Package topk selects the greatest fixed-size records of the parts of an answer.
 package topk
 
 import (
@@ -7,23 +7,21 @@
 	"slices"
 )
 
-// RecordBytes is the size of one record. What is left over at a part's end and
-// is shorter is not a record.
+// RecordBytes is the size of one record. A shorter rest at the end of a part is ignored.
 const RecordBytes = 16
 
-// Merger keeps the greatest records seen so far in a heap of its limit, least
-// first: n records cost n comparisons with the least one kept and few moves,
-// where sorting all of them would cost n log n. Equal records all count. It
-// keeps references to the parts it was given.
+// Merger keeps the greatest records seen so far in a min-heap of limited size. Adding n records
+// takes n comparisons with the smallest record kept and few moves, where sorting all of them would
+// take n log n. Equal records are all kept. A Merger keeps references to the parts it is given.
 type Merger struct {
 	limit int
 	kept  records
 }
 
-// New makes a merger for at most limit records.
+// New returns a Merger for at most limit records.
 func New(limit int) *Merger { return &Merger{limit: limit} }
 
-// Add takes the records of one part, in any order.
+// Add adds the records of one part, in any order.
 func (m *Merger) Add(part []byte) {
 	for len(part) >= RecordBytes {
 		m.add(part[:RecordBytes:RecordBytes])
--- a/internal/core/topk/topk_test.go
+++ b/internal/core/topk/topk_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// sortAll is the plain way that the heap must agree with.
+// sortAll is the reference implementation that the heap must agree with.
 func sortAll(parts [][]byte, limit int) []byte {
 	var all [][]byte
 	for _, part := range parts {
@@ -40,7 +40,7 @@
 	return drawParts(rand.New(rand.NewPCG(1, 2)), parts, bytes)
 }
 
-// randomPartsOf are parts of 62 records.
+// randomPartsOf returns parts of 62 records.
 func randomPartsOf(seed uint64, count int) [][]byte {
 	const bytes = 1000
 	return drawParts(rand.New(rand.NewPCG(seed, 2)), count, bytes)
@@ -57,8 +57,8 @@
 	return parts
 }
 
-// BenchmarkMerge reports the time of the heap as a share of a sort of all
-// records, for 110 parts of 25 records.
+// BenchmarkMerge reports the time of the heap relative to a sort of all records, for 110 parts of
+// 25 records.
 func BenchmarkMerge(b *testing.B) {
 	parts := randomParts()
 	var sorting time.Duration
