--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,8 @@
-// Package core holds the vocabulary shared by the decision packages below it.
+// Package core defines the basic types shared by the decision packages below it.
 //
-// Nothing under internal/core reads a clock, starts a goroutine, uses a
-// channel, a network, a file or the global random source: each decision is a
-// state machine from (now, event) to actions, so that a failure can be
-// replayed.
+// Nothing under internal/core reads a clock, starts a goroutine, or uses a channel, a network, a
+// file or the global random source. Each decision is a state machine that maps a time and an event
+// to actions, so that a failure can be replayed.
 package core
 
 import (
@@ -11,41 +10,41 @@
 	"time"
 )
 
-// Time is the time since the node's start on its own monotonic clock. Times of
-// two nodes are never compared.
+// Time is the time since the node's start on its own monotonic clock. Times of two nodes are never
+// compared.
 type Time = time.Duration
 
-// NodeID names one node of the tier, as the VM list does.
+// NodeID is the name of a node in the VM list.
 type NodeID string
 
-// Customer names the customer on whose behalf a request is made.
+// Customer is the name of the customer on whose behalf a request is made.
 type Customer string
 
-// Version is an index version. Zero means "not known yet".
+// Version is an index version. Zero means that the version is unknown.
 type Version uint64
 
-// BundleID identifies a group of shards that are owned and asked together.
+// BundleID identifies a group of shards that have the same owner and are asked together.
 type BundleID uint32
 
-// ShardRef names one shard of one service.
+// ShardRef identifies one shard of one service.
 type ShardRef struct {
 	Service string
 	Shard   int
 }
 
-// String renders the reference as "service/shard".
+// String returns "service/shard".
 func (s ShardRef) String() string {
 	return s.Service + "/" + strconv.Itoa(s.Shard)
 }
 
-// Outcome is the three-valued result of a piece of work. The zero value is
-// Unknown, so that a forgotten field never claims "not run".
+// Outcome states whether work ran. The zero value is Unknown, so that an unset field never claims
+// that the work did not run.
 type Outcome uint8
 
 const (
 	// Unknown means the work may or may not have run.
 	Unknown Outcome = iota
-	// Done means the work ran and its result is at hand.
+	// Done means the work ran and its result is available.
 	Done
 	// NotRun means it is proven that the work did not run.
 	NotRun
@@ -63,11 +62,11 @@
 	}
 }
 
-// Reason says why a shard has no part in an answer or why work was refused.
-// The texts are part of the callers' interface.
+// Reason is the reason why a shard has no part in an answer or why work was refused. The texts are
+// part of the callers' interface.
 type Reason string
 
-// The reasons that callers and operators see.
+// The reasons that are visible to callers and operators.
 const (
 	ReasonNone           Reason = ""
 	ReasonDeadline       Reason = "deadline"
@@ -83,12 +82,13 @@
 	ReasonCrossedReply   Reason = "crossed_reply"
 	ReasonNotAsked       Reason = "not_asked"
 	ReasonDraining       Reason = "draining"
-	// ReasonStraggler is a shard that an early answer did not wait for.
+	// ReasonStraggler marks a shard that an early answer did not wait for.
 	ReasonStraggler Reason = "straggler"
-	// ReasonLayout is a shard whose service was repartitioned meanwhile.
+	// ReasonLayout marks a shard whose service was repartitioned in the meantime.
 	ReasonLayout Reason = "layout_changed"
-	// ReasonSetAside is a shard that was not asked because its replicas may end when they run the question.
+	// ReasonSetAside marks a shard that was not asked because its replicas may crash when they run
+	// the query.
 	ReasonSetAside Reason = "set_aside"
-	// ReasonCutReply is a reply that ended before it named the shard.
+	// ReasonCutReply marks a shard whose reply ended before it contained the shard's part.
 	ReasonCutReply Reason = "cut_reply"
 )
