--- a/internal/core/query/machine_test.go
+++ b/internal/core/query/machine_test.go
@@ -284,9 +284,9 @@
 	require.Equal(t, core.ReasonDependency, h.finished.Coverage.Missing[2].Reason)
 }
 
-// Guards against adding a part to a dependent that was computed without it. The query switches from
-// 7 to 8 and back to 7, where the dependent has already answered without a shard that lacked a part
-// at 7 then.
+// Guards against merging a part with a dependent's part that was computed without it. The query
+// switches from 7 to 8 and back to 7, where the dependent has already answered without the part of
+// a shard that had none at 7 then.
 func TestAReturnToAVersionAddsNothingToAnsweredDependents(t *testing.T) {
 	options := testOptions()
 	options.MaxTries = 1
