--- a/internal/app/start.go
+++ b/internal/app/start.go
@@ -124,7 +124,7 @@
 		Problems:    n.problems,
 		Metrics:     n.metrics,
 		Assessor:    n.quarantine,
-		Limits:      entrylimit.Config{Places: n.settings.Limits.InFlight, Headroom: n.settings.Limits.Headroom},
+		Limits:      entrylimit.Config{MaxInFlight: n.settings.Limits.InFlight, Headroom: n.settings.Limits.Headroom},
 	})
 }
 
--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -14,8 +14,8 @@
 // RequestID identifies a queued request within one shard's machine.
 type RequestID uint64
 
-// TryID identifies one upstream request within one shard's machine.
-type TryID uint64
+// AttemptID identifies one upstream request within one shard's machine.
+type AttemptID uint64
 
 // Jitter is a source of numbers in [0, 1).
 type Jitter interface{ Float64() float64 }
@@ -78,7 +78,7 @@
 
 // TryEnded is the end of an upstream request.
 type TryEnded struct {
-	Try      TryID
+	Try      AttemptID
 	Outcome  core.Outcome
 	Reason   core.Reason
 	Draining bool
@@ -127,7 +127,7 @@
 
 // Dispatch sends the request to a replica.
 type Dispatch struct {
-	Try     TryID
+	Try     AttemptID
 	Request RequestID
 	Address string
 	// TimeLeft is the time to the request's deadline.
@@ -136,12 +136,12 @@
 }
 
 // Abort cancels an upstream request whose result is not wanted.
-type Abort struct{ Try TryID }
+type Abort struct{ Try AttemptID }
 
 // Settle ends the request with the result of a try.
 type Settle struct {
 	Request RequestID
-	Try     TryID
+	Try     AttemptID
 	Tries   int
 	// Hedge is what came of the request's hedge.
 	Hedge HedgeState
--- a/internal/core/admit/bench_test.go
+++ b/internal/core/admit/bench_test.go
@@ -40,7 +40,7 @@
 	}
 	var now core.Time
 	var id RequestID
-	var running []TryID
+	var running []AttemptID
 	offer := func() {
 		id++
 		running = dispatched(running, machine.Step(now, Offered{ID: id, Customer: names[int(id)%customers], Weight: 1, Deadline: now + time.Hour}))
@@ -58,7 +58,7 @@
 	}
 }
 
-func dispatched(running []TryID, actions []Action) []TryID {
+func dispatched(running []AttemptID, actions []Action) []AttemptID {
 	for _, action := range actions {
 		if d, ok := action.(Dispatch); ok {
 			running = append(running, d.Try)
--- a/internal/core/admit/hedge.go
+++ b/internal/core/admit/hedge.go
@@ -57,7 +57,7 @@
 		r := t.request
 		if r.ended || s.running[t.id] != t || len(r.live) > 1 || r.tries >= maxTries || now+s.quickest() >= r.Deadline {
 			if r.tries >= maxTries {
-				r.hedge = HedgeTriesExhausted
+				r.hedge = HedgeAttemptsExhausted
 			}
 			return true
 		}
--- a/internal/core/admit/model_test.go
+++ b/internal/core/admit/model_test.go
@@ -23,7 +23,7 @@
 	rand     *rand.Rand
 	shards   []stepper
 	upstream map[string]*modelReplica
-	tries    []map[TryID]*modelTry
+	tries    []map[AttemptID]*modelTry
 	ends     []map[RequestID]func(done, notRun bool)
 	wakes    []core.Time
 	next     RequestID
@@ -60,7 +60,7 @@
 func (w *world) add(shard stepper) {
 	w.shards = append(w.shards, shard)
 	w.wakes = append(w.wakes, 0)
-	w.tries = append(w.tries, map[TryID]*modelTry{})
+	w.tries = append(w.tries, map[AttemptID]*modelTry{})
 	w.ends = append(w.ends, map[RequestID]func(bool, bool){})
 }
 
@@ -159,7 +159,7 @@
 	w.at(w.now+took, func() { w.finish(shard, a.Try, reply) })
 }
 
-func (w *world) finish(shard int, id TryID, reply TryEnded) {
+func (w *world) finish(shard int, id AttemptID, reply TryEnded) {
 	t := w.tries[shard][id]
 	if t == nil || t.ended {
 		return
@@ -232,13 +232,13 @@
 	names    []string
 	inFlight map[string]int
 	waiting  []Offered
-	running  map[TryID]Dispatch
-	next     TryID
+	running  map[AttemptID]Dispatch
+	next     AttemptID
 	actions  []Action
 }
 
 func newFIFO(slots, maxQueue int, names []string) *fifoShard {
-	return &fifoShard{slots: slots, maxQueue: maxQueue, names: names, inFlight: map[string]int{}, running: map[TryID]Dispatch{}}
+	return &fifoShard{slots: slots, maxQueue: maxQueue, names: names, inFlight: map[string]int{}, running: map[AttemptID]Dispatch{}}
 }
 
 func (f *fifoShard) Step(now core.Time, event Event) []Action {
--- a/internal/core/admit/property_test.go
+++ b/internal/core/admit/property_test.go
@@ -19,7 +19,7 @@
 	shard   *Shard
 	now     core.Time
 	offered map[RequestID]*offeredState
-	tries   map[TryID]Dispatch
+	tries   map[AttemptID]Dispatch
 	states  map[string]string
 	inText  map[string]bool
 	nextID  RequestID
@@ -31,11 +31,11 @@
 	mayRun int
 	tries  int
 	// outcomes are those of the tries that have ended.
-	outcomes map[TryID]core.Outcome
+	outcomes map[AttemptID]core.Outcome
 }
 
 func newChecked(t *rapid.T) *checked {
-	c := &checked{T: t, offered: map[RequestID]*offeredState{}, tries: map[TryID]Dispatch{}, states: map[string]string{}}
+	c := &checked{T: t, offered: map[RequestID]*offeredState{}, tries: map[AttemptID]Dispatch{}, states: map[string]string{}}
 	c.shard = NewShard(c.text(3, 0))
 	return c
 }
@@ -136,7 +136,7 @@
 		Deadline: c.now + time.Duration(rapid.IntRange(-1, 200).Draw(c.T, "ms left"))*time.Millisecond,
 		Once:     rapid.IntRange(0, 3).Draw(c.T, "once") == 0,
 	}
-	c.offered[e.ID] = &offeredState{Offered: e, outcomes: map[TryID]core.Outcome{}}
+	c.offered[e.ID] = &offeredState{Offered: e, outcomes: map[AttemptID]core.Outcome{}}
 	c.step(e)
 }
 
@@ -144,7 +144,7 @@
 	if len(c.tries) == 0 {
 		return
 	}
-	ids := make([]TryID, 0, len(c.tries))
+	ids := make([]AttemptID, 0, len(c.tries))
 	for id := range c.shard.nextTry + 1 {
 		if _, running := c.tries[id]; running {
 			ids = append(ids, id)
--- a/internal/core/admit/request.go
+++ b/internal/core/admit/request.go
@@ -24,7 +24,7 @@
 	// other one is free.
 	shedBy *replica
 	// best is the try whose result is reported when no other is better.
-	best        TryID
+	best        AttemptID
 	bestOutcome core.Outcome
 	ended       bool
 	// hedge is the state of the latest hedge; empty means HedgeNone.
@@ -46,8 +46,8 @@
 	HedgeNoBudget HedgeState = "no budget"
 	// HedgeSent means that the hedge was dispatched.
 	HedgeSent HedgeState = "sent"
-	// HedgeTriesExhausted means that the request had no tries left when the hedge was due.
-	HedgeTriesExhausted HedgeState = "tries used up"
+	// HedgeAttemptsExhausted means that the request had no tries left when the hedge was due.
+	HedgeAttemptsExhausted HedgeState = "tries used up"
 )
 
 // HedgeState returns the state of a request's latest hedge, or HedgeNone when the shard no longer holds the request.
--- a/internal/core/admit/shard.go
+++ b/internal/core/admit/shard.go
@@ -14,7 +14,7 @@
 	// their turn and go before the queue.
 	returned []*request
 	requests map[RequestID]*request
-	running  map[TryID]*try
+	running  map[AttemptID]*try
 	// deadlines orders the requests that wait or are returned.
 	deadlines indexedHeap[*request]
 	hedges    indexedHeap[*try]
@@ -23,7 +23,7 @@
 	service *latency.Histogram
 	// mean is the smoothed service time in nanoseconds; 0 is not known.
 	mean    float64
-	nextTry TryID
+	nextTry AttemptID
 	wake    core.Time
 	actions []Action
 }
@@ -33,7 +33,7 @@
 	shard := &Shard{
 		queue:     newFairQueue(),
 		requests:  map[RequestID]*request{},
-		running:   map[TryID]*try{},
+		running:   map[AttemptID]*try{},
 		deadlines: indexedHeap[*request]{before: dueBefore, place: func(r *request) *int { return &r.deadlinePlace }},
 		hedges:    indexedHeap[*try]{before: hedgedBefore, place: func(t *try) *int { return &t.hedgePlace }},
 	}
--- a/internal/core/admit/try.go
+++ b/internal/core/admit/try.go
@@ -11,7 +11,7 @@
 
 // try is one upstream request until its end.
 type try struct {
-	id         TryID
+	id         AttemptID
 	request    *request
 	replica    *replica
 	started    core.Time
--- a/internal/core/coldstart/coldstart.go
+++ b/internal/core/coldstart/coldstart.go
@@ -60,11 +60,11 @@
 // Window counts the requests of the last second.
 type Window struct{ sent []core.Time }
 
-// Free reports whether a share of the last second is not used up.
-func (w *Window) Free(share int, now core.Time) bool {
+// HasCapacity reports whether a share of the last second is not used up.
+func (w *Window) HasCapacity(share int, now core.Time) bool {
 	w.sent = slices.DeleteFunc(w.sent, func(at core.Time) bool { return now-at >= time.Second })
 	return len(w.sent) < share
 }
 
-// Take counts a request. Where Free is asked first, it holds no more than a share of them.
-func (w *Window) Take(now core.Time) { w.sent = append(w.sent, now) }
+// Record counts a request. Where Free is asked first, it holds no more than a share of them.
+func (w *Window) Record(now core.Time) { w.sent = append(w.sent, now) }
--- a/internal/core/coldstart/coldstart_test.go
+++ b/internal/core/coldstart/coldstart_test.go
@@ -58,8 +58,8 @@
 	var w Window
 	var sent []core.Time
 	for now := core.Time(0); now < 5*time.Second; now += 70 * time.Millisecond {
-		if w.Free(share, now) {
-			w.Take(now)
+		if w.HasCapacity(share, now) {
+			w.Record(now)
 			sent = append(sent, now)
 		}
 	}
--- a/internal/core/entrylimit/entrylimit.go
+++ b/internal/core/entrylimit/entrylimit.go
@@ -18,8 +18,8 @@
 // Defaults of a Config: a customer alone may hold four fifths of the places,
 // two that both want more four ninths each.
 const (
-	DefaultPlaces   = 1024
-	DefaultHeadroom = 4
+	DefaultMaxInFlight = 1024
+	DefaultHeadroom    = 4
 )
 
 // Bounds of the time after which a refused caller is told to come back.
@@ -33,23 +33,23 @@
 
 // Config chooses the bounds. Zero values take the defaults.
 type Config struct {
-	// Places is the number of requests in work at once, over all customers.
-	Places int
+	// MaxInFlight is the number of requests in work at once, over all customers.
+	MaxInFlight int
 	// Headroom is how many times the free places a customer may hold.
 	Headroom int
 }
 
-// Verdict is the decision on one request.
-type Verdict uint8
+// Decision is the decision on one request.
+type Decision uint8
 
 const (
 	// Admitted takes the request on; Leave must follow.
-	Admitted Verdict = iota
-	// CustomerLimit says that the customer's own limit is reached.
-	CustomerLimit
-	// UnfairShare says that the customer would hold more than its share of the
+	Admitted Decision = iota
+	// CustomerLimitReached says that the customer's own limit is reached.
+	CustomerLimitReached
+	// ShareExceeded says that the customer would hold more than its share of the
 	// places that others left free.
-	UnfairShare
+	ShareExceeded
 	// Full says that no place is free.
 	Full
 )
@@ -65,8 +65,8 @@
 
 // New makes an idle limiter.
 func New(config Config) *Limiter {
-	if config.Places <= 0 {
-		config.Places = DefaultPlaces
+	if config.MaxInFlight <= 0 {
+		config.MaxInFlight = DefaultMaxInFlight
 	}
 	if config.Headroom <= 0 {
 		config.Headroom = DefaultHeadroom
@@ -74,24 +74,24 @@
 	return &Limiter{config: config, counts: map[core.Customer]int{}}
 }
 
-// Enter decides on a request of a customer whose own limit is given.
-func (l *Limiter) Enter(customer core.Customer, limit int) Verdict {
-	held, free := l.counts[customer], l.config.Places-l.total
+// Acquire decides on a request of a customer whose own limit is given.
+func (l *Limiter) Acquire(customer core.Customer, limit int) Decision {
+	held, free := l.counts[customer], l.config.MaxInFlight-l.total
 	switch {
 	case held >= limit:
-		return CustomerLimit
+		return CustomerLimitReached
 	case free <= 0:
 		return Full
 	case held >= l.config.Headroom*free:
-		return UnfairShare
+		return ShareExceeded
 	}
 	l.counts[customer]++
 	l.total++
 	return Admitted
 }
 
-// Leave ends an admitted request, which took the given time.
-func (l *Limiter) Leave(customer core.Customer, took time.Duration) {
+// Release ends an admitted request, which took the given time.
+func (l *Limiter) Release(customer core.Customer, took time.Duration) {
 	l.total--
 	l.counts[customer]--
 	if l.counts[customer] == 0 {
@@ -110,5 +110,5 @@
 	return min(max(l.mean, minRetryAfter), maxRetryAfter)
 }
 
-// Total is the number of requests in work.
-func (l *Limiter) Total() int { return l.total }
+// InFlight is the number of requests in work.
+func (l *Limiter) InFlight() int { return l.total }
--- a/internal/core/extra/extra.go
+++ b/internal/core/extra/extra.go
@@ -39,8 +39,8 @@
 // SetBound replaces the bound; what was counted stays.
 func (b *Budget) SetBound(bound Bound) { b.bound = bound }
 
-// Request counts a request for a service, whether it is then sent or not.
-func (b *Budget) Request(service string, now core.Time) {
+// RecordRequest counts a request for a service, whether it is then sent or not.
+func (b *Budget) RecordRequest(service string, now core.Time) {
 	b.window(service, now).current().requests++
 }
 
@@ -56,14 +56,14 @@
 	return true
 }
 
-// Used is the part of the bound that is spent, 0 to 1.
-func (b *Budget) Used(service string, now core.Time) float64 {
+// UsedFraction is the part of the bound that is spent, 0 to 1.
+func (b *Budget) UsedFraction(service string, now core.Time) float64 {
 	requests, extras := b.window(service, now).sums()
 	return float64(extras) / max(b.bound.Ratio*float64(requests)+b.bound.Allowance, 1)
 }
 
-// Left tells for each service how many further extra arrivals the bound allows now.
-func (b *Budget) Left(each func(service string, left float64), now core.Time) {
+// Remaining tells for each service how many further extra arrivals the bound allows now.
+func (b *Budget) Remaining(each func(service string, left float64), now core.Time) {
 	for service, w := range b.services {
 		w.advance(now)
 		requests, extras := w.sums()
@@ -71,8 +71,8 @@
 	}
 }
 
-// Forget drops what was counted for services that are not wanted any more.
-func (b *Budget) Forget(wanted func(service string) bool, now core.Time) {
+// RemoveUnused drops what was counted for services that are not wanted any more.
+func (b *Budget) RemoveUnused(wanted func(service string) bool, now core.Time) {
 	for service, w := range b.services {
 		w.advance(now)
 		requests, extras := w.sums()
--- a/internal/core/extra/extra_test.go
+++ b/internal/core/extra/extra_test.go
@@ -31,7 +31,7 @@
 			now += time.Duration(step) * time.Millisecond
 			node := budgets[step%nodes]
 			if step%2 == 0 {
-				node.Request("prices", now)
+				node.RecordRequest("prices", now)
 				seen = append(seen, arrival{at: now})
 				continue
 			}
@@ -61,18 +61,18 @@
 	require.True(t, b.Take("s", 0))
 	require.False(t, b.Take("s", 9*time.Second))
 	require.True(t, b.Take("s", 11*time.Second))
-	b.Forget(func(string) bool { return false }, 30*time.Second)
+	b.RemoveUnused(func(string) bool { return false }, 30*time.Second)
 	require.Empty(t, b.services)
 }
 
 func TestUsedIsThePartOfTheBoundThatIsSpent(t *testing.T) {
 	b := New(Bound{Window: 10 * time.Second, Ratio: 0.2, Allowance: 4})
-	require.Zero(t, b.Used("s", 0))
+	require.Zero(t, b.UsedFraction("s", 0))
 	for range 30 {
-		b.Request("s", 0)
+		b.RecordRequest("s", 0)
 	}
 	for range 5 {
 		require.True(t, b.Take("s", 0))
 	}
-	require.InDelta(t, 0.5, b.Used("s", 0), 1e-9)
+	require.InDelta(t, 0.5, b.UsedFraction("s", 0), 1e-9)
 }
--- a/internal/core/extra/part_test.go
+++ b/internal/core/extra/part_test.go
@@ -81,7 +81,7 @@
 		allowance := node.part.Update(testAllowance, Fleet{Entries: nodes, IsEntry: true, Nodes: nodes}, testWindow, age)
 		node.budget.SetBound(Bound{Window: testWindow, Ratio: testRatio * RatioUsed, Allowance: allowance})
 		if f.random.IntN(4) == 0 {
-			node.budget.Request("s", age)
+			node.budget.RecordRequest("s", age)
 			f.requests = append(f.requests, f.now)
 		}
 		for !f.idle && node.budget.Take("s", age) {
--- a/internal/core/outlook/outlook.go
+++ b/internal/core/outlook/outlook.go
@@ -37,7 +37,7 @@
 func (o *Outlook) Services(route *policy.Route, now core.Time) []string {
 	if route.Gather != nil {
 		for _, shard := range route.Gather.Shards {
-			o.Budget.Request(shard, now)
+			o.Budget.RecordRequest(shard, now)
 		}
 		return route.Gather.Shards
 	}
@@ -45,7 +45,7 @@
 	if service == "" {
 		return nil
 	}
-	o.Budget.Request(service, now)
+	o.Budget.RecordRequest(service, now)
 	return []string{service}
 }
 
@@ -77,7 +77,7 @@
 
 // Scarce implements scatter.Chooser.
 func (c chooser) Scarce(service string, now core.Time) bool {
-	return c.outlook.Budget.Used(service, now) > scarceFrom
+	return c.outlook.Budget.UsedFraction(service, now) > scarceFrom
 }
 
 // Answered learns from a whole answer that was waited for.
--- a/internal/core/replica/cold.go
+++ b/internal/core/replica/cold.go
@@ -38,7 +38,7 @@
 // bears reports whether a replica is warm or bears one more request of this node now.
 func (b *Book) bears(s *state, now core.Time) bool {
 	bound, cold := b.coldBound(s, now)
-	return !cold || s.cold.Free(coldstart.Share(bound, s.ID, b.self, b.senders), now)
+	return !cold || s.cold.HasCapacity(coldstart.Share(bound, s.ID, b.self, b.senders), now)
 }
 
 // takeCold counts a request at a cold replica. It counts at the choice and not at the send, so that
@@ -46,6 +46,6 @@
 // sent leaves the replica less than it bears.
 func (b *Book) takeCold(s *state, now core.Time) {
 	if _, cold := b.coldBound(s, now); cold {
-		s.cold.Take(now)
+		s.cold.Record(now)
 	}
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -264,7 +264,7 @@
 func (n *Node) readBudgets() {
 	n.beliefs.mutex.Lock()
 	left := map[string]float64{}
-	n.beliefs.outlook.Budget.Left(func(service string, extras float64) { left[service] = extras }, n.beliefs.now())
+	n.beliefs.outlook.Budget.Remaining(func(service string, extras float64) { left[service] = extras }, n.beliefs.now())
 	n.beliefs.mutex.Unlock()
 	n.metrics.setBudgets(left)
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -301,7 +301,7 @@
 	n.beliefs.mutex.Lock()
 	defer n.beliefs.mutex.Unlock()
 	n.beliefs.outlook.Book.SetColdBounds(bounds)
-	n.beliefs.outlook.Budget.Forget(func(service string) bool { return n.beliefs.outlook.Book.Usable(service) > 0 }, n.now())
+	n.beliefs.outlook.Budget.RemoveUnused(func(service string) bool { return n.beliefs.outlook.Book.Usable(service) > 0 }, n.now())
 }
 
 // housekeeping is how often beliefs that age are looked at.
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -284,7 +284,7 @@
 	f := start(t, config(t, 1, 1), owners(func(request *peerpb.BundleRequest, sink peer.Sink) {
 		asks <- request
 		release <- sink
-	}), func(o *Options) { o.Limits = entrylimit.Config{Places: 2, Headroom: 1} })
+	}), func(o *Options) { o.Limits = entrylimit.Config{MaxInFlight: 2, Headroom: 1} })
 	var held sync.WaitGroup
 	hold := func(customer core.Customer) *peerpb.BundleRequest {
 		held.Go(func() { _, _ = f.Ask(context.Background(), Question{Service: "prices", Customer: customer}) })
--- a/internal/entry/limiter.go
+++ b/internal/entry/limiter.go
@@ -19,14 +19,14 @@
 	mutex sync.Mutex
 	core  *entrylimit.Limiter
 	// refused counts the refusals by verdict.
-	refused map[entrylimit.Verdict]metrics.Counter
+	refused map[entrylimit.Decision]metrics.Counter
 }
 
 func newLimiter(config entrylimit.Config, registry observe.Registry) *limiter {
-	l := &limiter{core: entrylimit.New(config), refused: map[entrylimit.Verdict]metrics.Counter{
-		entrylimit.CustomerLimit: observe.Counter(registry, "entry_refused_customer_limit_total"),
-		entrylimit.UnfairShare:   observe.Counter(registry, "entry_refused_share_total"),
-		entrylimit.Full:          observe.Counter(registry, "entry_refused_full_total"),
+	l := &limiter{core: entrylimit.New(config), refused: map[entrylimit.Decision]metrics.Counter{
+		entrylimit.CustomerLimitReached: observe.Counter(registry, "entry_refused_customer_limit_total"),
+		entrylimit.ShareExceeded:        observe.Counter(registry, "entry_refused_share_total"),
+		entrylimit.Full:                 observe.Counter(registry, "entry_refused_full_total"),
 	}}
 	observe.Watch(registry, "entry_in_flight", func() int64 { return int64(l.total()) })
 	return l
@@ -36,17 +36,17 @@
 func (l *limiter) enter(customer catalog.Customer) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	verdict := l.core.Enter(customer.Name, customer.InFlight)
+	verdict := l.core.Acquire(customer.Name, customer.InFlight)
 	if counter := l.refused[verdict]; counter != nil {
 		counter.Inc(1)
 	}
 	switch verdict {
-	case entrylimit.CustomerLimit:
+	case entrylimit.CustomerLimitReached:
 		return l.overloaded("the customer has "+strconv.Itoa(customer.InFlight)+" requests in flight here, its limit", "come back later or raise in_flight in the text")
-	case entrylimit.UnfairShare:
+	case entrylimit.ShareExceeded:
 		return l.overloaded("the customer holds its share of this entry", "come back later or spread the requests over all entries")
 	case entrylimit.Full:
-		return l.overloaded("the entry has "+strconv.Itoa(l.core.Total())+" requests in flight, its limit", "ask another entry")
+		return l.overloaded("the entry has "+strconv.Itoa(l.core.InFlight())+" requests in flight, its limit", "ask another entry")
 	default:
 		return nil
 	}
@@ -55,7 +55,7 @@
 func (l *limiter) leave(customer core.Customer, took time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.core.Leave(customer, took)
+	l.core.Release(customer, took)
 }
 
 func (l *limiter) ringFull() error {
@@ -77,5 +77,5 @@
 func (l *limiter) total() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.core.Total()
+	return l.core.InFlight()
 }
--- a/internal/owner/loop.go
+++ b/internal/owner/loop.go
@@ -42,7 +42,7 @@
 // ended is the end of an upstream request.
 type ended struct {
 	ref    core.ShardRef
-	try    admit.TryID
+	try    admit.AttemptID
 	result upstream.Result
 }
 
@@ -92,7 +92,7 @@
 type request struct {
 	inbound *peer.Inbound
 	work    work
-	tries   []admit.TryID
+	tries   []admit.AttemptID
 	// deadline is when the caller stops waiting for the answer.
 	deadline core.Time
 }
--- a/internal/owner/shard.go
+++ b/internal/owner/shard.go
@@ -16,7 +16,7 @@
 	role     admit.Role
 	machine  *admit.Shard
 	requests map[admit.RequestID]*request
-	tries    map[admit.TryID]*running
+	tries    map[admit.AttemptID]*running
 	// waiting is the queue's depth as it was last counted in the metrics.
 	waiting int
 	// pastDeadlineLoggedAt is when part_past_deadline was last logged for this shard; 0 means never.
@@ -36,7 +36,7 @@
 	if text.Shard(ref) == nil {
 		return nil
 	}
-	created := &shard{ref: ref, requests: map[admit.RequestID]*request{}, tries: map[admit.TryID]*running{}}
+	created := &shard{ref: ref, requests: map[admit.RequestID]*request{}, tries: map[admit.AttemptID]*running{}}
 	created.machine = admit.NewShard(l.configure(text, created))
 	l.shards[ref] = created
 	return created
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -43,7 +43,7 @@
 		{"limits.idle_timeout", DefaultIdleWait.String(), "duration", "how long an idle caller's connection is kept", "caller_connections"},
 		{"limits.connections", fmt.Sprint(DefaultConnections), "count", "callers' connections at once; operators have as many of their own", "caller_connections_refused_total"},
 		{"limits.entries", fmt.Sprint(DefaultEntries), "count", "the most addresses in the address answer", ""},
-		{"limits.in_flight", fmt.Sprint(entrylimit.DefaultPlaces), "count", "queries and submits that this entry has in work at once", "entry_in_flight"},
+		{"limits.in_flight", fmt.Sprint(entrylimit.DefaultMaxInFlight), "count", "queries and submits that this entry has in work at once", "entry_in_flight"},
 		{"limits.headroom", fmt.Sprint(entrylimit.DefaultHeadroom), "count", "how many times the free places one customer may hold at this entry", "entry_refused_share_total"},
 		{"probing.report_within", DefaultReport.String(), "duration", "a dead replica without traffic is reported within this time", "probes_total"},
 		{"probing.in_flight", fmt.Sprint(DefaultProbes), "count", "probes of idle replicas at once", "probes_in_flight"},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -142,7 +142,7 @@
 	setDefault(&s.Limits.IdleTimeout, DefaultIdleWait)
 	setDefault(&s.Limits.Connections, DefaultConnections)
 	setDefault(&s.Limits.Entries, DefaultEntries)
-	setDefault(&s.Limits.InFlight, entrylimit.DefaultPlaces)
+	setDefault(&s.Limits.InFlight, entrylimit.DefaultMaxInFlight)
 	setDefault(&s.Limits.Headroom, entrylimit.DefaultHeadroom)
 	setDefault(&s.TLS.WarnBefore, DefaultWarnBefore)
 	setDefault(&s.Probing.ReportWithin, DefaultReport)
