--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -1,12 +1,11 @@
-// Package budget bounds the load that retries and hedges add to first tries.
+// Package budget limits the load that retries and hedges add to first attempts.
 //
-// A Budget is a token bucket without a clock: each first try adds a share of a
-// token, each extra try takes a whole one, and the bucket starts full. So over
-// any stretch of work, however long,
+// A Budget is a token bucket without a clock: each first attempt adds a fraction of a token, each
+// extra attempt takes a whole one, and the bucket starts full. Over any sequence of attempts
 //
-//	extra tries <= Ratio x first tries + Floor
+//	extra attempts <= Ratio x first attempts + Floor
 //
-// A fleet that fails everything is asked about a tenth more, not twice.
+// When all requests fail, the load thus grows by about a tenth instead of doubling.
 package budget
 
 import "math"
@@ -17,16 +16,16 @@
 	DefaultFloor = 20
 )
 
-// unit is a token in the thousandths that a Budget counts in: whole numbers
-// keep the bound exact where sums of a float share would drift.
-const unit = 1000
+// tokenUnits is the number of units per token. A Budget counts in whole units to keep the bound exact;
+// sums of floating-point fractions would drift.
+const tokenUnits = 1000
 
-// Config chooses a bound. The zero value takes the defaults.
+// Config configures a Budget. Zero values select the defaults.
 type Config struct {
-	// Ratio is the share of a token that a first try adds, in steps of 0.001.
+	// Ratio is the fraction of a token that a first attempt adds, in steps of 0.001.
 	Ratio float64
-	// Floor is the number of tokens that a bucket starts with and holds at
-	// most; it lets a quiet service or customer retry at all.
+	// Floor is the initial and maximum number of tokens. It allows retries for services and customers with
+	// little traffic.
 	Floor int
 }
 
@@ -42,35 +41,34 @@
 
 // Budget is one token bucket. It is not safe for concurrent use.
 type Budget struct {
-	share  int64
-	limit  int64
-	tokens int64
+	tokensPerFirstTry int64
+	capacity          int64
+	tokens            int64
 }
 
-// New makes a full bucket.
+// New returns a full bucket.
 func New(config Config) *Budget {
 	config = config.withDefaults()
-	limit := int64(config.Floor) * unit
-	return &Budget{share: int64(math.Round(config.Ratio * unit)), limit: limit, tokens: limit}
+	capacity := int64(config.Floor) * tokenUnits
+	return &Budget{tokensPerFirstTry: int64(math.Round(config.Ratio * tokenUnits)), capacity: capacity, tokens: capacity}
 }
 
-// FirstTry notes n first tries.
+// FirstTry records n first attempts.
 func (b *Budget) FirstTry(n int) {
-	b.tokens = min(b.limit, b.tokens+int64(n)*b.share)
+	b.tokens = min(b.capacity, b.tokens+int64(n)*b.tokensPerFirstTry)
 }
 
-// CanExtra reports whether a token is there, without taking it.
-func (b *Budget) CanExtra() bool { return b.tokens >= unit }
+// CanExtra reports whether a token is available, without taking it.
+func (b *Budget) CanExtra() bool { return b.tokens >= tokenUnits }
 
-// TryExtra takes a token for a retry or a hedge; false means that it must not
-// be sent.
+// TryExtra takes a token for a retry or a hedge. If it returns false, the attempt must not be sent.
 func (b *Budget) TryExtra() bool {
 	if !b.CanExtra() {
 		return false
 	}
-	b.tokens -= unit
+	b.tokens -= tokenUnits
 	return true
 }
 
-// Full reports whether the bucket is as New makes it.
-func (b *Budget) Full() bool { return b.tokens == b.limit }
+// Full reports whether the bucket is in its initial state.
+func (b *Budget) Full() bool { return b.tokens == b.capacity }
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -9,28 +9,28 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// A shard's replicas fail every request and each failure is retried. Without
-// the bound the sick upstreams get twice their load and do not recover.
-func TestExtraTriesStayUnderTheBound(t *testing.T) {
+// Guards against retries of every failed request doubling the load of failing upstreams, which then do
+// not recover.
+func TestExtraAttemptsStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		thousandths := rapid.IntRange(1, 1000).Draw(t, "ratio")
 		floor := rapid.IntRange(1, 30).Draw(t, "floor")
-		b := New(Config{Ratio: float64(thousandths) / unit, Floor: floor})
+		b := New(Config{Ratio: float64(thousandths) / tokenUnits, Floor: floor})
 		first, extra := 0, 0
-		for _, n := range rapid.SliceOf(rapid.IntRange(0, 40)).Draw(t, "first tries, 0 is an extra") {
+		for _, n := range rapid.SliceOf(rapid.IntRange(0, 40)).Draw(t, "first attempts, 0 is an extra attempt") {
 			first += n
 			b.FirstTry(n)
 			if n == 0 && b.TryExtra() {
 				extra++
 			}
 		}
-		require.LessOrEqual(t, extra*unit, first*thousandths+floor*unit)
+		require.LessOrEqual(t, extra*tokenUnits, first*thousandths+floor*tokenUnits)
 	})
 }
 
-// A caller sends each request under a new customer name. Were each name to get
-// a fresh floor by pushing out another's bucket, the bound would hold for nobody.
-func TestManyNamesShareBoundedFloors(t *testing.T) {
+// Guards against a caller that sends each request under a new customer name. If each name got a new
+// floor by evicting the bucket of another, the bound would not hold.
+func TestManyCustomerNamesShareABoundedNumberOfFloors(t *testing.T) {
 	const maxKeys, floor = 4, 3
 	g := NewGroup(GroupConfig{Service: Config{Floor: 1000}, Customer: Config{Floor: floor}, MaxKeys: maxKeys})
 	extra := 0
@@ -44,21 +44,21 @@
 	require.LessOrEqual(t, g.Size(), 2*maxKeys)
 }
 
-// The table is full and a new customer comes. Forgetting a bucket that is used up
-// would give its customer a fresh floor; forgetting a full one changes nothing.
-func TestFullBucketsAreForgotten(t *testing.T) {
+// Guards against evicting a used bucket to make room for a new customer, which would give the evicted
+// customer a new floor. Evicting a full bucket has no effect.
+func TestOnlyFullBucketsAreEvicted(t *testing.T) {
 	g := NewGroup(GroupConfig{Customer: Config{Floor: 1}, MaxKeys: 2})
 	require.True(t, g.TryExtra("s", "empty"))
 	g.FirstTry("s", "quiet", 1)
-	require.True(t, g.TryExtra("s", "new"), "quiet's full bucket made room")
-	require.False(t, g.TryExtra("s", "empty"), "an empty bucket is kept")
+	require.True(t, g.TryExtra("s", "new"), "the full bucket of quiet is evicted")
+	require.False(t, g.TryExtra("s", "empty"), "an empty bucket must not be evicted")
 }
 
-// A customer without tokens goes on asking for retries. Were the service's token
-// taken each time all the same, the other customers could retry nothing.
-func TestAnExtraTryTakesFromBothOrNeither(t *testing.T) {
+// Guards against a customer without tokens consuming those of the service, which would leave none for
+// the retries of other customers.
+func TestExtraAttemptTakesBothTokensOrNeither(t *testing.T) {
 	g := NewGroup(GroupConfig{Service: Config{Floor: 2}, Customer: Config{Floor: 1}})
 	require.True(t, g.TryExtra("s", "large"))
-	require.False(t, g.TryExtra("s", "large"), "the customer has no token left")
-	require.True(t, g.TryExtra("s", "small"), "the refusal left the service's token")
+	require.False(t, g.TryExtra("s", "large"), "the budget of the customer is exhausted")
+	require.True(t, g.TryExtra("s", "small"), "a refused attempt must not take a token of the service")
 }
--- a/internal/core/budget/group.go
+++ b/internal/core/budget/group.go
@@ -2,34 +2,34 @@
 
 import "github.com/pistachiopier/pistachiopier/internal/core"
 
-// DefaultMaxKeys bounds each of a Group's two tables.
+// DefaultMaxKeys is the default capacity of each of the two tables of a Group.
 const DefaultMaxKeys = 1024
 
-// evictionSteps bounds the buckets looked at to make room for one new key.
-const evictionSteps = 8
+// maxEvictionSteps is the maximum number of buckets checked to make room for a new key.
+const maxEvictionSteps = 8
 
-// Group holds a budget for each service and one for each customer. An extra
-// try needs a token of both. It is not safe for concurrent use.
+// Group holds a budget for each service and for each customer. An extra attempt needs a token of both.
+// It is not safe for concurrent use.
 //
-// Its memory is bounded although callers choose customers' names: a full bucket
-// equals a new one, so it may be forgotten without breaking the bound; while
-// none is found, new names share one bucket. Each table thus allows at most
+// Its memory is bounded although callers choose the customer names: a full bucket equals a new one and
+// may be evicted without breaking the bound. While no full bucket is found, new names share one
+// overflow bucket. Each table thus allows at most
 //
-//	extra tries <= Ratio x first tries + Floor x (MaxKeys + 1)
+//	extra attempts <= Ratio x first attempts + Floor x (MaxKeys + 1)
 type Group struct {
 	services  table[string]
 	customers table[core.Customer]
 }
 
-// GroupConfig chooses the bounds of a Group. Zero values take the defaults.
+// GroupConfig configures a Group. Zero values select the defaults.
 type GroupConfig struct {
 	Service  Config
 	Customer Config
-	// MaxKeys bounds the services and the customers remembered, each.
+	// MaxKeys is the maximum number of services and of customers that are kept.
 	MaxKeys int
 }
 
-// NewGroup makes an empty Group.
+// NewGroup returns an empty Group.
 func NewGroup(config GroupConfig) *Group {
 	if config.MaxKeys <= 0 {
 		config.MaxKeys = DefaultMaxKeys
@@ -40,7 +40,7 @@
 	}
 }
 
-// FirstTry notes n first tries to a service for a customer.
+// FirstTry records n first attempts to a service for a customer.
 func (g *Group) FirstTry(service string, customer core.Customer, n int) {
 	g.services.get(service).FirstTry(n)
 	g.customers.get(customer).FirstTry(n)
@@ -48,53 +48,53 @@
 
 // TryExtra takes a token of the service and one of the customer, or neither.
 func (g *Group) TryExtra(service string, customer core.Customer) bool {
-	ofService, ofCustomer := g.services.get(service), g.customers.get(customer)
-	if !ofService.CanExtra() || !ofCustomer.CanExtra() {
+	serviceBudget, customerBudget := g.services.get(service), g.customers.get(customer)
+	if !serviceBudget.CanExtra() || !customerBudget.CanExtra() {
 		return false
 	}
-	return ofService.TryExtra() && ofCustomer.TryExtra()
+	return serviceBudget.TryExtra() && customerBudget.TryExtra()
 }
 
-// Size is the number of buckets held.
-func (g *Group) Size() int { return len(g.services.slots) + len(g.customers.slots) }
+// Size returns the number of buckets.
+func (g *Group) Size() int { return len(g.services.entries) + len(g.customers.entries) }
 
-// table is a bounded map of buckets. The hand goes round the slots, so that
-// making room costs a fixed number of steps and is deterministic.
+// table is a bounded map of buckets. The eviction cursor cycles through the entries, so that eviction
+// takes a bounded number of steps and is deterministic.
 type table[K comparable] struct {
-	config   Config
-	max      int
-	at       map[K]int
-	slots    []slot[K]
-	hand     int
-	overflow *Budget
+	config         Config
+	maxKeys        int
+	indexByKey     map[K]int
+	entries        []entry[K]
+	evictionCursor int
+	overflow       *Budget
 }
 
-type slot[K comparable] struct {
+type entry[K comparable] struct {
 	key    K
 	budget *Budget
 }
 
-func newTable[K comparable](config Config, limit int) table[K] {
-	return table[K]{config: config, max: limit, at: map[K]int{}, overflow: New(config)}
+func newTable[K comparable](config Config, maxKeys int) table[K] {
+	return table[K]{config: config, maxKeys: maxKeys, indexByKey: map[K]int{}, overflow: New(config)}
 }
 
 func (t *table[K]) get(key K) *Budget {
-	if i, ok := t.at[key]; ok {
-		return t.slots[i].budget
+	if i, ok := t.indexByKey[key]; ok {
+		return t.entries[i].budget
 	}
-	if len(t.slots) < t.max {
-		t.at[key] = len(t.slots)
-		t.slots = append(t.slots, slot[K]{key: key, budget: New(t.config)})
-		return t.slots[len(t.slots)-1].budget
+	if len(t.entries) < t.maxKeys {
+		t.indexByKey[key] = len(t.entries)
+		t.entries = append(t.entries, entry[K]{key: key, budget: New(t.config)})
+		return t.entries[len(t.entries)-1].budget
 	}
-	for range min(evictionSteps, len(t.slots)) {
-		i := t.hand
-		t.hand = (t.hand + 1) % len(t.slots)
-		if t.slots[i].budget.Full() {
-			delete(t.at, t.slots[i].key)
-			t.at[key] = i
-			t.slots[i].key = key
-			return t.slots[i].budget
+	for range min(maxEvictionSteps, len(t.entries)) {
+		i := t.evictionCursor
+		t.evictionCursor = (t.evictionCursor + 1) % len(t.entries)
+		if t.entries[i].budget.Full() {
+			delete(t.indexByKey, t.entries[i].key)
+			t.indexByKey[key] = i
+			t.entries[i].key = key
+			return t.entries[i].budget
 		}
 	}
 	return t.overflow
