--- a/internal/core/extra/extra.go
+++ b/internal/core/extra/extra.go
@@ -1,11 +1,10 @@
-// Package extra bounds the arrivals at a service beyond the first of each
-// request: hedges, retries, and sends that the replica refuses. The bound is a
-// share of the requests within a sliding window plus a fixed allowance.
+// Package extra limits the extra arrivals at a service, which are those beyond the first of each
+// request: hedges, retries, and sends that the replica refuses. The limit is a fraction of the
+// requests within a sliding window plus a fixed allowance.
 //
-// Each node keeps to its own part: the share of the requests that it took
-// itself, and an equal part of the allowance. The shares of the requests add up
-// to that of the whole fleet whatever nodes know of each other, so a fleet that
-// is split or half restarted keeps to the bound without a message.
+// Each node keeps to its own part: the fraction of the requests that it received itself, and a part of
+// the allowance. The fractions of all nodes add up to that of the fleet whatever nodes know of each
+// other, so a partitioned or partly restarted fleet keeps the limit without communication.
 package extra
 
 import (
@@ -14,113 +13,112 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// spans is the number of pieces that a window is counted in.
-const spans = 20
+// spansPerWindow is the number of spans that a window is divided into.
+const spansPerWindow = 20
 
-// Bound is what one node may add to each service.
+// Bound is the limit of one node for each service.
 type Bound struct {
-	// Window is the sliding time over which arrivals are counted.
+	// Window is the length of the sliding window.
 	Window time.Duration
-	// Ratio is the number of extra arrivals for each request.
+	// Ratio is the number of extra arrivals allowed per request.
 	Ratio float64
-	// Allowance is the number of extra arrivals beyond that.
+	// Allowance is the number of extra arrivals allowed in addition.
 	Allowance float64
 }
 
-// Budget counts the arrivals of all services. It is not safe for concurrent use.
+// Budget counts the arrivals at all services. It is not safe for concurrent use.
 type Budget struct {
-	bound    Bound
-	services map[string]*window
+	bound   Bound
+	windows map[string]*window
 }
 
-// New makes a budget with nothing spent.
-func New(bound Bound) *Budget { return &Budget{bound: bound, services: map[string]*window{}} }
+// New returns an unused budget.
+func New(bound Bound) *Budget { return &Budget{bound: bound, windows: map[string]*window{}} }
 
-// SetBound replaces the bound; what was counted stays.
+// SetBound replaces the bound and keeps the counts.
 func (b *Budget) SetBound(bound Bound) { b.bound = bound }
 
-// RecordRequest counts a request for a service, whether it is then sent or not.
+// RecordRequest counts a request to a service, whether or not it is then sent.
 func (b *Budget) RecordRequest(service string, now core.Time) {
-	b.window(service, now).current().requests++
+	b.window(service, now).currentSpan().requests++
 }
 
-// Take spends one extra arrival, or reports false when that would break the
-// bound.
+// Take spends one extra arrival, or returns false if that would exceed the bound.
 func (b *Budget) Take(service string, now core.Time) bool {
 	w := b.window(service, now)
 	requests, extras := w.sums()
 	if float64(extras+1) > b.bound.Ratio*float64(requests)+b.bound.Allowance {
 		return false
 	}
-	w.current().extras++
+	w.currentSpan().extras++
 	return true
 }
 
-// UsedFraction is the part of the bound that is spent, 0 to 1.
+// UsedFraction returns the fraction of the bound that is spent, 0 to 1.
 func (b *Budget) UsedFraction(service string, now core.Time) float64 {
 	requests, extras := b.window(service, now).sums()
 	return float64(extras) / max(b.bound.Ratio*float64(requests)+b.bound.Allowance, 1)
 }
 
-// Remaining tells for each service how many further extra arrivals the bound allows now.
-func (b *Budget) Remaining(each func(service string, left float64), now core.Time) {
-	for service, w := range b.services {
+// Remaining reports for each service how many further extra arrivals the bound allows now.
+func (b *Budget) Remaining(report func(service string, remaining float64), now core.Time) {
+	for service, w := range b.windows {
 		w.advance(now)
 		requests, extras := w.sums()
-		each(service, b.bound.Ratio*float64(requests)+b.bound.Allowance-float64(extras))
+		report(service, b.bound.Ratio*float64(requests)+b.bound.Allowance-float64(extras))
 	}
 }
 
-// RemoveUnused drops what was counted for services that are not wanted any more.
-func (b *Budget) RemoveUnused(wanted func(service string) bool, now core.Time) {
-	for service, w := range b.services {
+// RemoveUnused removes services that are no longer in use and have no arrivals within the window.
+func (b *Budget) RemoveUnused(inUse func(service string) bool, now core.Time) {
+	for service, w := range b.windows {
 		w.advance(now)
 		requests, extras := w.sums()
-		if !wanted(service) && requests == 0 && extras == 0 {
-			delete(b.services, service)
+		if !inUse(service) && requests == 0 && extras == 0 {
+			delete(b.windows, service)
 		}
 	}
 }
 
 func (b *Budget) window(service string, now core.Time) *window {
-	w := b.services[service]
+	w := b.windows[service]
 	if w == nil {
-		w = &window{span: max(b.bound.Window/spans, 1)}
-		b.services[service] = w
+		w = &window{spanDuration: max(b.bound.Window/spansPerWindow, 1)}
+		b.windows[service] = w
 	}
 	w.advance(now)
 	return w
 }
 
-// window counts the arrivals of the last spans pieces and the running one, so
-// that it is never shorter than the bound's.
+// window counts the arrivals of the last spansPerWindow complete spans and of the current one, so that
+// it is never shorter than the window of the bound.
 type window struct {
-	span   time.Duration
-	newest int64
-	counts [spans + 1]count
+	spanDuration time.Duration
+	newestSpan   int64
+	counts       [spansPerWindow + 1]arrivals
 }
 
-type count struct{ requests, extras int }
+type arrivals struct{ requests, extras int }
 
 func (w *window) advance(now core.Time) {
-	current := int64(now / w.span)
-	steps := min(current-w.newest, spans+1)
+	currentSpan := int64(now / w.spanDuration)
+	steps := min(currentSpan-w.newestSpan, spansPerWindow+1)
 	for i := range max(steps, 0) {
-		w.counts[(w.newest+1+i)%(spans+1)] = count{}
+		w.counts[(w.newestSpan+1+i)%(spansPerWindow+1)] = arrivals{}
 	}
-	w.newest = max(w.newest, current)
-	if steps > spans {
-		w.counts = [spans + 1]count{}
+	w.newestSpan = max(w.newestSpan, currentSpan)
+	if steps > spansPerWindow {
+		w.counts = [spansPerWindow + 1]arrivals{}
 	}
 }
 
-// current is the running piece.
-func (w *window) current() *count { return &w.counts[w.newest%(spans+1)] }
+// currentSpan returns the counts of the current span.
+func (w *window) currentSpan() *arrivals { return &w.counts[w.newestSpan%(spansPerWindow+1)] }
 
 func (w *window) sums() (requests, extras int) {
-	for _, one := range w.counts {
-		requests += one.requests
-		extras += one.extras
+	for _, span := range w.counts {
+		requests += span.requests
+		extras += span.extras
 	}
 	return requests, extras
 }
--- a/internal/core/extra/extra_test.go
+++ b/internal/core/extra/extra_test.go
@@ -10,9 +10,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Every replica of a service fails and each failure is retried on several nodes
-// that do not hear each other. Without the bound the replicas get several times
-// their load and never recover.
+// Guards against retries of a failing service multiplying its load when several nodes retry without
+// communication, so that its replicas never recover.
 func TestNodesThatDoNotHearEachOtherKeepTheSharedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 3
@@ -25,28 +24,28 @@
 		for range nodes {
 			budgets = append(budgets, New(bound))
 		}
-		var seen []arrival
+		var history []arrival
 		now := core.Time(0)
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 999), 1, 400).Draw(t, "steps") {
 			now += time.Duration(step) * time.Millisecond
 			node := budgets[step%nodes]
 			if step%2 == 0 {
 				node.RecordRequest("prices", now)
-				seen = append(seen, arrival{at: now})
+				history = append(history, arrival{at: now})
 				continue
 			}
 			for node.Take("prices", now) {
-				seen = append(seen, arrival{at: now, extra: true})
+				history = append(history, arrival{at: now, extra: true})
 			}
 		}
-		for end, last := range seen {
+		for end, last := range history {
 			requests, extras := 0, 0
-			for _, one := range seen[:end+1] {
-				// A node counts up to one piece more than the window.
-				if one.at > last.at-bound.Window-bound.Window/spans && !one.extra {
+			for _, earlier := range history[:end+1] {
+				// A node counts requests over up to one span more than the window.
+				if earlier.at > last.at-bound.Window-bound.Window/spansPerWindow && !earlier.extra {
 					requests++
 				}
-				if one.at > last.at-bound.Window && one.extra {
+				if earlier.at > last.at-bound.Window && earlier.extra {
 					extras++
 				}
 			}
@@ -55,17 +54,17 @@
 	})
 }
 
-func TestWhatWasSpentReturnsAfterTheWindow(t *testing.T) {
+func TestSpentExtrasAreAvailableAgainAfterTheWindow(t *testing.T) {
 	b := New(Bound{Window: 10 * time.Second, Allowance: 2})
 	require.True(t, b.Take("s", 0))
 	require.True(t, b.Take("s", 0))
 	require.False(t, b.Take("s", 9*time.Second))
 	require.True(t, b.Take("s", 11*time.Second))
 	b.RemoveUnused(func(string) bool { return false }, 30*time.Second)
-	require.Empty(t, b.services)
+	require.Empty(t, b.windows)
 }
 
-func TestUsedIsThePartOfTheBoundThatIsSpent(t *testing.T) {
+func TestUsedFraction(t *testing.T) {
 	b := New(Bound{Window: 10 * time.Second, Ratio: 0.2, Allowance: 4})
 	require.Zero(t, b.UsedFraction("s", 0))
 	for range 30 {
--- a/internal/core/extra/part.go
+++ b/internal/core/extra/part.go
@@ -6,18 +6,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Fractions of the bound that all nodes together use. The rest covers what nodes cannot know about each other: requests
-// counted at slightly different times, and what the predecessor of a restarted node has already spent.
+// Fractions of the bound that all nodes together use. The rest covers what nodes cannot know about
+// each other: requests counted at slightly different times, and what the predecessor of a restarted
+// node has already spent.
 const (
 	// RatioUsed is the fraction of the ratio that is used.
 	RatioUsed = 0.85
 	// entriesAllowance is the fraction of the allowance divided among the nodes that callers are sent to;
-	// othersAllowance is divided among all nodes, because callers may keep old addresses.
-	entriesAllowance = 0.45
-	othersAllowance  = 0.15
+	// allNodesAllowance is divided among all nodes, because callers may keep old addresses.
+	entriesAllowance  = 0.45
+	allNodesAllowance = 0.15
 	// firstWindowFraction is the fraction of its part that a node reaches by the end of its first window. It keeps the
 	// total within the allowance when all nodes restart after their predecessors have spent their parts.
-	firstWindowFraction = (1 - entriesAllowance - othersAllowance) / (entriesAllowance + othersAllowance)
+	firstWindowFraction = (1 - entriesAllowance - allNodesAllowance) / (entriesAllowance + allNodesAllowance)
 	// initialFraction is the fraction of its part that a node has when it starts, so that the first failed request can
 	// be retried.
 	initialFraction = 0.15
@@ -35,15 +36,15 @@
 
 // part returns the node's part of the allowance, as a fraction from 0 to 1.
 func (f Fleet) part() float64 {
-	part := othersAllowance / float64(max(f.Nodes, 1))
+	part := allNodesAllowance / float64(max(f.Nodes, 1))
 	if f.IsEntry {
 		part += entriesAllowance / float64(max(f.Entries, 1))
 	}
 	return part
 }
 
-// AllowancePart computes a node's part of the allowance as the fleet changes. The zero value is ready for use by a node
-// that starts at time 0. It is not safe for concurrent use.
+// AllowancePart computes a node's part of the allowance as the fleet changes. The zero value is ready
+// for use by a node that starts at time 0. It is not safe for concurrent use.
 //
 // It prevents nodes from jointly exceeding the allowance when the fleet changes within one window: a remaining node
 // must not reuse what a departed node has already spent, and a new node must not start with a whole part, or with that
--- a/internal/core/extra/part_test.go
+++ b/internal/core/extra/part_test.go
@@ -105,7 +105,7 @@
 	}
 	for _, end := range f.extras {
 		// A node counts requests over one span more than the window.
-		requests := countWithin(f.requests, end) + countWithin(f.requests, end-testWindow) - countWithin(f.requests, end-testWindow-testWindow/spans)
+		requests := countWithin(f.requests, end) + countWithin(f.requests, end-testWindow) - countWithin(f.requests, end-testWindow-testWindow/spansPerWindow)
 		require.LessOrEqual(t, float64(countWithin(f.extras, end)), testRatio*float64(requests)+testAllowance, "at %v", end)
 	}
 }
