--- a/internal/core/latency/latency.go
+++ b/internal/core/latency/latency.go
@@ -1,5 +1,4 @@
-// Package latency learns the quantiles of a service's recent latencies in a
-// fixed number of bytes.
+// Package latency estimates the quantiles of a service's recent latencies in a fixed amount of memory.
 package latency
 
 import (
@@ -8,31 +7,30 @@
 )
 
 const (
-	// subBits splits each doubling into 8 buckets: a quantile is at most an
-	// eighth too high.
-	subBits  = 3
-	subCount = 1 << subBits
-	octaves  = 25
-	buckets  = octaves * subCount
-	// window is the number of samples at which all counts are halved, so that
-	// the weight of old samples falls by half every window/2 samples.
-	window = 1024
-	// minSamples is the least number of samples that a quantile rests on.
+	// subBucketBits divides each octave into 8 buckets: a quantile is at most an eighth too high.
+	subBucketBits       = 3
+	subBucketsPerOctave = 1 << subBucketBits
+	octaves             = 25
+	bucketCount         = octaves * subBucketsPerOctave
+	// halvingThreshold is the number of samples at which all counts are halved, so that the weight of old
+	// samples halves every halvingThreshold/2 samples.
+	halvingThreshold = 1024
+	// minSamples is the minimum number of samples for a quantile.
 	minSamples = 32
 )
 
-// Histogram counts latencies in buckets of whole microseconds, from 1 us to
-// about 134 s. It takes 404 bytes. The zero value is empty.
+// Histogram counts latencies in buckets of whole microseconds, from 1 us to about 134 s. It takes 404
+// bytes. The zero value is empty.
 type Histogram struct {
-	counts [buckets]uint16
+	counts [bucketCount]uint16
 	total  int32
 }
 
-// Record adds one latency.
+// Record adds a latency.
 func (h *Histogram) Record(latency time.Duration) {
-	h.counts[bucketOf(latency)]++
+	h.counts[bucketIndex(latency)]++
 	h.total++
-	if h.total >= window {
+	if h.total >= halvingThreshold {
 		h.halve()
 	}
 }
@@ -45,40 +43,40 @@
 	}
 }
 
-// Quantile returns an upper bound of the given quantile, 0 to 1; false while
-// too few samples are known.
+// Quantile returns an upper bound of the given quantile, 0 to 1, or false if there are too few
+// samples.
 func (h *Histogram) Quantile(quantile float64) (time.Duration, bool) {
 	if h.total < minSamples {
 		return 0, false
 	}
-	wanted := int32(quantile * float64(h.total))
+	rank := int32(quantile * float64(h.total))
 	seen := int32(0)
 	for i, count := range h.counts {
 		seen += int32(count)
-		if seen > wanted {
+		if seen > rank {
 			return upperBound(i), true
 		}
 	}
-	return upperBound(buckets - 1), true
+	return upperBound(bucketCount - 1), true
 }
 
-// bucketOf finds the bucket by the highest bit and the subBits below it.
-func bucketOf(latency time.Duration) int {
+// bucketIndex derives the bucket from the highest bit and the subBucketBits bits below it.
+func bucketIndex(latency time.Duration) int {
 	us := uint64(max(latency.Microseconds(), 0))
-	if us < subCount {
+	if us < subBucketsPerOctave {
 		return int(us)
 	}
-	shift := bits.Len64(us) - 1 - subBits
-	index := (shift+1)*subCount + int(us>>shift) - subCount
-	return min(index, buckets-1)
+	shift := bits.Len64(us) - 1 - subBucketBits
+	index := (shift+1)*subBucketsPerOctave + int(us>>shift) - subBucketsPerOctave
+	return min(index, bucketCount-1)
 }
 
-// upperBound is the least latency above the bucket.
+// upperBound returns the lowest latency above the bucket.
 func upperBound(index int) time.Duration {
-	if index < subCount {
+	if index < subBucketsPerOctave {
 		return time.Duration(index+1) * time.Microsecond
 	}
-	shift := index/subCount - 1
-	mantissa := uint64(index%subCount + subCount + 1)
+	shift := index/subBucketsPerOctave - 1
+	mantissa := uint64(index%subBucketsPerOctave + subBucketsPerOctave + 1)
 	return time.Duration(mantissa<<shift) * time.Microsecond
 }
--- a/internal/core/latency/latency_test.go
+++ b/internal/core/latency/latency_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestQuantileIsWithinAnEighthAbove(t *testing.T) {
+func TestQuantileIsAtMostAnEighthTooHigh(t *testing.T) {
 	require.LessOrEqual(t, unsafe.Sizeof(Histogram{}), uintptr(404))
 	rapid.Check(t, func(t *rapid.T) {
 		us := rapid.Int64Range(0, 100_000_000).Draw(t, "us")
@@ -24,16 +24,16 @@
 	})
 }
 
-// A service grows slow for good: the learnt quantile must follow within a few
-// windows, or every request after it would be hedged.
-func TestQuantileFollowsAChange(t *testing.T) {
+// Guards against a quantile that does not follow a permanent increase of the latency within a few
+// windows, so that every request would be hedged.
+func TestQuantileFollowsALatencyChange(t *testing.T) {
 	var h Histogram
 	_, ok := h.Quantile(0.95)
 	require.False(t, ok)
-	for range 5 * window {
+	for range 5 * halvingThreshold {
 		h.Record(time.Millisecond)
 	}
-	for range 3 * window {
+	for range 3 * halvingThreshold {
 		h.Record(10 * time.Millisecond)
 	}
 	low, _ := h.Quantile(0.1)
