--- a/internal/core/coldstart/coldstart_test.go
+++ b/internal/core/coldstart/coldstart_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-func total(bound Bound, replica string, fleet, view []core.NodeID) int {
+func totalShare(bound Bound, replica string, fleet, view []core.NodeID) int {
 	sum := 0
 	for _, self := range fleet {
 		sum += Share(bound, replica, self, view)
@@ -26,34 +26,34 @@
 	return sum
 }
 
-// A replica returns cold and bears so many requests a second from all nodes together. Each node
-// sends what it thinks is its own part: more in sum, and the replica crashes; nothing, and
-// it is never used.
-func TestThePartsOfAllNodesAddUpToHalfOfWhatAColdReplicaBears(t *testing.T) {
+// Guards against shares that exceed the rate that a cold replica can handle, which makes it crash, and
+// against a total of zero, with which it would never be used.
+func TestSharesOfAllNodesAddUpToHalfOfTheColdReplicaRate(t *testing.T) {
 	for _, count := range []int{1, 2, 8, 18, 300} {
 		for _, perSecond := range []float64{0.5, 3, 20, 90} {
 			for _, replica := range []string{"i-1", "i-2", "i-3"} {
-				sum := total(Bound{PerSecond: perSecond}, replica, nodes(count), nodes(count))
-				require.Equal(t, max(int(perSecond/2), 1), sum, "%d nodes, %g a second", count, perSecond)
+				sum := totalShare(Bound{PerSecond: perSecond}, replica, nodes(count), nodes(count))
+				require.Equal(t, max(int(perSecond/2), 1), sum, "%d nodes, %g requests per second", count, perSecond)
 			}
 		}
 	}
 }
 
-// The fleet is split: each half takes itself for all nodes.
+// Guards against exceeding the rate in a partitioned fleet, where each half takes itself for all
+// nodes.
 func TestTwoViewsOfTheFleetStayWithinWhatAColdReplicaBears(t *testing.T) {
 	all := nodes(18)
 	bound := Bound{PerSecond: 20}
-	sum := total(bound, "i-1", all[:9], all[:9]) + total(bound, "i-1", all[9:], all[9:])
+	sum := totalShare(bound, "i-1", all[:9], all[:9]) + totalShare(bound, "i-1", all[9:], all[9:])
 	require.LessOrEqual(t, float64(sum), bound.PerSecond)
 }
 
-func TestANodeThatNobodyIsSentToHasNoPart(t *testing.T) {
+func TestNodeOutsideTheEntryNodesHasNoShare(t *testing.T) {
 	require.Zero(t, Share(Bound{PerSecond: 20}, "i-1", "other", nodes(3)))
 	require.Zero(t, Share(Bound{PerSecond: 20}, "i-1", "other", nil))
 }
 
-func TestAWindowHoldsNoMoreThanItsShareInAnySecond(t *testing.T) {
+func TestWindowAdmitsAtMostItsShareInAnySecond(t *testing.T) {
 	const share = 3
 	var w Window
 	var sent []core.Time
