--- a/internal/core/entrylimit/entrylimit.go
+++ b/internal/core/entrylimit/entrylimit.go
@@ -1,12 +1,11 @@
-// Package entrylimit decides which callers' requests a node's entry takes on,
-// so that no customer keeps the others out.
+// Package entrylimit limits the requests in flight at the entry of a node, so that no customer blocks
+// the others.
 //
-// A customer may hold at most Headroom times the free places. Alone it so gets
-// Headroom/(1+Headroom) of the places; n customers that all want more get
-// Headroom/(1+n*Headroom) each, and some places always stay free for one that
-// has none. No clock and no list of who asked lately is needed: the share of a
-// large customer shrinks as the others fill places, at the pace at which its
-// own requests end.
+// A customer may have at most Headroom times as many requests in flight as there are free slots. A
+// single customer thus gets Headroom/(1+Headroom) of the slots; n customers that all want more get
+// Headroom/(1+n*Headroom) each, and some slots always stay free for a customer that has none. This
+// needs no clock and no list of recent customers: the share of a large customer shrinks as others fill
+// slots, at the rate at which its own requests end.
 package entrylimit
 
 import (
@@ -15,55 +14,54 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Defaults of a Config: a customer alone may hold four fifths of the places,
-// two that both want more four ninths each.
+// Defaults of a Config. With this headroom one customer alone may use four fifths of the slots; two
+// customers that both want more may use four ninths each.
 const (
 	DefaultMaxInFlight = 1024
 	DefaultHeadroom    = 4
 )
 
-// Bounds of the time after which a refused caller is told to come back.
+// Bounds of the retry-after time of a refused request.
 const (
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 )
 
-// smoothing is the weight of the newest duration in the mean, one part in it.
-const smoothing = 16
+// durationSmoothing is the inverse weight of a new sample in the mean duration.
+const durationSmoothing = 16
 
-// Config chooses the bounds. Zero values take the defaults.
+// Config configures a Limiter. Zero values select the defaults.
 type Config struct {
-	// MaxInFlight is the number of requests in work at once, over all customers.
+	// MaxInFlight is the maximum number of requests in flight over all customers.
 	MaxInFlight int
-	// Headroom is how many times the free places a customer may hold.
+	// Headroom is the maximum ratio of a customer's requests in flight to the free slots.
 	Headroom int
 }
 
-// Decision is the decision on one request.
+// Decision is the result of Acquire.
 type Decision uint8
 
 const (
-	// Admitted takes the request on; Leave must follow.
+	// Admitted accepts the request; Release must follow.
 	Admitted Decision = iota
-	// CustomerLimitReached says that the customer's own limit is reached.
+	// CustomerLimitReached means that the customer's own limit is reached.
 	CustomerLimitReached
-	// ShareExceeded says that the customer would hold more than its share of the
-	// places that others left free.
+	// ShareExceeded means that the customer would exceed its share of the slots that others left free.
 	ShareExceeded
-	// Full says that no place is free.
+	// Full means that no slot is free.
 	Full
 )
 
-// Limiter counts the requests in work. It is not safe for concurrent use and
-// holds an entry only for customers with work, so at most Places of them.
+// Limiter counts the requests in flight. It is not safe for concurrent use. It keeps an entry only for
+// customers with requests in flight, at most MaxInFlight.
 type Limiter struct {
-	config Config
-	counts map[core.Customer]int
-	total  int
-	mean   time.Duration
+	config             Config
+	inFlightByCustomer map[core.Customer]int
+	inFlight           int
+	meanDuration       time.Duration
 }
 
-// New makes an idle limiter.
+// New returns an idle limiter.
 func New(config Config) *Limiter {
 	if config.MaxInFlight <= 0 {
 		config.MaxInFlight = DefaultMaxInFlight
@@ -71,12 +69,12 @@
 	if config.Headroom <= 0 {
 		config.Headroom = DefaultHeadroom
 	}
-	return &Limiter{config: config, counts: map[core.Customer]int{}}
+	return &Limiter{config: config, inFlightByCustomer: map[core.Customer]int{}}
 }
 
-// Acquire decides on a request of a customer whose own limit is given.
+// Acquire decides on a request of a customer with the given limit of its own.
 func (l *Limiter) Acquire(customer core.Customer, limit int) Decision {
-	held, free := l.counts[customer], l.config.MaxInFlight-l.total
+	held, free := l.inFlightByCustomer[customer], l.config.MaxInFlight-l.inFlight
 	switch {
 	case held >= limit:
 		return CustomerLimitReached
@@ -85,30 +83,30 @@
 	case held >= l.config.Headroom*free:
 		return ShareExceeded
 	}
-	l.counts[customer]++
-	l.total++
+	l.inFlightByCustomer[customer]++
+	l.inFlight++
 	return Admitted
 }
 
-// Release ends an admitted request, which took the given time.
-func (l *Limiter) Release(customer core.Customer, took time.Duration) {
-	l.total--
-	l.counts[customer]--
-	if l.counts[customer] == 0 {
-		delete(l.counts, customer)
+// Release ends an admitted request with the given duration.
+func (l *Limiter) Release(customer core.Customer, duration time.Duration) {
+	l.inFlight--
+	l.inFlightByCustomer[customer]--
+	if l.inFlightByCustomer[customer] == 0 {
+		delete(l.inFlightByCustomer, customer)
 	}
-	if l.mean == 0 {
-		l.mean = took
+	if l.meanDuration == 0 {
+		l.meanDuration = duration
 		return
 	}
-	l.mean += (took - l.mean) / smoothing
+	l.meanDuration += (duration - l.meanDuration) / durationSmoothing
 }
 
-// RetryAfter is when a refused caller should come back: after the mean time of
-// a request, when about as many as are held now will have ended.
+// RetryAfter returns when a refused caller should retry: after the mean duration of a request, by
+// which time about as many requests as are in flight now will have ended.
 func (l *Limiter) RetryAfter() time.Duration {
-	return min(max(l.mean, minRetryAfter), maxRetryAfter)
+	return min(max(l.meanDuration, minRetryAfter), maxRetryAfter)
 }
 
-// InFlight is the number of requests in work.
-func (l *Limiter) InFlight() int { return l.total }
+// InFlight returns the number of requests in flight.
+func (l *Limiter) InFlight() int { return l.inFlight }
--- a/internal/core/entrylimit/entrylimit_test.go
+++ b/internal/core/entrylimit/entrylimit_test.go
@@ -10,35 +10,35 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-const noLimit = 1 << 30
+const unlimited = 1 << 30
 
-func fill(l *Limiter, customer core.Customer) int {
+func acquireAll(l *Limiter, customer core.Customer) int {
 	count := 0
-	for l.Acquire(customer, noLimit) == Admitted {
+	for l.Acquire(customer, unlimited) == Admitted {
 		count++
 	}
 	return count
 }
 
-// Small callers get "overloaded" all day although they ask little: the large
-// customer sends more than the entry can hold and takes each place that frees.
-// It must find its share shrink instead, and a newcomer must always get in.
-func TestTheLargeCustomerKeepsNobodyOut(t *testing.T) {
+// Guards against a large customer that sends more than the entry can hold and takes each slot that
+// becomes free, so that the requests of small customers are refused. Its share must shrink instead,
+// and a new customer must always be admitted.
+func TestLargeCustomerDoesNotBlockOthers(t *testing.T) {
 	l := New(Config{MaxInFlight: 90, Headroom: 4})
-	require.Equal(t, 72, fill(l, "large"), "alone: 4/5 of the places")
-	require.Equal(t, Admitted, l.Acquire("small", noLimit))
+	require.Equal(t, 72, acquireAll(l, "large"), "a single customer gets 4/5 of the slots")
+	require.Equal(t, Admitted, l.Acquire("small", unlimited))
 	l.Release("small", time.Millisecond)
 	for range 1000 {
 		l.Release("large", time.Millisecond)
-		fill(l, "small")
-		fill(l, "large")
+		acquireAll(l, "small")
+		acquireAll(l, "large")
 	}
-	require.InDelta(t, 40, l.counts["large"], 1, "both want more: 4/9 each")
-	require.InDelta(t, 40, l.counts["small"], 1)
-	require.Equal(t, Admitted, l.Acquire("newcomer", noLimit))
+	require.InDelta(t, 40, l.inFlightByCustomer["large"], 1, "two competing customers get 4/9 of the slots each")
+	require.InDelta(t, 40, l.inFlightByCustomer["small"], 1)
+	require.Equal(t, Admitted, l.Acquire("newcomer", unlimited))
 }
 
-func TestEachRefusalNamesItsBound(t *testing.T) {
+func TestEachRefusalReportsItsReason(t *testing.T) {
 	l := New(Config{MaxInFlight: 2, Headroom: 1})
 	require.Equal(t, CustomerLimitReached, l.Acquire("a", 0))
 	require.Equal(t, Admitted, l.Acquire("a", 5))
@@ -50,9 +50,9 @@
 	require.Equal(t, 300*time.Millisecond, l.RetryAfter())
 }
 
-// Places that are not given back, or given back twice, would close the entry
-// or open it without bound.
-func TestPlacesAreCountedExactly(t *testing.T) {
+// Guards against slots that are not released, which would block the entry, and slots released twice,
+// which would remove the limit.
+func TestInFlightRequestsAreCountedExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Config{MaxInFlight: rapid.IntRange(1, 12).Draw(t, "places"), Headroom: rapid.IntRange(1, 4).Draw(t, "headroom")})
 		var held []core.Customer
