--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -1,7 +1,6 @@
-// Package admit decides, for one shard, which request runs next on which
-// replica: fair queueing between customers, each replica's limit and health,
-// early refusal, retries and hedges. docs/design/admission.md gives the reasons
-// and the figures.
+// Package admit schedules the requests of one shard on its replicas: fair queueing between customers,
+// an adaptive limit and a health state for each replica, early refusal, retries and hedges. See
+// docs/design/admission.md for the design reasons and measurements.
 package admit
 
 import (
@@ -11,94 +10,96 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/latency"
 )
 
-// RequestID identifies a queued request within one shard's machine.
+// RequestID identifies a request within one Shard.
 type RequestID uint64
 
-// AttemptID identifies one upstream request within one shard's machine.
+// AttemptID identifies one upstream request within one Shard.
 type AttemptID uint64
 
-// Jitter is a source of numbers in [0, 1).
+// Jitter returns random numbers in [0, 1).
 type Jitter interface{ Float64() float64 }
 
-// Budget bounds the tries beyond the first ones. A budget.Group is one.
+// Budget limits the attempts beyond the first one of each request. It is implemented by budget.Group.
 type Budget interface {
-	// FirstTry notes n first tries to a service for a customer.
+	// FirstTry records n first attempts to a service for a customer.
 	FirstTry(service string, customer core.Customer, n int)
-	// TryExtra takes the right to one more try of the customer at the service.
+	// TryExtra takes a token for one extra attempt of the customer at the service. It returns false if
+	// none is left.
 	TryExtra(service string, customer core.Customer) bool
 }
 
-// Config is what the operators' text says of a shard, and what the shard shares
-// with others of its service.
+// Config holds a shard's part of the configuration and the state that it shares with other shards of
+// its service.
 type Config struct {
-	// Service names the service whose budget extra tries are taken from.
+	// Service is the service whose budget extra attempts are taken from.
 	Service string
-	// Slots is the concurrency a replica starts with, Share the most requests
-	// that this node may have in flight at one. With a Share of 0 no replica is
-	// used.
+	// Slots is the configured concurrency of a replica, which the ramp after a cold start leads up to.
+	// Share is the maximum number of requests that this node may have in flight at a replica; with a Share
+	// of 0 no replica is used.
 	Slots    int
 	Share    int
 	Replicas []ReplicaConfig
-	// MaxQueue bounds the requests that wait, over all customers.
+	// MaxQueue is the maximum number of queued requests over all customers.
 	MaxQueue int
-	// DataCentre is this node's own.
+	// DataCentre is the data centre of this node.
 	DataCentre string
-	// Budget bounds retries and hedges; nil allows none.
+	// Budget limits retries and hedges; nil allows none.
 	Budget Budget
-	// Latency is the service's learnt latency; nil gives the shard its own.
+	// Latency is the latency histogram of the service; with nil the shard creates its own.
 	Latency *latency.Histogram
-	// Jitter spreads probes and pauses; nil is none.
+	// Jitter randomizes probe intervals and pauses; nil disables jitter.
 	Jitter Jitter
 }
 
-// ReplicaConfig is one replica of the shard.
+// ReplicaConfig is the configuration of one replica of the shard.
 type ReplicaConfig struct {
 	Address    string
 	DataCentre string
 	Draining   bool
 }
 
-// Event is something that happened to the shard.
+// Event is an input of Shard.Step.
 type Event interface{ isEvent() }
 
-// Offered asks for a request to be run.
+// Offered submits a request.
 type Offered struct {
 	ID       RequestID
 	Customer core.Customer
 	Weight   float64
 	Deadline core.Time
-	// Once marks a request that must not be repeated.
+	// Once marks a request that must not be executed twice.
 	Once bool
-	// Alone marks a request that may end replicas: it is not hedged, so that it runs on one replica at a time.
+	// Alone marks a request that may crash replicas. It is not hedged, so that it runs on one replica at a
+	// time.
 	Alone bool
 }
 
-// Withdrawn says that nobody waits for the request any longer.
+// Withdrawn cancels a request whose caller no longer waits for it.
 type Withdrawn struct{ ID RequestID }
 
-// TryEnded is the end of an upstream request.
+// TryEnded reports the end of an upstream request.
 type TryEnded struct {
 	Try      AttemptID
 	Outcome  core.Outcome
 	Reason   core.Reason
 	Draining bool
-	// Refused says that the upstream took no connection.
+	// Refused is set when the upstream did not accept a connection.
 	Refused bool
 	// Broken is set when the upstream closed the connection instead of answering.
 	Broken bool
-	// RetryAfter is how long the upstream asked to be left alone.
+	// RetryAfter is the pause that the upstream asked for.
 	RetryAfter time.Duration
-	// Load is the upstream's own figure, 0 to 1; negative is not given.
+	// Load is the load that the upstream reported, 0 to 1; negative if it reported none.
 	Load float64
 }
 
-// DrainSeen says that another node has seen the replica drain.
+// DrainSeen reports that another node has observed that the replica is draining.
 type DrainSeen struct{ Address string }
 
-// Reconfigured says that the operators' text has changed the shard.
+// Reconfigured replaces the shard's configuration.
 type Reconfigured struct{ Config Config }
 
-// Woken is the alarm that a WakeAt asked for.
+// Woken is the timer event requested by WakeAt.
 type Woken struct{}
 
 func (Offered) isEvent()      {}
@@ -108,20 +109,20 @@
 func (Reconfigured) isEvent() {}
 func (Woken) isEvent()        {}
 
-// Action is something the shard wants done.
+// Action is an output of Shard.Step, to be carried out by the caller.
 type Action interface{ isAction() }
 
-// Kind says why a request is dispatched.
+// Kind is the reason for a dispatch.
 type Kind uint8
 
 const (
-	// KindFirst is a request's first try.
+	// KindFirst is the first attempt of a request.
 	KindFirst Kind = iota
-	// KindRedispatch follows a try that is proven not to have run.
+	// KindRedispatch follows an attempt that is proven not to have run.
 	KindRedispatch
-	// KindRetry follows a try that may have run; it is taken from the budget.
+	// KindRetry follows an attempt that may have run; it is charged to the budget.
 	KindRetry
-	// KindHedge joins a try that is still running; it is taken from the budget.
+	// KindHedge runs beside an attempt that is still in flight; it is charged to the budget.
 	KindHedge
 )
 
@@ -130,37 +131,37 @@
 	Try     AttemptID
 	Request RequestID
 	Address string
-	// TimeLeft is the time to the request's deadline.
+	// TimeLeft is the remaining time until the deadline of the request.
 	TimeLeft time.Duration
 	Kind     Kind
 }
 
-// Abort cancels an upstream request whose result is not wanted.
+// Abort cancels an upstream request whose result is no longer needed.
 type Abort struct{ Try AttemptID }
 
-// Settle ends the request with the result of a try.
+// Settle completes the request with the result of an attempt.
 type Settle struct {
 	Request RequestID
 	Try     AttemptID
 	Tries   int
-	// Hedge is what came of the request's hedge.
+	// Hedge is the final state of the request's hedge.
 	Hedge HedgeState
 }
 
-// Refuse ends the request without its having run.
+// Refuse completes the request without any attempt.
 type Refuse struct {
 	Request    RequestID
 	Reason     core.Reason
 	RetryAfter time.Duration
 }
 
-// HealthChanged tells of a replica's new state, by its name in the chart.
+// HealthChanged reports a state change of a replica, with state names from the state chart.
 type HealthChanged struct{ Address, From, To string }
 
-// Forgotten says that a replica has left the text and runs nothing any more.
+// Forgotten reports that a replica has left the configuration and has no requests in flight.
 type Forgotten struct{ Address string }
 
-// WakeAt asks for a Woken event; a later WakeAt replaces it.
+// WakeAt requests a Woken event. It replaces an earlier WakeAt.
 type WakeAt struct{ At core.Time }
 
 func (Dispatch) isAction()      {}
--- a/internal/core/admit/bench_test.go
+++ b/internal/core/admit/bench_test.go
@@ -12,20 +12,20 @@
 )
 
 func benchConfig(names []string) Config {
-	config := Config{Service: "s", Slots: 2, Share: 8, MaxQueue: modelQueue, Budget: budget.NewGroup(budget.GroupConfig{}), Latency: &latency.Histogram{}}
+	config := Config{Service: "s", Slots: 2, Share: 8, MaxQueue: modelMaxQueue, Budget: budget.NewGroup(budget.GroupConfig{}), Latency: &latency.Histogram{}}
 	for _, name := range names {
 		config.Replicas = append(config.Replicas, ReplicaConfig{Address: name})
 	}
 	return config
 }
 
-// BenchmarkRequest measures a request from its offer to its end, at a queue of
-// the given number of customers with four requests each.
+// BenchmarkRequest measures a request from offer to end, in a queue with the given number of customers
+// and four requests each.
 func BenchmarkRequest(b *testing.B) {
 	names := []string{"a", "b"}
 	for _, customers := range []int{1, 100} {
 		b.Run(fmt.Sprintf("fifo/customers=%d", customers), func(b *testing.B) {
-			benchRequests(b, newFIFO(2, modelQueue, names), customers)
+			benchRequests(b, newFIFO(2, modelMaxQueue, names), customers)
 		})
 		b.Run(fmt.Sprintf("fair/customers=%d", customers), func(b *testing.B) {
 			benchRequests(b, NewShard(benchConfig(names)), customers)
@@ -67,17 +67,17 @@
 	return running
 }
 
-// BenchmarkMemory reports the bytes of an idle shard with two replicas, and of
-// each waiting request with 64 customers.
+// BenchmarkMemory reports the bytes per idle shard with two replicas, and per waiting request with 64
+// customers.
 func BenchmarkMemory(b *testing.B) {
 	const shards, requests = 2000, 400
 	for range b.N {
-		budgets, learnt := budget.NewGroup(budget.GroupConfig{}), &latency.Histogram{}
+		budgets, serviceLatency := budget.NewGroup(budget.GroupConfig{}), &latency.Histogram{}
 		before := heapBytes()
 		list := make([]*Shard, shards)
 		for i := range list {
 			config := benchConfig([]string{"10.0.0.1:8080", "10.0.0.2:8080"})
-			config.Budget, config.Latency = budgets, learnt
+			config.Budget, config.Latency = budgets, serviceLatency
 			list[i] = NewShard(config)
 		}
 		idle := heapBytes()
--- a/internal/core/admit/configure.go
+++ b/internal/core/admit/configure.go
@@ -7,53 +7,53 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/latency"
 )
 
-// configure takes over the text's replicas. One that is running work keeps its
-// state, so that what it runs stays counted.
+// configure applies a new configuration. Replicas that stay keep their state. A removed replica is
+// kept until its requests in flight have ended, so that they stay counted.
 func (s *Shard) configure(now core.Time, config Config) {
 	s.config = config
 	if config.Latency != nil {
-		s.service = config.Latency
+		s.serviceLatency = config.Latency
 	}
-	if s.service == nil {
-		s.service = &latency.Histogram{}
+	if s.serviceLatency == nil {
+		s.serviceLatency = &latency.Histogram{}
 	}
 	for _, existing := range s.replicas {
-		existing.written = false
+		existing.configured = false
 	}
-	for _, written := range config.Replicas {
-		s.write(now, written)
+	for _, replicaConfig := range config.Replicas {
+		s.configureReplica(now, replicaConfig)
 	}
 	for _, existing := range s.replicas {
-		if !existing.written {
-			s.fire(existing, eventRemoved, incident{now: now})
+		if !existing.configured {
+			s.fire(existing, eventRemoved, chartInput{now: now})
 		}
 	}
-	s.forgetGone()
+	s.removeGoneReplicas()
 }
 
-// write takes over one replica as the text has it.
-func (s *Shard) write(now core.Time, written ReplicaConfig) {
-	r := s.replica(written.Address)
+// configureReplica adds a replica or updates its configuration.
+func (s *Shard) configureReplica(now core.Time, replicaConfig ReplicaConfig) {
+	r := s.replicaByAddress(replicaConfig.Address)
 	if r == nil {
 		r = &replica{}
-		r.restart()
+		r.restartRamp()
 		s.replicas = append(s.replicas, r)
 	}
-	undrained := r.Draining && !written.Draining
-	r.ReplicaConfig = written
-	r.written = true
-	r.remote = s.config.DataCentre != "" && written.DataCentre != s.config.DataCentre
-	r.bounds(s.config.Slots, s.config.Share)
-	s.fire(r, eventRestored, incident{now: now})
+	undrained := r.Draining && !replicaConfig.Draining
+	r.ReplicaConfig = replicaConfig
+	r.configured = true
+	r.remote = s.config.DataCentre != "" && replicaConfig.DataCentre != s.config.DataCentre
+	r.setBounds(s.config.Slots, s.config.Share)
+	s.fire(r, eventRestored, chartInput{now: now})
 	switch {
-	case written.Draining:
-		s.fire(r, eventDrainSeen, incident{now: now})
+	case replicaConfig.Draining:
+		s.fire(r, eventDrainSeen, chartInput{now: now})
 	case undrained:
-		s.fire(r, eventUndrained, incident{now: now})
+		s.fire(r, eventUndrained, chartInput{now: now})
 	}
 }
 
-func (s *Shard) replica(address string) *replica {
+func (s *Shard) replicaByAddress(address string) *replica {
 	for _, r := range s.replicas {
 		if r.Address == address {
 			return r
@@ -62,28 +62,28 @@
 	return nil
 }
 
-// drainSeen takes what another node saw of a replica.
+// drainSeen handles a drain of a replica that another node has observed.
 func (s *Shard) drainSeen(now core.Time, address string) {
-	if r := s.replica(address); r != nil {
-		s.fire(r, eventDrainSeen, incident{now: now})
+	if r := s.replicaByAddress(address); r != nil {
+		s.fire(r, eventDrainSeen, chartInput{now: now})
 	}
 }
 
-// endHolds lets replicas whose drain the text does not confirm be probed again.
-func (s *Shard) endHolds(now core.Time) {
+// expireDrainHolds allows probes of replicas whose drain is not confirmed by the configuration.
+func (s *Shard) expireDrainHolds(now core.Time) {
 	for _, r := range s.replicas {
-		if r.state == stateDraining && !r.Draining && now-r.drainedAt >= drainHold {
-			s.fire(r, eventHoldOver, incident{now: now})
+		if r.state == stateDraining && !r.Draining && now-r.drainSeenAt >= drainHold {
+			s.fire(r, eventHoldOver, chartInput{now: now})
 		}
 	}
 }
 
-func (s *Shard) forgetGone() {
+func (s *Shard) removeGoneReplicas() {
 	s.replicas = slices.DeleteFunc(s.replicas, func(r *replica) bool {
-		forget := r.state == stateGone && r.inFlight == 0
-		if forget {
+		remove := r.state == stateGone && r.inFlight == 0
+		if remove {
 			s.actions = append(s.actions, Forgotten{Address: r.Address})
 		}
-		return forget
+		return remove
 	})
 }
--- a/internal/core/admit/dispatch.go
+++ b/internal/core/admit/dispatch.go
@@ -6,24 +6,23 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// dispatch uses every free slot that some waiting request may use.
+// dispatch assigns waiting requests to all free slots that they may use.
 func (s *Shard) dispatch(now core.Time) {
 	s.dispatchReturned(now)
 	s.dispatchQueued(now)
 }
 
-// dispatchReturned sends the requests to be tried again, and settles those that
-// no replica is left for.
+// dispatchReturned dispatches returned requests and settles those that have no replica left to try.
 func (s *Shard) dispatchReturned(now core.Time) {
 	for i := 0; i < len(s.returned); {
 		r := s.returned[i]
-		chosen := s.choose(now, r)
+		chosen := s.chooseReplica(now, r)
 		switch {
 		case chosen != nil:
 			s.returned = slices.Delete(s.returned, i, i+1)
-			s.send(now, r, chosen, r.kind)
-		case !s.hasOther(r):
-			s.unqueue(r)
+			s.sendAttempt(now, r, chosen, r.nextKind)
+		case !s.hasOtherReplica(r):
+			s.dequeue(r)
 			s.settle(r)
 		default:
 			i++
@@ -31,28 +30,28 @@
 	}
 }
 
-// dispatchQueued sends queued requests in turn until no slot is free.
+// dispatchQueued dispatches queued requests in fair order until no slot is free.
 func (s *Shard) dispatchQueued(now core.Time) {
-	for s.dropStale(now); s.queue.waiting > 0; s.dropStale(now) {
-		chosen := s.choose(now, s.queue.peek())
+	for s.refuseStale(now); s.queue.waiting > 0; s.refuseStale(now) {
+		chosen := s.chooseReplica(now, s.queue.peek())
 		if chosen == nil {
 			return
 		}
-		s.send(now, s.queue.pop(now), chosen, KindFirst)
+		s.sendAttempt(now, s.queue.pop(now), chosen, KindFirst)
 	}
 }
 
-// choose returns the replica with the least expected wait that may get the
-// request now, or nil. A down replica whose probe is due comes first: with the
-// least expected wait it would never be asked again.
-func (s *Shard) choose(now core.Time, r *request) *replica {
+// chooseReplica returns the replica with the shortest expected wait that can take the request now, or
+// nil. A down replica with a due probe takes precedence: selected by expected wait, it would never get
+// a request again.
+func (s *Shard) chooseReplica(now core.Time, r *request) *replica {
 	var best *replica
 	bestWait := 0.0
 	for _, candidate := range s.replicas {
-		if !r.Once && r.tries == 0 && candidate.probeDue(now) {
+		if !r.Once && r.attempts == 0 && candidate.probeDue(now) {
 			return candidate
 		}
-		if !candidate.free(now) || slices.Contains(r.avoid, candidate) || r.runsOn(candidate) {
+		if !candidate.available(now) || slices.Contains(r.excluded, candidate) || r.isRunningOn(candidate) {
 			continue
 		}
 		wait := candidate.expectedWait(now)
@@ -66,17 +65,17 @@
 	return best
 }
 
-// send begins a try and plans its hedge.
-func (s *Shard) send(now core.Time, r *request, chosen *replica, kind Kind) {
+// sendAttempt starts an attempt and schedules its hedge.
+func (s *Shard) sendAttempt(now core.Time, r *request, chosen *replica, kind Kind) {
 	s.deadlines.remove(r)
-	s.nextTry++
-	t := &try{id: s.nextTry, request: r, replica: chosen, started: now}
-	r.tries++
-	r.live = append(r.live, t)
-	s.running[t.id] = t
+	s.lastAttempt++
+	a := &attempt{id: s.lastAttempt, request: r, replica: chosen, startedAt: now}
+	r.attempts++
+	r.running = append(r.running, a)
+	s.running[a.id] = a
 	chosen.inFlight++
-	t.inFlight = chosen.inFlight
-	chosen.began(chosen.inFlight)
+	a.inFlightAtSend = chosen.inFlight
+	chosen.recordSent(chosen.inFlight)
 	if kind == KindFirst && s.config.Budget != nil {
 		s.config.Budget.FirstTry(s.config.Service, r.Customer, 1)
 	}
@@ -84,16 +83,16 @@
 	case kind == KindHedge:
 		r.hedge = HedgeSent
 	case !r.Once && !r.Alone:
-		t.hedgeAt = now + s.hedgeDelay(chosen, r.Deadline-now)
-		s.hedges.fix(t)
+		a.hedgeAt = now + s.hedgeDelay(chosen, r.Deadline-now)
+		s.hedges.fix(a)
 		r.hedge = HedgePlanned
 	}
-	s.actions = append(s.actions, Dispatch{Try: t.id, Request: r.ID, Address: chosen.Address, TimeLeft: r.Deadline - now, Kind: kind})
+	s.actions = append(s.actions, Dispatch{Try: a.id, Request: r.ID, Address: chosen.Address, TimeLeft: r.Deadline - now, Kind: kind})
 }
 
-// runsOn reports whether a try of the request runs on the replica. A second one
-// there would wait for the same cause: a request whose first try went silent and
-// whose hedge was shed would have both on the silent replica until its deadline.
-func (r *request) runsOn(candidate *replica) bool {
-	return slices.ContainsFunc(r.live, func(t *try) bool { return t.replica == candidate })
+// isRunningOn reports whether an attempt of the request is in flight at the replica. A second attempt
+// there would be exposed to the same failure: if the first attempt gets no reply and its hedge is
+// shed, both would hang on the unresponsive replica until the deadline.
+func (r *request) isRunningOn(candidate *replica) bool {
+	return slices.ContainsFunc(r.running, func(a *attempt) bool { return a.replica == candidate })
 }
--- a/internal/core/admit/estimate.go
+++ b/internal/core/admit/estimate.go
@@ -7,24 +7,23 @@
 )
 
 const (
-	// quickQuantile is the latency that a request needs at least: with less
-	// time left it cannot make its deadline.
-	quickQuantile = 0.05
-	// slowQuantile is the latency within which most requests are served.
-	slowQuantile = 0.95
+	// minLatencyQuantile gives the minimum time that a request needs: with less time remaining it cannot
+	// meet its deadline.
+	minLatencyQuantile = 0.05
+	// usualLatencyQuantile gives the time within which most requests are served.
+	usualLatencyQuantile = 0.95
 	// meanGain is the weight of a new sample in the mean service time.
 	meanGain = 0.05
-	// leastWait is the shortest advice when to come back.
-	leastWait = time.Millisecond
-	// textPause is the advice while only another text or the end of a drain can
-	// bring a replica. It is longer than most questions last, so that they answer
-	// without the shard at once rather than ask for it in vain.
-	textPause = 5 * time.Second
+	// minRetryAfter is the shortest retry-after time.
+	minRetryAfter = time.Millisecond
+	// retryAfterConfigChange is the retry-after time while only a configuration change or the end of a
+	// drain can make a replica usable. It is longer than most queries last, so that they complete without
+	// the shard at once instead of retrying in vain.
+	retryAfterConfigChange = 5 * time.Second
 )
 
-// untilProbe is the time until some replica may get work again, for the advice
-// when to come back.
-func (s *Shard) untilProbe(now core.Time) time.Duration {
+// timeUntilProbe returns the time until a replica may get requests again, as a retry-after time.
+func (s *Shard) timeUntilProbe(now core.Time) time.Duration {
 	least := time.Duration(0)
 	for _, r := range s.replicas {
 		at := core.Time(0)
@@ -32,114 +31,115 @@
 		case r.state == stateDown:
 			at = r.probeAt
 		case r.state == stateDraining && !r.Draining:
-			at = r.drainedAt + drainHold
+			at = r.drainSeenAt + drainHold
 		default:
 			continue
 		}
-		if wait := max(leastWait, at-now); least == 0 || wait < least {
+		if wait := max(minRetryAfter, at-now); least == 0 || wait < least {
 			least = wait
 		}
 	}
 	if least == 0 {
-		return textPause
+		return retryAfterConfigChange
 	}
 	return least
 }
 
-// tooLate is by how much the request will miss its deadline, given the learnt
-// service time and what is ahead of it; 0 when it can make it or that is not
-// known.
-func (s *Shard) tooLate(now core.Time, r *request) time.Duration {
-	needs := s.quickest()
+// expectedLateness returns by how much the request is expected to miss its deadline, given the
+// measured service time and the queue ahead of it. It returns 0 if the request can meet the deadline
+// or if that is unknown.
+func (s *Shard) expectedLateness(now core.Time, r *request) time.Duration {
+	needs := s.minServiceTime()
 	if r.flow.length > 1 {
-		needs = s.usual()
+		needs = s.usualServiceTime()
 	}
 	late := now + s.queueWait(now, r) + needs - r.Deadline
 	if late <= 0 {
 		return 0
 	}
-	return max(late, leastWait)
+	return max(late, minRetryAfter)
 }
 
-// queueWait is the expected time until a queued request is dispatched. While
-// all replicas pause, each takes about one request a pause.
+// queueWait returns the expected time until a queued request is dispatched. While all replicas are
+// paused, each takes about one request per pause.
 func (s *Shard) queueWait(now core.Time, r *request) time.Duration {
-	room := s.room(now)
-	if room.free {
+	capacity := s.availability(now)
+	if capacity.immediate {
 		return 0
 	}
-	ahead := s.queue.ahead(r.flow) + float64(len(s.returned))
+	ahead := s.queue.requestsAhead(r.flow) + float64(len(s.returned))
 	switch {
-	case room.slots > 0:
-		return max(time.Duration(ahead*s.mean/float64(room.slots)), r.flow.wait())
-	case room.pausing > 0:
-		return room.soonest + time.Duration(ahead*float64(room.pause)/float64(room.pausing))
+	case capacity.busySlots > 0:
+		return max(time.Duration(ahead*s.meanServiceTimeNs/float64(capacity.busySlots)), r.flow.estimatedWait())
+	case capacity.pausedReplicas > 0:
+		return capacity.firstPauseEnd + time.Duration(ahead*float64(capacity.longestPause)/float64(capacity.pausedReplicas))
 	default:
 		return 0
 	}
 }
 
-// room is what the usable replicas offer to waiting requests.
-type room struct {
-	// free is set when one of them takes a request now.
-	free bool
-	// slots counts the slots of those that are busy, pausing the replicas that
-	// pause. pause is their longest pause, soonest the time until one ends.
-	slots, pausing int
-	pause, soonest time.Duration
+// availability summarizes the capacity of the usable replicas for waiting requests.
+type availability struct {
+	// immediate is set if a replica can take a request now.
+	immediate bool
+	// busySlots is the number of slots of the busy replicas, pausedReplicas the number of replicas that
+	// are paused. longestPause is their longest pause, firstPauseEnd the time until the first pause ends.
+	busySlots, pausedReplicas   int
+	longestPause, firstPauseEnd time.Duration
 }
 
-func (s *Shard) room(now core.Time) room {
-	var found room
+func (s *Shard) availability(now core.Time) availability {
+	var found availability
 	for _, r := range s.replicas {
-		rest := r.pausedUntil - now
+		remaining := r.pausedUntil - now
 		switch {
 		case !r.usable():
-		case r.free(now):
-			return room{free: true}
-		case rest <= 0:
-			found.slots += r.slots()
+		case r.available(now):
+			return availability{immediate: true}
+		case remaining <= 0:
+			found.busySlots += r.slots()
 		default:
-			found.addPause(r.pause, rest)
+			found.addPause(r.pause, remaining)
 		}
 	}
 	return found
 }
 
-func (f *room) addPause(pause, rest time.Duration) {
-	f.pausing++
-	f.pause = max(f.pause, pause)
-	if f.soonest == 0 || rest < f.soonest {
-		f.soonest = rest
+func (a *availability) addPause(pause, remaining time.Duration) {
+	a.pausedReplicas++
+	a.longestPause = max(a.longestPause, pause)
+	if a.firstPauseEnd == 0 || remaining < a.firstPauseEnd {
+		a.firstPauseEnd = remaining
 	}
 }
 
-// quickest is the time that a waiting request needs at least to be served. It
-// is 0 while nothing runs: a service that was slow for a while would otherwise
-// have all its requests refused for ever, since nothing new would be learnt.
-func (s *Shard) quickest() time.Duration {
+// minServiceTime returns the minimum time to serve a waiting request. It is 0 while nothing is in
+// flight: otherwise a service that was slow for a while would have all its requests refused forever,
+// because no new latencies would be measured.
+func (s *Shard) minServiceTime() time.Duration {
 	if len(s.running) == 0 {
 		return 0
 	}
-	quick, _ := s.service.Quantile(quickQuantile)
+	quick, _ := s.serviceLatency.Quantile(minLatencyQuantile)
 	return quick
 }
 
-// usual is the time in which most requests are served, by the rule of quickest.
-func (s *Shard) usual() time.Duration {
+// usualServiceTime returns the time within which most requests are served. It is 0 while nothing is in
+// flight, as for minServiceTime.
+func (s *Shard) usualServiceTime() time.Duration {
 	if len(s.running) == 0 {
 		return 0
 	}
-	usual, _ := s.service.Quantile(slowQuantile)
+	usual, _ := s.serviceLatency.Quantile(usualLatencyQuantile)
 	return usual
 }
 
-// learn takes an answer's latency.
-func (s *Shard) learn(elapsed time.Duration) {
-	s.service.Record(elapsed)
-	if s.mean == 0 {
-		s.mean = float64(elapsed)
+// recordServiceTime records the latency of an answer.
+func (s *Shard) recordServiceTime(elapsed time.Duration) {
+	s.serviceLatency.Record(elapsed)
+	if s.meanServiceTimeNs == 0 {
+		s.meanServiceTimeNs = float64(elapsed)
 		return
 	}
-	s.mean += meanGain * (float64(elapsed) - s.mean)
+	s.meanServiceTimeNs += meanGain * (float64(elapsed) - s.meanServiceTimeNs)
 }
--- a/internal/core/admit/fair.go
+++ b/internal/core/admit/fair.go
@@ -6,80 +6,78 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// turnGain is the weight of a new sample in a customer's time between turns.
-const turnGain = 0.1
-
-// maxIdle bounds the customers remembered without a waiting request.
-const maxIdle = 64
-
-// fairQueue is start-time fair queueing between customers. Each customer has a
-// start tag: the virtual time at which its next request is due. The customer
-// with the least tag goes next, its tag grows by 1/weight, and virtual time is
-// the tag last served. A customer that comes back starts at virtual time: it
-// gains nothing by its absence and owes nothing for what it took while others
-// were absent. Each step costs O(log customers).
+// turnIntervalGain is the weight of a new sample in the smoothed interval between a customer's turns.
+const turnIntervalGain = 0.1
+
+// maxIdleFlows is the maximum number of customers that are kept without a queued request.
+const maxIdleFlows = 64
+
+// fairQueue implements start-time fair queueing between customers. Each customer has a start tag: the
+// virtual time at which its next request is due. The customer with the lowest tag is served next, its
+// tag grows by 1/weight, and virtual time is the tag served last. A customer that returns starts at
+// virtual time: it gains nothing from its absence and is not charged for what it used while others
+// were absent. Each operation costs O(log customers).
 //
-// Start tags need no service times, unlike finish tags; deficit round robin
-// would be O(1) but serves a customer's whole quantum at once, which with 2
-// slots makes the others wait for it.
+// Start tags, unlike finish tags, need no service times. Deficit round robin would be O(1) but serves
+// the whole quantum of a customer at once; with 2 slots the other customers would wait for it.
 type fairQueue struct {
 	customers map[core.Customer]*flow
-	// ready orders the customers with requests by start tag, longest by the
-	// length of their queue over their weight, most first.
+	// ready orders the customers with requests by start tag. longest orders them by queue length divided
+	// by weight, highest first.
 	ready   indexedHeap[*flow]
 	longest indexedHeap[*flow]
-	// idle orders the customers without requests whose tag is still ahead of
-	// virtual time; forgetting one earlier would give it a second turn.
-	idle    indexedHeap[*flow]
-	virtual float64
-	waiting int
-	// weight is the sum over the customers with requests.
-	weight float64
-	joined uint64
+	// idle orders the customers without requests whose tag is still ahead of virtual time. Removing one
+	// earlier would give it a second turn.
+	idle        indexedHeap[*flow]
+	virtualTime float64
+	waiting     int
+	// activeWeight is the total weight of the customers with requests.
+	activeWeight float64
+	arrivals     uint64
 }
 
-// flow is one customer's queue, oldest request first.
+// flow is the queue of one customer, oldest request first.
 type flow struct {
 	customer core.Customer
 	weight   float64
-	start    float64
-	// joined breaks ties in the order of arrival.
-	joined     uint64
-	head, tail *request
-	length     int
-	// turn is the smoothed time between two turns while requests wait, in
-	// nanoseconds; 0 is not known. served is the last turn, 0 after a rest.
-	turn   float64
-	served core.Time
-
-	readyPlace, longestPlace, idlePlace int
+	startTag float64
+	// arrivalOrder breaks ties between equal tags.
+	arrivalOrder uint64
+	head, tail   *request
+	length       int
+	// turnIntervalNs is the smoothed interval between two turns while requests wait, in nanoseconds; 0 if
+	// unknown. lastTurn is the time of the last turn; 0 after the queue was empty.
+	turnIntervalNs float64
+	lastTurn       core.Time
+
+	readyPosition, longestPosition, idlePosition int
 }
 
 func newFairQueue() fairQueue {
 	return fairQueue{
 		customers: map[core.Customer]*flow{},
-		ready:     indexedHeap[*flow]{before: startsBefore, place: func(f *flow) *int { return &f.readyPlace }},
-		longest:   indexedHeap[*flow]{before: furtherOver, place: func(f *flow) *int { return &f.longestPlace }},
-		idle:      indexedHeap[*flow]{before: startsBefore, place: func(f *flow) *int { return &f.idlePlace }},
+		ready:     indexedHeap[*flow]{before: startTagBefore, position: func(f *flow) *int { return &f.readyPosition }},
+		longest:   indexedHeap[*flow]{before: longerForWeight, position: func(f *flow) *int { return &f.longestPosition }},
+		idle:      indexedHeap[*flow]{before: startTagBefore, position: func(f *flow) *int { return &f.idlePosition }},
 	}
 }
 
-func startsBefore(a, b *flow) bool {
-	if a.start != b.start {
-		return a.start < b.start
+func startTagBefore(a, b *flow) bool {
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
-	return a.joined < b.joined
+	return a.arrivalOrder < b.arrivalOrder
 }
 
-func furtherOver(a, b *flow) bool {
-	overA, overB := float64(a.length)/a.weight, float64(b.length)/b.weight
-	if overA != overB {
-		return overA > overB
+func longerForWeight(a, b *flow) bool {
+	lengthA, lengthB := float64(a.length)/a.weight, float64(b.length)/b.weight
+	if lengthA != lengthB {
+		return lengthA > lengthB
 	}
-	return a.joined > b.joined
+	return a.arrivalOrder > b.arrivalOrder
 }
 
-// push adds a request at the end of its customer's queue.
+// push appends a request to the queue of its customer.
 func (q *fairQueue) push(r *request) {
 	f := q.flowOf(r)
 	r.flow, r.previous = f, f.tail
@@ -95,7 +93,7 @@
 	q.longest.fix(f)
 }
 
-// flowOf finds or makes the customer's queue and brings its weight up to date.
+// flowOf returns the flow of the request's customer, creating it if needed, and updates its weight.
 func (q *fairQueue) flowOf(r *request) *flow {
 	weight := r.Weight
 	if !(weight > 0) {
@@ -107,53 +105,53 @@
 		q.customers[r.Customer] = f
 	}
 	if f.length == 0 {
-		q.joined++
-		f.joined = q.joined
-		f.start = max(f.start, q.virtual)
+		q.arrivals++
+		f.arrivalOrder = q.arrivals
+		f.startTag = max(f.startTag, q.virtualTime)
 		f.weight = 0
 		q.idle.remove(f)
 	}
-	q.weight += weight - f.weight
+	q.activeWeight += weight - f.weight
 	f.weight = weight
 	return f
 }
 
-// peek returns the request that is next; the queue must not be empty.
+// peek returns the next request. The queue must not be empty.
 func (q *fairQueue) peek() *request { return q.ready.first().head }
 
-// pop takes the next request and charges its customer.
+// pop removes the next request and charges its customer.
 func (q *fairQueue) pop(now core.Time) *request {
 	f := q.ready.first()
-	f.took(now)
+	f.recordTurn(now)
 	r := f.head
-	q.virtual = max(q.virtual, f.start)
-	f.start += 1 / f.weight
+	q.virtualTime = max(q.virtualTime, f.startTag)
+	f.startTag += 1 / f.weight
 	q.remove(r)
-	for q.idle.len() > 0 && q.idle.first().start <= q.virtual {
-		q.forget(q.idle.first())
+	for q.idle.len() > 0 && q.idle.first().startTag <= q.virtualTime {
+		q.removeFlow(q.idle.first())
 	}
 	return r
 }
 
-// took learns the time between turns, which tells how much the others take.
-func (f *flow) took(now core.Time) {
-	sample := float64(now - f.served)
+// recordTurn updates the interval between turns, which reflects how much the other customers use.
+func (f *flow) recordTurn(now core.Time) {
+	sample := float64(now - f.lastTurn)
 	switch {
-	case f.served == 0:
-	case f.turn == 0:
-		f.turn = sample
+	case f.lastTurn == 0:
+	case f.turnIntervalNs == 0:
+		f.turnIntervalNs = sample
 	default:
-		f.turn += turnGain * (sample - f.turn)
+		f.turnIntervalNs += turnIntervalGain * (sample - f.turnIntervalNs)
 	}
-	f.served = now
+	f.lastTurn = now
 }
 
-// wait is how long the customer's newest request waits at its present pace.
-func (f *flow) wait() time.Duration {
-	return time.Duration(f.turn * float64(f.length-1))
+// estimatedWait returns how long the customer's newest request waits at the current rate of turns.
+func (f *flow) estimatedWait() time.Duration {
+	return time.Duration(f.turnIntervalNs * float64(f.length-1))
 }
 
-// remove takes a request out without charging its customer.
+// remove removes a request without charging its customer.
 func (q *fairQueue) remove(r *request) {
 	f := r.flow
 	if r.previous == nil {
@@ -172,39 +170,38 @@
 	q.ready.fix(f)
 	q.longest.fix(f)
 	if f.length == 0 {
-		q.rest(f)
+		q.deactivate(f)
 	}
 }
 
-// rest moves a customer without requests to the idle ones. When nobody waits
-// there is nothing to be fair about, and all of them are forgotten; while
-// somebody waits, at most maxIdle are kept, those with the least tag go.
-func (q *fairQueue) rest(f *flow) {
+// deactivate moves a customer without requests to the idle heap. When no request is queued, no order
+// has to be kept and all idle customers are removed. Otherwise at most maxIdleFlows are kept, and
+// those with the lowest tag are removed.
+func (q *fairQueue) deactivate(f *flow) {
 	q.ready.remove(f)
 	q.longest.remove(f)
-	q.weight -= f.weight
-	f.turn, f.served = 0, 0
+	q.activeWeight -= f.weight
+	f.turnIntervalNs, f.lastTurn = 0, 0
 	q.idle.fix(f)
 	if q.waiting == 0 {
-		q.virtual, q.weight = 0, 0
+		q.virtualTime, q.activeWeight = 0, 0
 	}
-	for q.idle.len() > 0 && (q.waiting == 0 || q.idle.len() > maxIdle) {
-		q.forget(q.idle.first())
+	for q.idle.len() > 0 && (q.waiting == 0 || q.idle.len() > maxIdleFlows) {
+		q.removeFlow(q.idle.first())
 	}
 }
 
-func (q *fairQueue) forget(f *flow) {
+func (q *fairQueue) removeFlow(f *flow) {
 	q.idle.remove(f)
 	delete(q.customers, f.customer)
 }
 
-// furthestOver returns the newest request of the customer that is furthest
-// over its share.
-func (q *fairQueue) furthestOver() *request { return q.longest.first().tail }
+// newestOfLongest returns the newest request of the customer whose queue is longest for its weight.
+func (q *fairQueue) newestOfLongest() *request { return q.longest.first().tail }
 
-// ahead estimates how many requests go before the customer's newest: all
-// customers are taken to advance by their weights until its turn.
-func (q *fairQueue) ahead(f *flow) float64 {
-	turns := f.start - q.virtual + float64(f.length-1)/f.weight
-	return min(float64(q.waiting-1), turns*q.weight)
+// requestsAhead estimates how many requests are dispatched before the customer's newest one, assuming
+// that all customers advance by their weights until its turn.
+func (q *fairQueue) requestsAhead(f *flow) float64 {
+	turns := f.startTag - q.virtualTime + float64(f.length-1)/f.weight
+	return min(float64(q.waiting-1), turns*q.activeWeight)
 }
--- a/internal/core/admit/health.go
+++ b/internal/core/admit/health.go
@@ -5,102 +5,100 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// incident is what a replica's chart works on.
-type incident struct {
+// chartInput is the input of the replica state chart.
+type chartInput struct {
 	now     core.Time
 	replica *replica
 	jitter  Jitter
-	// inFlight is the number in flight when the request was sent. The number at
-	// its end would be lower for the later of several refusals, and lower the
-	// limit once for each.
+	// inFlight is the number of requests in flight when the request was sent. The number at its end would
+	// be lower for the later of several refusals, and would lower the limit once for each of them.
 	inFlight int
 	result   TryEnded
-	// spare says that enough other replicas are usable to do without this one.
-	spare bool
+	// enoughOthers is set if enough other replicas are usable to take this one out.
+	enoughOthers bool
 }
 
-var lifeCycle = chart.Must(chart.Source("replica"), chart.Bindings[*incident]{
-	Guards: map[string]func(*incident) bool{
-		"ramped":        func(i *incident) bool { return i.replica.ramped() },
-		"many_failures": func(i *incident) bool { return i.spare && i.replica.failures+1 >= failuresToDown },
-		"unconnected":   func(i *incident) bool { return i.replica.inFlight <= 1 },
+var healthChart = chart.Must(chart.Source("replica"), chart.Bindings[*chartInput]{
+	Guards: map[string]func(*chartInput) bool{
+		"ramped":        func(i *chartInput) bool { return i.replica.ramped() },
+		"many_failures": func(i *chartInput) bool { return i.enoughOthers && i.replica.failures+1 >= failuresUntilDown },
+		"unconnected":   func(i *chartInput) bool { return i.replica.inFlight <= 1 },
 	},
-	Actions: map[string]func(*incident){
-		"ramp_up":        func(i *incident) { i.replica.ramp() },
-		"count_failure":  (*incident).countFailure,
-		"clear_failures": (*incident).clearFailures,
-		"lower_refused":  func(i *incident) { i.replica.lower(i.inFlight, refusedFactor) },
-		"lower_shed":     (*incident).lowerShed,
-		"plan_probe":     (*incident).planProbe,
-		"probe_now":      func(i *incident) { i.replica.probeAt = i.now },
-		"hold_drain":     func(i *incident) { i.replica.drainedAt = i.now },
-		"restart":        func(i *incident) { i.replica.restart() },
+	Actions: map[string]func(*chartInput){
+		"ramp_up":        func(i *chartInput) { i.replica.rampUp() },
+		"count_failure":  (*chartInput).countFailure,
+		"clear_failures": (*chartInput).clearFailures,
+		"lower_refused":  func(i *chartInput) { i.replica.lowerAfterRefusal(i.inFlight, refusedFactor) },
+		"lower_shed":     (*chartInput).lowerLimitAfterShed,
+		"plan_probe":     (*chartInput).scheduleProbe,
+		"probe_now":      func(i *chartInput) { i.replica.probeAt = i.now },
+		"hold_drain":     func(i *chartInput) { i.replica.drainSeenAt = i.now },
+		"restart":        func(i *chartInput) { i.replica.restartRamp() },
 	},
 })
 
 var (
-	stateCold     = lifeCycle.State("cold")
-	stateLive     = lifeCycle.State("live")
-	stateSuspect  = lifeCycle.State("suspect")
-	stateDown     = lifeCycle.State("down")
-	stateDraining = lifeCycle.State("draining")
-	stateGone     = lifeCycle.State("gone")
+	stateCold     = healthChart.State("cold")
+	stateLive     = healthChart.State("live")
+	stateSuspect  = healthChart.State("suspect")
+	stateDown     = healthChart.State("down")
+	stateDraining = healthChart.State("draining")
+	stateGone     = healthChart.State("gone")
 
-	eventSucceeded = lifeCycle.Event("succeeded")
-	eventFailed    = lifeCycle.Event("failed")
-	eventRefused   = lifeCycle.Event("refused")
-	eventShed      = lifeCycle.Event("shed")
-	eventDrainSeen = lifeCycle.Event("drain_seen")
-	eventUndrained = lifeCycle.Event("undrained")
-	eventHoldOver  = lifeCycle.Event("hold_over")
-	eventRemoved   = lifeCycle.Event("removed")
-	eventRestored  = lifeCycle.Event("restored")
+	eventSucceeded = healthChart.Event("succeeded")
+	eventFailed    = healthChart.Event("failed")
+	eventRefused   = healthChart.Event("refused")
+	eventShed      = healthChart.Event("shed")
+	eventDrainSeen = healthChart.Event("drain_seen")
+	eventUndrained = healthChart.Event("undrained")
+	eventHoldOver  = healthChart.Event("hold_over")
+	eventRemoved   = healthChart.Event("removed")
+	eventRestored  = healthChart.Event("restored")
 )
 
-func (i *incident) countFailure() {
+func (i *chartInput) countFailure() {
 	i.replica.failures++
-	i.replica.rate(1)
+	i.replica.recordOutcome(1)
 }
 
-func (i *incident) clearFailures() {
+func (i *chartInput) clearFailures() {
 	i.replica.failures = 0
-	i.replica.rate(0)
+	i.replica.recordOutcome(0)
 	i.replica.pause = 0
-	i.replica.probeWait = 0
+	i.replica.probeInterval = 0
 }
 
-// lowerShed lowers the limit, unless the refusal is the first in its window. At a
-// limit of 1 there is nothing to lower, and a queue would be drained into
-// refusals: the replica gets nothing for a growing time, at least the one it asked
-// for itself.
-func (i *incident) lowerShed() {
-	lowered := i.replica.shed(i.inFlight)
+// lowerLimitAfterShed lowers the limit, unless the refusal is the first one in its window. A limit of
+// 1 cannot be lowered, and the queue would be drained into refusals. The replica is therefore paused
+// for a growing time, at least for the time that it asked for.
+func (i *chartInput) lowerLimitAfterShed() {
+	lowered := i.replica.recordShed(i.inFlight)
 	if !lowered || i.inFlight > 1 {
 		return
 	}
-	wait := lengthen(&i.replica.pause, firstPause, longestPause, i.jitter)
-	i.replica.pausedUntil = i.now + max(wait, min(i.result.RetryAfter, longestPause))
+	wait := nextBackoff(&i.replica.pause, minPause, maxPause, i.jitter)
+	i.replica.pausedUntil = i.now + max(wait, min(i.result.RetryAfter, maxPause))
 }
 
-func (i *incident) planProbe() {
-	i.replica.probeAt = i.now + lengthen(&i.replica.probeWait, firstProbe, longestProbe, i.jitter)
-	i.replica.rate(1)
+func (i *chartInput) scheduleProbe() {
+	i.replica.probeAt = i.now + nextBackoff(&i.replica.probeInterval, minProbeInterval, maxProbeInterval, i.jitter)
+	i.replica.recordOutcome(1)
 }
 
-// fire moves a replica's life cycle on and tells of a new state.
-func (s *Shard) fire(r *replica, event chart.Event, i incident) {
+// fire applies an event to the state chart of a replica and reports a state change.
+func (s *Shard) fire(r *replica, event chart.Event, i chartInput) {
 	from := r.state
-	i.replica, i.jitter, i.spare = r, s.config.Jitter, s.canSpare()
-	r.state = lifeCycle.Fire(from, event, &i)
+	i.replica, i.jitter, i.enoughOthers = r, s.config.Jitter, s.enoughUsableWithoutOne()
+	r.state = healthChart.Fire(from, event, &i)
 	if r.state != from {
-		s.actions = append(s.actions, HealthChanged{Address: r.Address, From: lifeCycle.Name(from), To: lifeCycle.Name(r.state)})
+		s.actions = append(s.actions, HealthChanged{Address: r.Address, From: healthChart.Name(from), To: healthChart.Name(r.state)})
 	}
 }
 
-// canSpare reports whether half of the replicas stay usable without one more.
-// When a shard's requests fail everywhere, the cause is not one replica: taking
-// them all out would turn a share of errors into no answers at all.
-func (s *Shard) canSpare() bool {
+// enoughUsableWithoutOne reports whether at least half of the replicas stay usable if one more is
+// taken out. When the requests of a shard fail on all replicas, the cause is not a single replica:
+// taking them all out would turn partial failure into total failure.
+func (s *Shard) enoughUsableWithoutOne() bool {
 	usable := 0
 	for _, r := range s.replicas {
 		if r.usable() {
--- a/internal/core/admit/heap.go
+++ b/internal/core/admit/heap.go
@@ -1,45 +1,45 @@
 package admit
 
-// indexedHeap keeps items by order and can move or remove any of them in
-// O(log n). Each item holds its own place, counted from 1; 0 is absent.
+// indexedHeap is a binary heap that can move or remove any item in O(log n). Each item stores its own
+// position, counted from 1; 0 means absent.
 type indexedHeap[T any] struct {
-	items  []T
-	before func(a, b T) bool
-	place  func(T) *int
+	items    []T
+	before   func(a, b T) bool
+	position func(T) *int
 }
 
 func (h *indexedHeap[T]) len() int { return len(h.items) }
 
 func (h *indexedHeap[T]) first() T { return h.items[0] }
 
-// fix puts the item where it belongs, adding it when it is absent.
+// fix moves the item to its place after a change of its order, or adds it if absent.
 func (h *indexedHeap[T]) fix(item T) {
-	at := h.place(item)
-	if *at == 0 {
+	position := h.position(item)
+	if *position == 0 {
 		h.items = append(h.items, item)
-		*at = len(h.items)
+		*position = len(h.items)
 	}
-	h.sink(h.rise(*at - 1))
+	h.siftDown(h.siftUp(*position - 1))
 }
 
-// remove takes the item out; an absent one is left alone.
+// remove removes the item if it is present.
 func (h *indexedHeap[T]) remove(item T) {
-	at := h.place(item)
-	if *at == 0 {
+	position := h.position(item)
+	if *position == 0 {
 		return
 	}
-	index, last := *at-1, len(h.items)-1
+	index, last := *position-1, len(h.items)-1
 	h.swap(index, last)
-	var none T
-	h.items[last] = none
+	var zero T
+	h.items[last] = zero
 	h.items = h.items[:last]
-	*at = 0
+	*position = 0
 	if index < last {
-		h.sink(h.rise(index))
+		h.siftDown(h.siftUp(index))
 	}
 }
 
-func (h *indexedHeap[T]) rise(index int) int {
+func (h *indexedHeap[T]) siftUp(index int) int {
 	for index > 0 {
 		parent := (index - 1) / 2
 		if !h.before(h.items[index], h.items[parent]) {
@@ -51,7 +51,7 @@
 	return index
 }
 
-func (h *indexedHeap[T]) sink(index int) {
+func (h *indexedHeap[T]) siftDown(index int) {
 	for {
 		child := 2*index + 1
 		if child >= len(h.items) {
@@ -70,6 +70,6 @@
 
 func (h *indexedHeap[T]) swap(a, b int) {
 	h.items[a], h.items[b] = h.items[b], h.items[a]
-	*h.place(h.items[a]) = a + 1
-	*h.place(h.items[b]) = b + 1
+	*h.position(h.items[a]) = a + 1
+	*h.position(h.items[b]) = b + 1
 }
--- a/internal/core/admit/limiter.go
+++ b/internal/core/admit/limiter.go
@@ -5,154 +5,153 @@
 	"time"
 )
 
-// The rule of the adaptive limit.
+// Parameters of the adaptive limit.
 const (
-	// limitWindow is the number of answers that one step rests on.
+	// limitWindow is the number of answers per adjustment of the limit.
 	limitWindow = 32
-	// tolerance is how far the window's mean latency may exceed the baseline
-	// before the limit falls: 32 exponential service times spread by 18%.
-	tolerance    = 1.5
-	baselineGain = 0.125
-	steepest     = 0.5
-	// shedFactor is the multiplicative decrease at an upstream's own refusal.
+	// latencyTolerance is the ratio of a window's mean latency to the baseline above which the limit is
+	// lowered. The mean of 32 exponentially distributed service times has a standard deviation of 18%.
+	latencyTolerance = 1.5
+	baselineGain     = 0.125
+	minGradient      = 0.5
+	// shedFactor is the multiplicative decrease after a refusal by an overloaded upstream.
 	shedFactor = 0.7
-	// shedsToLower is how many refusals at or below the text's slots it takes
-	// within one window before the limit falls.
-	shedsToLower = 2
-	// refusedFactor is the decrease at a refused connection.
+	// shedsUntilLowered is the number of refusals within a window, at or below the configured slots, after
+	// which the limit is lowered.
+	shedsUntilLowered = 2
+	// refusedFactor is the decrease after a refused connection.
 	refusedFactor = 0.5
-	// ceilingWindows is how many windows a concurrency that was refused is not
-	// tried again. From the text's slots on, each further refusal doubles this up
-	// to maxCeilingWindows: probing above an upstream's slots then costs about 1
-	// request in 2,000. Below them it does not double, so that a replica which
-	// was loaded by others for a while gets back to its slots soon.
+	// ceilingWindows is the number of windows during which a refused concurrency is not tried again. With
+	// the ceiling at or above the configured slots, each refusal after it has expired doubles its duration,
+	// up to maxCeilingWindows: probing above the slots of an upstream then costs about 1 request in 2,000.
+	// Below the slots it is not doubled, so that a replica that was loaded by other nodes for a while soon
+	// returns to its slots.
 	ceilingWindows    = 8
 	maxCeilingWindows = 64
-	// rampStep is how much each answer of a cold replica adds.
+	// rampStep is the increase of the limit of a cold replica per answer.
 	rampStep = 0.25
 )
 
-// limiter is a replica's adaptive concurrency limit, between 1 and max.
+// limiter is the adaptive concurrency limit of a replica, between 1 and maxLimit.
 //
-// Every limitWindow answers, with short the window's mean latency:
+// After every limitWindow answers, with windowMean as the mean latency of the window:
 //
-//	gradient = clamp(tolerance x baseline / short, 0.5, 1)
+//	gradient = clamp(latencyTolerance x baseline / windowMean, 0.5, 1)
 //	gradient < 1:                    limit = limit x gradient
 //	else, if the limit was reached:  limit = limit + 1, up to the ceiling
 //
-// The baseline follows the windows in which no more than the text's slots were
-// in flight. Above the slots it may only fall: were it to follow there as well,
-// it would take the queue that the limit itself causes for the normal latency
-// and the limit would climb for ever.
+// The baseline follows the windows in which at most the configured slots were in flight. Above the
+// slots it may only fall: if it rose there as well, it would take the queueing caused by the limit
+// itself for the normal latency, and the limit would grow without bound.
 //
-// The gradient is used, not losses alone, since an upstream that queues instead
-// of shedding shows too much work by latency only. The mean is taken, not a
-// percentile: it needs two words a replica.
+// The gradient is needed in addition to refusals because an upstream that queues instead of shedding
+// shows overload by latency only. The mean is used instead of a percentile because it needs only two
+// words per replica.
 //
-// An upstream's refusal for load sets limit = 0.7 x in flight, and one less than
-// was in flight becomes the ceiling for a while. At or below the text's slots a
-// single refusal in a window changes nothing: an upstream frees its slot a moment
-// after its answer has left, or after a cancelled request has noticed, and sheds
-// what comes in between. A limit that fell for it would serve at half the slots
-// for hundreds of answers.
+// A refusal by an overloaded upstream sets limit = 0.7 x in flight, and one less than the number in
+// flight becomes the ceiling for a while. At or below the configured slots a single refusal in a
+// window is ignored: an upstream frees its slot shortly after it has sent its answer, or after it has
+// noticed a cancellation, and sheds requests that arrive before that. Lowering the limit for it would
+// leave the replica at half its slots for hundreds of answers.
 type limiter struct {
-	limit    float64
-	start    int
-	max      int
-	baseline float64
-
-	count int
-	sum   float64
-	peak  int
-	// sheds counts the window's refusals at or below the text's slots.
-	sheds int
-
-	ceiling     int
-	ceilingLeft int
-	ceilingWait int
+	limit           float64
+	configuredSlots int
+	maxLimit        int
+	baseline        float64
+
+	windowAnswers    int
+	windowLatencySum float64
+	windowPeak       int
+	// windowSheds is the number of refusals in the window at or below the configured slots.
+	windowSheds int
+
+	ceiling            int
+	ceilingWindowsLeft int
+	ceilingDuration    int
 }
 
-// slots is the limit in whole requests.
-func (l *limiter) slots() int { return max(1, min(int(l.limit), l.max)) }
+// slots returns the limit as a whole number of requests.
+func (l *limiter) slots() int { return max(1, min(int(l.limit), l.maxLimit)) }
 
-// bounds takes over the text's slots and this node's connection share.
-func (l *limiter) bounds(start, limit int) {
-	l.start, l.max = min(start, limit), limit
-	l.limit = min(l.limit, float64(max(1, limit)))
+// setBounds sets the configured slots and this node's connection share.
+func (l *limiter) setBounds(configuredSlots, maxLimit int) {
+	l.configuredSlots, l.maxLimit = min(configuredSlots, maxLimit), maxLimit
+	l.limit = min(l.limit, float64(max(1, maxLimit)))
 }
 
-// began notes how much is in flight with a new request.
-func (l *limiter) began(inFlight int) { l.peak = max(l.peak, inFlight) }
+// recordSent records the number of requests in flight after sending one.
+func (l *limiter) recordSent(inFlight int) { l.windowPeak = max(l.windowPeak, inFlight) }
 
-// answered takes an answer's latency and ends the window when it is full.
-func (l *limiter) answered(latency time.Duration) {
-	l.count++
-	l.sum += float64(latency)
-	if l.count >= limitWindow {
-		l.adjust(l.sum / float64(l.count))
-		l.count, l.sum, l.peak, l.sheds = 0, 0, 0, 0
+// recordAnswer records the latency of an answer and adjusts the limit at the end of a window.
+func (l *limiter) recordAnswer(latency time.Duration) {
+	l.windowAnswers++
+	l.windowLatencySum += float64(latency)
+	if l.windowAnswers >= limitWindow {
+		l.adjust(l.windowLatencySum / float64(l.windowAnswers))
+		l.windowAnswers, l.windowLatencySum, l.windowPeak, l.windowSheds = 0, 0, 0, 0
 	}
 }
 
-func (l *limiter) adjust(short float64) {
+func (l *limiter) adjust(windowMean float64) {
 	switch {
 	case l.baseline == 0:
-		l.baseline = short
-	case l.peak <= l.start || short < l.baseline:
-		l.baseline += baselineGain * (short - l.baseline)
+		l.baseline = windowMean
+	case l.windowPeak <= l.configuredSlots || windowMean < l.baseline:
+		l.baseline += baselineGain * (windowMean - l.baseline)
 	}
-	if l.ceilingLeft > 0 {
-		l.ceilingLeft--
+	if l.ceilingWindowsLeft > 0 {
+		l.ceilingWindowsLeft--
 	}
-	gradient := max(steepest, tolerance*l.baseline/math.Max(short, 1))
+	gradient := max(minGradient, latencyTolerance*l.baseline/math.Max(windowMean, 1))
 	switch {
 	case gradient < 1:
 		l.limit = max(1, l.limit*gradient)
-	case l.peak >= l.slots():
-		l.limit = min(l.limit+1, float64(l.top()))
+	case l.windowPeak >= l.slots():
+		l.limit = min(l.limit+1, float64(l.maxGrowth()))
 	}
 }
 
-// top is the most that the limit may grow to.
-func (l *limiter) top() int {
-	if l.ceilingLeft > 0 {
-		return max(1, min(l.ceiling, l.max))
+// maxGrowth returns the highest value that the limit may grow to.
+func (l *limiter) maxGrowth() int {
+	if l.ceilingWindowsLeft > 0 {
+		return max(1, min(l.ceiling, l.maxLimit))
 	}
-	return max(1, l.max)
+	return max(1, l.maxLimit)
 }
 
-// shed takes an upstream's refusal for load with the given number in flight and
-// reports whether the limit was lowered for it.
-func (l *limiter) shed(inFlight int) bool {
-	if inFlight <= l.start {
-		l.sheds++
+// recordShed handles a refusal by an overloaded upstream, with the number of requests in flight at the
+// time of sending. It reports whether the limit was lowered.
+func (l *limiter) recordShed(inFlight int) bool {
+	if inFlight <= l.configuredSlots {
+		l.windowSheds++
 	}
-	if inFlight <= l.start && l.sheds < shedsToLower {
+	if inFlight <= l.configuredSlots && l.windowSheds < shedsUntilLowered {
 		return false
 	}
-	l.lower(inFlight, shedFactor)
+	l.lowerAfterRefusal(inFlight, shedFactor)
 	return true
 }
 
-// lower cuts the limit after a refusal with the given number in flight.
-func (l *limiter) lower(inFlight int, factor float64) {
+// lowerAfterRefusal lowers the limit after a refusal with the given number of requests in flight.
+func (l *limiter) lowerAfterRefusal(inFlight int, factor float64) {
 	l.limit = max(1, min(l.limit, factor*float64(inFlight)))
 	l.ceiling = max(1, inFlight-1)
 	switch {
-	case l.ceiling < l.start:
-		l.ceilingWait = ceilingWindows
-	case l.ceilingLeft == 0:
-		l.ceilingWait = min(max(2*l.ceilingWait, ceilingWindows), maxCeilingWindows)
+	case l.ceiling < l.configuredSlots:
+		l.ceilingDuration = ceilingWindows
+	case l.ceilingWindowsLeft == 0:
+		l.ceilingDuration = min(max(2*l.ceilingDuration, ceilingWindows), maxCeilingWindows)
 	}
-	l.ceilingLeft = l.ceilingWait
+	l.ceilingWindowsLeft = l.ceilingDuration
 }
 
-// ramp is one step of a cold replica; ramped reports its end.
-func (l *limiter) ramp() { l.limit = min(l.limit+rampStep, float64(max(1, l.start))) }
+// rampUp raises the limit of a cold replica by one step.
+func (l *limiter) rampUp() { l.limit = min(l.limit+rampStep, float64(max(1, l.configuredSlots))) }
 
-func (l *limiter) ramped() bool { return l.limit+rampStep >= float64(l.start) }
+// ramped reports whether the next step completes the ramp.
+func (l *limiter) ramped() bool { return l.limit+rampStep >= float64(l.configuredSlots) }
 
-// restart begins the ramp again and forgets what held before.
-func (l *limiter) restart() {
-	*l = limiter{limit: 1, start: l.start, max: l.max}
+// restartRamp resets the limiter to the start of the ramp.
+func (l *limiter) restartRamp() {
+	*l = limiter{limit: 1, configuredSlots: l.configuredSlots, maxLimit: l.maxLimit}
 }
--- a/internal/core/admit/model_test.go
+++ b/internal/core/admit/model_test.go
@@ -10,183 +10,183 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// stepper is a machine under test; several of them make a service.
+// stepper is a state machine under test, one per shard of a service.
 type stepper interface {
 	Step(now core.Time, event Event) []Action
 }
 
-// world runs machines and modelled replicas in virtual time.
-type world struct {
-	now      core.Time
-	events   timeline
-	sequence int
-	rand     *rand.Rand
-	shards   []stepper
-	upstream map[string]*modelReplica
-	tries    []map[AttemptID]*modelTry
-	ends     []map[RequestID]func(done, notRun bool)
-	wakes    []core.Time
-	next     RequestID
-	sent     int
-	extra    int
-	lastDone bool
-	// failures is the share of all requests that end in an error.
-	failures float64
-	// refused, when set, hears of each request that is refused.
-	refused func(Refuse)
+// simulation runs state machines and simulated replicas in virtual time.
+type simulation struct {
+	now             core.Time
+	events          eventQueue
+	sequence        int
+	rand            *rand.Rand
+	shards          []stepper
+	replicas        map[string]*modelReplica
+	running         []map[AttemptID]*modelAttempt
+	onEnd           []map[RequestID]func(done, notRun bool)
+	alarms          []core.Time
+	lastRequest     RequestID
+	attempts        int
+	extraAttempts   int
+	lastAttemptDone bool
+	// failureRate is the fraction of all requests that end in an error.
+	failureRate float64
+	// onRefuse, if set, is called for each refused request.
+	onRefuse func(Refuse)
 }
 
-// modelReplica sheds above its slots, or always, or fails. A lost one takes no
-// connection and loses what runs; of every silentOf requests the last meets a connection that has gone silent.
+// modelReplica sheds requests above its slots, or fails all requests. A lost replica refuses
+// connections and fails the requests in flight. Every silentEvery-th request gets no reply.
 type modelReplica struct {
 	slots, running int
 	mean           time.Duration
 	failing        bool
 	lost           bool
-	silentOf       int
+	silentEvery    int
 	received       int
 }
 
-type modelTry struct {
+type modelAttempt struct {
 	replica *modelReplica
 	started bool
 	ended   bool
 }
 
-func newWorld(seed uint64) *world {
-	return &world{rand: rand.New(rand.NewPCG(seed, 1)), upstream: map[string]*modelReplica{}}
+func newSimulation(seed uint64) *simulation {
+	return &simulation{rand: rand.New(rand.NewPCG(seed, 1)), replicas: map[string]*modelReplica{}}
 }
 
-func (w *world) add(shard stepper) {
-	w.shards = append(w.shards, shard)
-	w.wakes = append(w.wakes, 0)
-	w.tries = append(w.tries, map[AttemptID]*modelTry{})
-	w.ends = append(w.ends, map[RequestID]func(bool, bool){})
+func (sim *simulation) addShard(shard stepper) {
+	sim.shards = append(sim.shards, shard)
+	sim.alarms = append(sim.alarms, 0)
+	sim.running = append(sim.running, map[AttemptID]*modelAttempt{})
+	sim.onEnd = append(sim.onEnd, map[RequestID]func(bool, bool){})
 }
 
-func (w *world) at(when core.Time, do func()) {
-	w.sequence++
-	heap.Push(&w.events, happening{at: max(when, w.now), sequence: w.sequence, do: do})
+func (sim *simulation) schedule(when core.Time, do func()) {
+	sim.sequence++
+	heap.Push(&sim.events, scheduledEvent{at: max(when, sim.now), sequence: sim.sequence, do: do})
 }
 
-func (w *world) run(until core.Time) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		next := heap.Pop(&w.events).(happening)
-		w.now = next.at
+func (sim *simulation) run(until core.Time) {
+	for len(sim.events) > 0 && sim.events[0].at <= until {
+		next := heap.Pop(&sim.events).(scheduledEvent)
+		sim.now = next.at
 		next.do()
 	}
 }
 
-// offer asks one shard; end hears once how the request ended.
-func (w *world) offer(shard int, customer core.Customer, timeout time.Duration, end func(done, notRun bool)) {
-	w.next++
-	w.ends[shard][w.next] = end
-	w.step(shard, Offered{ID: w.next, Customer: customer, Weight: 1, Deadline: w.now + timeout})
+// offer submits a request to one shard; end is called once, when the request has ended.
+func (sim *simulation) offer(shard int, customer core.Customer, timeout time.Duration, end func(done, notRun bool)) {
+	sim.lastRequest++
+	sim.onEnd[shard][sim.lastRequest] = end
+	sim.step(shard, Offered{ID: sim.lastRequest, Customer: customer, Weight: 1, Deadline: sim.now + timeout})
 }
 
-func (w *world) step(shard int, event Event) {
-	for _, action := range slices.Clone(w.shards[shard].Step(w.now, event)) {
+func (sim *simulation) step(shard int, event Event) {
+	for _, action := range slices.Clone(sim.shards[shard].Step(sim.now, event)) {
 		switch a := action.(type) {
 		case Dispatch:
-			w.dispatch(shard, a)
+			sim.dispatch(shard, a)
 		case Abort:
-			w.finish(shard, a.Try, TryEnded{Try: a.Try, Reason: core.ReasonCancelled, Load: -1})
+			sim.endAttempt(shard, a.Try, TryEnded{Try: a.Try, Reason: core.ReasonCancelled, Load: -1})
 		case Settle:
-			w.end(shard, a.Request, true, false)
+			sim.endRequest(shard, a.Request, true, false)
 		case Refuse:
-			if w.refused != nil {
-				w.refused(a)
+			if sim.onRefuse != nil {
+				sim.onRefuse(a)
 			}
-			w.end(shard, a.Request, false, true)
+			sim.endRequest(shard, a.Request, false, true)
 		case WakeAt:
-			w.wakeAt(shard, a.At)
+			sim.wakeAt(shard, a.At)
 		}
 	}
 }
 
-// wakeAt replaces the shard's alarm.
-func (w *world) wakeAt(shard int, when core.Time) {
-	w.wakes[shard] = when
-	w.at(when, func() {
-		if w.wakes[shard] == when {
-			w.wakes[shard] = 0
-			w.step(shard, Woken{})
+// wakeAt replaces the timer of the shard.
+func (sim *simulation) wakeAt(shard int, when core.Time) {
+	sim.alarms[shard] = when
+	sim.schedule(when, func() {
+		if sim.alarms[shard] == when {
+			sim.alarms[shard] = 0
+			sim.step(shard, Woken{})
 		}
 	})
 }
 
-func (w *world) end(shard int, id RequestID, settled, refused bool) {
-	end := w.ends[shard][id]
-	delete(w.ends[shard], id)
+func (sim *simulation) endRequest(shard int, id RequestID, settled, refused bool) {
+	end := sim.onEnd[shard][id]
+	delete(sim.onEnd[shard], id)
 	if end != nil {
-		end(settled && w.lastDone, refused)
+		end(settled && sim.lastAttemptDone, refused)
 	}
 }
 
-const modelHop = time.Millisecond
+const modelHopLatency = time.Millisecond
 
-func (w *world) dispatch(shard int, a Dispatch) {
-	r := w.upstream[a.Address]
+func (sim *simulation) dispatch(shard int, a Dispatch) {
+	r := sim.replicas[a.Address]
 	r.received++
-	w.sent++
+	sim.attempts++
 	if a.Kind == KindHedge || a.Kind == KindRetry {
-		w.extra++
+		sim.extraAttempts++
 	}
-	t := &modelTry{replica: r}
-	w.tries[shard][a.Try] = t
+	t := &modelAttempt{replica: r}
+	sim.running[shard][a.Try] = t
 	reply := TryEnded{Try: a.Try, Outcome: core.Done, Load: -1}
-	took := modelHop
+	took := modelHopLatency
 	switch {
 	case r.lost:
 		reply.Outcome, reply.Reason, reply.Refused = core.NotRun, core.ReasonUpstreamFailed, true
-	case r.silentOf > 0 && r.received%r.silentOf == 0:
+	case r.silentEvery > 0 && r.received%r.silentEvery == 0:
 		t.started = true
 		r.running++
-		took = a.TimeLeft + modelHop
+		took = a.TimeLeft + modelHopLatency
 	case r.running >= r.slots:
 		reply.Outcome, reply.Reason = core.NotRun, core.ReasonOverloaded
-	case r.failing || w.failures > 0 && w.rand.Float64() < w.failures:
+	case r.failing || sim.failureRate > 0 && sim.rand.Float64() < sim.failureRate:
 		reply.Outcome, reply.Reason = core.Unknown, core.ReasonUpstreamFailed
 	default:
 		t.started = true
 		r.running++
-		took += r.mean/2 + time.Duration(w.rand.ExpFloat64()*float64(r.mean/2))
+		took += r.mean/2 + time.Duration(sim.rand.ExpFloat64()*float64(r.mean/2))
 	}
 	if took > a.TimeLeft {
 		took = a.TimeLeft
 		reply.Outcome, reply.Reason = core.Unknown, core.ReasonDeadline
 	}
-	w.at(w.now+took, func() { w.finish(shard, a.Try, reply) })
+	sim.schedule(sim.now+took, func() { sim.endAttempt(shard, a.Try, reply) })
 }
 
-func (w *world) finish(shard int, id AttemptID, reply TryEnded) {
-	t := w.tries[shard][id]
+func (sim *simulation) endAttempt(shard int, id AttemptID, reply TryEnded) {
+	t := sim.running[shard][id]
 	if t == nil || t.ended {
 		return
 	}
 	t.ended = true
-	delete(w.tries[shard], id)
+	delete(sim.running[shard], id)
 	if t.started {
 		t.replica.running--
 	}
 	if t.started && t.replica.lost && reply.Outcome == core.Done {
 		reply.Outcome, reply.Reason = core.Unknown, core.ReasonUpstreamFailed
 	}
-	w.at(w.now, func() {
-		w.lastDone = reply.Outcome == core.Done
-		w.step(shard, reply)
+	sim.schedule(sim.now, func() {
+		sim.lastAttemptDone = reply.Outcome == core.Done
+		sim.step(shard, reply)
 	})
 }
 
-// poisson calls do at the given rate until the end.
-func (w *world) poisson(perSecond float64, end core.Time, do func()) {
+// poissonArrivals calls do at the given mean rate until the end.
+func (sim *simulation) poissonArrivals(perSecond float64, end core.Time, do func()) {
 	var next func()
 	next = func() {
-		gap := time.Duration(w.rand.ExpFloat64() / perSecond * float64(time.Second))
-		if w.now+gap > end {
+		gap := time.Duration(sim.rand.ExpFloat64() / perSecond * float64(time.Second))
+		if sim.now+gap > end {
 			return
 		}
-		w.at(w.now+gap, func() {
+		sim.schedule(sim.now+gap, func() {
 			do()
 			next()
 		})
@@ -194,7 +194,7 @@
 	next()
 }
 
-// percentile returns the value below which the share of the samples lies.
+// percentile returns the value below which the given fraction of the samples lies.
 func percentile(samples []time.Duration, share float64) time.Duration {
 	if len(samples) == 0 {
 		return 0
@@ -203,38 +203,38 @@
 	return samples[min(len(samples)-1, int(math.Ceil(share*float64(len(samples))))-1)]
 }
 
-type happening struct {
+type scheduledEvent struct {
 	at       core.Time
 	sequence int
 	do       func()
 }
 
-type timeline []happening
+type eventQueue []scheduledEvent
 
-func (t timeline) Len() int { return len(t) }
-func (t timeline) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timeline) Push(x any)   { *t = append(*t, x.(happening)) }
-func (t *timeline) Pop() any {
-	old := *t
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*t = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-// fifoShard is the policy that the figures are compared with: one queue for all
-// customers, fixed slots, the freest replica, no second try.
+// fifoShard is the baseline for comparison: one queue for all customers, fixed slots, the replica with
+// the fewest requests in flight, and no second attempt.
 type fifoShard struct {
-	slots    int
-	maxQueue int
-	names    []string
-	inFlight map[string]int
-	waiting  []Offered
-	running  map[AttemptID]Dispatch
-	next     AttemptID
-	actions  []Action
+	slots       int
+	maxQueue    int
+	names       []string
+	inFlight    map[string]int
+	waiting     []Offered
+	running     map[AttemptID]Dispatch
+	lastAttempt AttemptID
+	actions     []Action
 }
 
 func newFIFO(slots, maxQueue int, names []string) *fifoShard {
@@ -267,11 +267,11 @@
 		if f.inFlight[freest] >= f.slots {
 			break
 		}
-		f.next++
+		f.lastAttempt++
 		f.inFlight[freest]++
-		d := Dispatch{Try: f.next, Request: f.waiting[0].ID, Address: freest, TimeLeft: f.waiting[0].Deadline - now}
+		d := Dispatch{Try: f.lastAttempt, Request: f.waiting[0].ID, Address: freest, TimeLeft: f.waiting[0].Deadline - now}
 		f.waiting = f.waiting[1:]
-		f.running[f.next] = d
+		f.running[f.lastAttempt] = d
 		f.actions = append(f.actions, d)
 	}
 	if len(f.waiting) > 0 {
--- a/internal/core/admit/observe.go
+++ b/internal/core/admit/observe.go
@@ -5,42 +5,42 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// observe learns from the end of a request. What requests did outweighs what
-// the upstream says of its own load.
-func (s *Shard) observe(now core.Time, t *try, e TryEnded) {
-	r := t.replica
-	i := incident{now: now, inFlight: t.inFlight, result: e}
+// observe updates the state of a replica from the end of an attempt. Outcomes of requests weigh more
+// than the load that the upstream reports.
+func (s *Shard) observe(now core.Time, a *attempt, e TryEnded) {
+	r := a.replica
+	i := chartInput{now: now, inFlight: a.inFlightAtSend, result: e}
 	if e.Load >= 0 {
 		r.load = min(e.Load, 1)
 	}
 	if e.Draining || e.Reason == core.ReasonDraining {
 		s.fire(r, eventDrainSeen, i)
 	}
-	elapsed := now - t.started
-	verdict := s.verdict(t, e, elapsed)
-	s.learnLatency(now, r, elapsed, verdict)
-	if event, ok := eventOf(verdict, r); ok {
+	elapsed := now - a.startedAt
+	verdict := s.verdict(a, e, elapsed)
+	s.recordLatencies(now, r, elapsed, verdict)
+	if event, ok := eventForVerdict(verdict, r); ok {
 		s.fire(r, event, i)
 	}
 }
 
-// learnLatency takes the time that a request took, or took at least.
-func (s *Shard) learnLatency(now core.Time, r *replica, elapsed core.Time, v verdict) {
+// recordLatencies records the latency of an attempt, or a lower bound of it.
+func (s *Shard) recordLatencies(now core.Time, r *replica, elapsed core.Time, v verdict) {
 	switch v {
 	case verdictAnswered:
-		r.learn(now, elapsed, false)
-		s.learn(elapsed)
+		r.recordLatency(now, elapsed, false)
+		s.recordServiceTime(elapsed)
 		if r.state == stateLive {
-			r.answered(elapsed)
+			r.recordAnswer(elapsed)
 		}
-	case verdictCut, verdictTimedOut:
-		r.learn(now, elapsed, true)
-		s.service.Record(elapsed)
+	case verdictCancelled, verdictTimedOut:
+		r.recordLatency(now, elapsed, true)
+		s.serviceLatency.Record(elapsed)
 	}
 }
 
-// eventOf is what the replica's chart is told of a verdict, if anything.
-func eventOf(v verdict, r *replica) (chart.Event, bool) {
+// eventForVerdict returns the state chart event for a verdict, if there is one.
+func eventForVerdict(v verdict, r *replica) (chart.Event, bool) {
 	switch v {
 	case verdictAnswered, verdictAlive:
 		return eventSucceeded, true
@@ -50,38 +50,38 @@
 		return eventShed, true
 	case verdictFailed, verdictTimedOut:
 		return eventFailed, true
-	case verdictCut:
-		// A hedge overtook the probe: without this a silent replica would be
-		// probed by every request.
+	case verdictCancelled:
+		// A hedge answered before the probe. Without this event an unresponsive replica would be probed by
+		// every request.
 		return eventFailed, r.state == stateDown
 	default:
 		return 0, false
 	}
 }
 
-// verdict is what the end of a request says about its replica.
+// verdict is the conclusion about the replica from the end of an attempt.
 type verdict uint8
 
 const (
-	// verdictNothing says nothing of the replica.
-	verdictNothing verdict = iota
+	// verdictNone gives no information about the replica.
+	verdictNone verdict = iota
 	// verdictAnswered is a reply with a result.
 	verdictAnswered
-	// verdictAlive is a reply that the version is gone: its time is no measure.
+	// verdictAlive is a reply that the version is gone; its latency is not representative.
 	verdictAlive
-	// verdictCut is a request that this node ended before a reply was due.
-	verdictCut
-	// verdictRefused is a connection that was not taken.
+	// verdictCancelled is an attempt that this node ended before a reply was due.
+	verdictCancelled
+	// verdictRefused is a refused connection.
 	verdictRefused
-	// verdictShed is the upstream's own refusal for load.
+	// verdictShed is a refusal by an overloaded upstream.
 	verdictShed
 	// verdictFailed is any other failure of the replica.
 	verdictFailed
-	// verdictTimedOut is silence for longer than patience.
+	// verdictTimedOut is an attempt without a reply for at least silenceTimeout.
 	verdictTimedOut
 )
 
-func (s *Shard) verdict(t *try, e TryEnded, elapsed core.Time) verdict {
+func (s *Shard) verdict(a *attempt, e TryEnded, elapsed core.Time) verdict {
 	switch {
 	case e.Outcome == core.Done:
 		return verdictAnswered
@@ -92,26 +92,25 @@
 	case e.Outcome == core.NotRun && e.Reason == core.ReasonVersionGone:
 		return verdictAlive
 	case e.Reason == core.ReasonDraining:
-		return verdictNothing
-	case t.aborted || e.Reason == core.ReasonCancelled:
-		// The elapsed time is a lower bound. Leaving the losers of hedges out
-		// would make the learnt quantile sink and hedges grow.
-		return verdictCut
-	case e.Reason == core.ReasonDeadline && elapsed < s.patience():
-		// The caller left little time: that says nothing of the replica.
-		return verdictCut
+		return verdictNone
+	case a.aborted || e.Reason == core.ReasonCancelled:
+		// The elapsed time is a lower bound. Without the attempts that lost to a hedge, the measured quantile
+		// would fall and hedges would increase.
+		return verdictCancelled
+	case e.Reason == core.ReasonDeadline && elapsed < s.silenceTimeout():
+		// A short deadline set by the caller gives no information about the replica.
+		return verdictCancelled
 	case e.Reason == core.ReasonDeadline:
 		return verdictTimedOut
-	case byReplica(e):
+	case causedByReplica(e):
 		return verdictFailed
 	default:
-		return verdictNothing
+		return verdictNone
 	}
 }
 
-// patience is how long a silent replica is given before its silence counts as
-// a failure.
-func (s *Shard) patience() core.Time {
-	usual, _ := s.service.Quantile(slowQuantile)
+// silenceTimeout returns how long a replica may go without a reply before that counts as a failure.
+func (s *Shard) silenceTimeout() core.Time {
+	usual, _ := s.serviceLatency.Quantile(usualLatencyQuantile)
 	return 2 * usual
 }
--- a/internal/core/admit/paired_test.go
+++ b/internal/core/admit/paired_test.go
@@ -11,124 +11,122 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/budget"
 )
 
-// seen is what became of the requests of one customer.
-type seen struct {
-	questions, whole  int
-	refused, noReturn int
+// customerResults counts the results of the queries and requests of one customer.
+type customerResults struct {
+	queries, complete          int
+	refused, withoutRetryAfter int
 }
 
-// question asks every shard; it is whole when each has answered.
-func (w *world) question(shards int, customer core.Customer, asks map[RequestID]core.Customer, into *seen) {
-	into.questions++
-	left := shards
+// offerQuery offers a query to every shard. It is complete when each shard has answered.
+func (sim *simulation) offerQuery(shards int, customer core.Customer, customerOf map[RequestID]core.Customer, results *customerResults) {
+	results.queries++
+	remaining := shards
 	for shard := range shards {
-		asks[w.next+1] = customer
-		w.offer(shard, customer, time.Second, func(done, _ bool) {
+		customerOf[sim.lastRequest+1] = customer
+		sim.offer(shard, customer, time.Second, func(done, _ bool) {
 			if done {
-				left--
+				remaining--
 			}
-			if done && left == 0 {
-				into.whole++
+			if done && remaining == 0 {
+				results.complete++
 			}
 		})
 	}
 }
 
-// A data centre with one replica of every shard is lost at noon, just while the
-// large customer's import offers four times what the rest can serve. Chefs' and
-// supervisors' questions must stay whole from the replicas elsewhere; the import
-// is told when to come back, and the owners' own tries do not add to the load.
+// Guards against the loss of one replica of every shard, during a surge of a large customer to four
+// times the remaining capacity, affecting other customers. Their queries must stay complete, the large
+// customer must be refused with a retry-after time, and extra attempts must stay within the budget.
 func TestALostDataCentreUnderASurgeCostsTheLargeCustomerOnly(t *testing.T) {
 	const shards, smallCustomers, smallRate, largeRate = 6, 5, 8, 400
-	w := newWorld(11)
-	w.service(false, shards, 2, 10*time.Millisecond)
-	asks, customers := map[RequestID]core.Customer{}, map[core.Customer]*seen{"large": {}}
-	w.refused = func(r Refuse) {
-		customer := customers[asks[r.Request]]
+	sim := newSimulation(11)
+	sim.addService(false, shards, 2, 10*time.Millisecond)
+	customerOf, customers := map[RequestID]core.Customer{}, map[core.Customer]*customerResults{"large": {}}
+	sim.onRefuse = func(r Refuse) {
+		customer := customers[customerOf[r.Request]]
 		customer.refused++
 		if r.RetryAfter <= 0 {
-			customer.noReturn++
+			customer.withoutRetryAfter++
 		}
 	}
 	for i := range smallCustomers {
 		name := core.Customer(fmt.Sprint("small-", i))
-		customers[name] = &seen{}
-		w.poisson(smallRate, modelRun, func() { w.question(shards, name, asks, customers[name]) })
+		customers[name] = &customerResults{}
+		sim.poissonArrivals(smallRate, modelDuration, func() { sim.offerQuery(shards, name, customerOf, customers[name]) })
 	}
-	w.at(modelRun/4, func() {
-		w.poisson(largeRate, 3*modelRun/4, func() { w.question(shards, "large", asks, customers["large"]) })
+	sim.schedule(modelDuration/4, func() {
+		sim.poissonArrivals(largeRate, 3*modelDuration/4, func() { sim.offerQuery(shards, "large", customerOf, customers["large"]) })
 	})
-	w.at(modelRun/2, func() {
+	sim.schedule(modelDuration/2, func() {
 		for shard := range shards {
-			w.upstream[fmt.Sprintf("%d-1", shard)].lost = true
+			sim.replicas[fmt.Sprintf("%d-1", shard)].lost = true
 		}
 	})
-	w.run(2 * modelRun)
+	sim.run(2 * modelDuration)
 	offered := 0
 	for name, customer := range customers {
 		t.Logf("%-8s %+v", name, *customer)
-		offered += shards * customer.questions
+		offered += shards * customer.queries
 		if name != "large" {
-			require.Equal(t, customer.questions, customer.whole, "%s has a thin answer", name)
+			require.Equal(t, customer.queries, customer.complete, "%s has incomplete answers", name)
 			require.Zero(t, customer.refused, name)
 		}
 	}
 	large := customers["large"]
 	require.Positive(t, large.refused)
-	require.Positive(t, large.whole, "the large customer is served as well")
-	require.Zero(t, large.noReturn, "a refusal does not say when to come back")
-	t.Logf("%d extra tries for %d requests", w.extra, offered)
-	require.LessOrEqual(t, w.extra, offered/10+budget.DefaultFloor)
+	require.Positive(t, large.complete, "the large customer must be served too")
+	require.Zero(t, large.withoutRetryAfter, "a refusal has no retry-after time")
+	t.Logf("%d extra attempts for %d requests", sim.extraAttempts, offered)
+	require.LessOrEqual(t, sim.extraAttempts, offered/10+budget.DefaultFloor)
 }
 
-// Of every shard's replicas one loses connections, so that each second request to
-// it goes silent, and the other one straggles at ten times its usual time. Each
-// request must end once, answered or named as failed, and the tries that join a
-// running one stay within the budget, also when more is asked than can be served.
+// Guards against requests that end twice or never, and against extra attempts beyond the budget, also
+// under overload. One replica of every shard does not reply to every second request, and the other one
+// takes ten times its usual time.
 func TestSilentConnectionsBesideAStragglerStayWithinTheBudget(t *testing.T) {
 	const shards = 4
-	cases := []struct{ rate, ratio, leastWhole float64 }{
-		{rate: 12, ratio: budget.DefaultRatio, leastWhole: 0.9},
+	cases := []struct{ rate, ratio, minCompleteShare float64 }{
+		{rate: 12, ratio: budget.DefaultRatio, minCompleteShare: 0.9},
 		{rate: 12, ratio: 0.02},
 		{rate: 60, ratio: budget.DefaultRatio},
 	}
-	for _, one := range cases {
-		w := newWorld(12)
-		bound := budget.Config{Ratio: one.ratio, Floor: budget.DefaultFloor}
-		w.serviceWithin(false, shards, 2, 10*time.Millisecond, budget.NewGroup(budget.GroupConfig{Service: bound}))
+	for _, test := range cases {
+		sim := newSimulation(12)
+		serviceBudget := budget.Config{Ratio: test.ratio, Floor: budget.DefaultFloor}
+		sim.addServiceWithBudget(false, shards, 2, 10*time.Millisecond, budget.NewGroup(budget.GroupConfig{Service: serviceBudget}))
 		for shard := range shards {
-			w.upstream[fmt.Sprintf("%d-0", shard)].silentOf = 2
-			w.upstream[fmt.Sprintf("%d-1", shard)].mean *= 10
+			sim.replicas[fmt.Sprintf("%d-0", shard)].silentEvery = 2
+			sim.replicas[fmt.Sprintf("%d-1", shard)].mean *= 10
 		}
 		ends := map[int]int{}
-		questions, whole, named := 0, 0, 0
-		w.poisson(one.rate, modelRun, func() {
-			number, answered, left := questions, 0, shards
-			questions++
+		queries, complete, partial := 0, 0, 0
+		sim.poissonArrivals(test.rate, modelDuration, func() {
+			query, answered, remaining := queries, 0, shards
+			queries++
 			for shard := range shards {
-				w.offer(shard, "chef", time.Second, func(done, _ bool) {
-					ends[number*shards+shard]++
-					left--
+				sim.offer(shard, "chef", time.Second, func(done, _ bool) {
+					ends[query*shards+shard]++
+					remaining--
 					if done {
 						answered++
 					}
 					switch {
-					case left == 0 && answered == shards:
-						whole++
-					case left == 0:
-						named++
+					case remaining == 0 && answered == shards:
+						complete++
+					case remaining == 0:
+						partial++
 					}
 				})
 			}
 		})
-		w.run(2 * modelRun)
-		t.Logf("%v/s, budget %v: %d questions, %d whole, %d name what is missing, %d extra tries", one.rate, one.ratio, questions, whole, named, w.extra)
-		require.Equal(t, questions, whole+named)
-		for request := range questions * shards {
+		sim.run(2 * modelDuration)
+		t.Logf("%v/s, budget %v: %d queries, %d complete, %d incomplete, %d extra attempts", test.rate, test.ratio, queries, complete, partial, sim.extraAttempts)
+		require.Equal(t, queries, complete+partial)
+		for request := range queries * shards {
 			require.Equal(t, 1, ends[request], "request %d", request)
 		}
-		require.LessOrEqual(t, float64(w.extra), one.ratio*float64(questions*shards)+budget.DefaultFloor)
-		require.GreaterOrEqual(t, float64(whole), one.leastWhole*float64(questions))
-		require.Positive(t, w.extra, "nothing was hedged")
+		require.LessOrEqual(t, float64(sim.extraAttempts), test.ratio*float64(queries*shards)+budget.DefaultFloor)
+		require.GreaterOrEqual(t, float64(complete), test.minCompleteShare*float64(queries))
+		require.Positive(t, sim.extraAttempts, "no request was hedged")
 	}
 }
--- a/internal/core/admit/replica.go
+++ b/internal/core/admit/replica.go
@@ -7,52 +7,52 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// The weights that choose between replicas.
+// Weights of the choice between replicas.
 const (
-	// latencyGain is the weight of a new sample in a replica's latency.
+	// latencyGain is the weight of a new sample in the latency of a replica.
 	latencyGain = 0.2
-	// failureGain is the weight of a new outcome in a replica's failure rate,
-	// failurePenalty how much a rate of 1 lengthens its expected wait.
+	// failureGain is the weight of a new outcome in the failure rate of a replica. failurePenalty is the
+	// relative increase of its expected wait at a failure rate of 1.
 	failureGain    = 0.2
 	failurePenalty = 8.0
-	// loadPenalty is kept small: an upstream's own load figure lags or misleads,
-	// so it only decides between replicas that their outcomes leave equal.
+	// loadPenalty is small because the load reported by an upstream lags or misleads: it only decides
+	// between replicas with equal outcomes.
 	loadPenalty = 0.1
-	// remotePenalty is what another data centre counts beyond its measured
-	// latency.
+	// remotePenalty is the relative increase of the expected wait for a replica in another data centre, in
+	// addition to its measured latency.
 	remotePenalty = 0.1
-	// shedPenalty puts the replica that shed a request behind all others for that
-	// request, in nanoseconds.
+	// shedPenalty, in nanoseconds, ranks the replica that shed a request behind all others for that
+	// request.
 	shedPenalty = float64(time.Hour)
-	// forgetSlowAfter halves the latency held against a replica that got no
-	// work, so that one that has recovered is tried again.
-	forgetSlowAfter = 5 * time.Second
-	// guessedLatency stands for a replica that has not answered yet.
-	guessedLatency = time.Millisecond
+	// idleLatencyHalvedAfter is the time without requests after which the recorded latency of a replica
+	// counts half, so that a recovered replica is used again.
+	idleLatencyHalvedAfter = 5 * time.Second
+	// initialLatency is the assumed latency of a replica that has not answered yet.
+	initialLatency = time.Millisecond
 )
 
-// Times of a replica's way back.
+// Thresholds and intervals of the recovery of a replica.
 const (
-	failuresToDown = 3
-	firstProbe     = 250 * time.Millisecond
-	longestProbe   = 30 * time.Second
-	firstPause     = 10 * time.Millisecond
-	longestPause   = time.Second
-	// drainHold is how long a drain that the text does not confirm keeps all
-	// work away. Afterwards the replica counts as down: an upstream that was
-	// restarted at its old address would stay unused for ever otherwise.
+	failuresUntilDown = 3
+	minProbeInterval  = 250 * time.Millisecond
+	maxProbeInterval  = 30 * time.Second
+	minPause          = 10 * time.Millisecond
+	maxPause          = time.Second
+	// drainHold is how long a drain that the configuration does not confirm keeps requests away. After it
+	// the replica counts as down: an upstream that was restarted at its old address would otherwise stay
+	// unused forever.
 	drainHold = 30 * time.Second
 )
 
-// replica is one upstream as its owner sees it.
+// replica is the state of one upstream replica as seen by its owner.
 type replica struct {
 	ReplicaConfig
 	limiter
 	state    chart.State
 	inFlight int
-	// written says that the text lists it.
-	written bool
-	remote  bool
+	// configured is set while the configuration contains the replica.
+	configured bool
+	remote     bool
 
 	latency     float64 // ns, smoothed; 0 is not known
 	sampledAt   core.Time
@@ -60,38 +60,38 @@
 	failures    int
 	load        float64
 
-	pause       time.Duration
-	pausedUntil core.Time
-	probeWait   time.Duration
-	probeAt     core.Time
-	drainedAt   core.Time
+	pause         time.Duration
+	pausedUntil   core.Time
+	probeInterval time.Duration
+	probeAt       core.Time
+	drainSeenAt   core.Time
 }
 
-// usable reports whether it may get ordinary work, now or after a pause.
+// usable reports whether the replica may get ordinary requests, now or after a pause.
 func (r *replica) usable() bool {
 	switch r.state {
 	case stateCold, stateLive, stateSuspect:
-		return r.max > 0
+		return r.maxLimit > 0
 	}
 	return false
 }
 
-// free reports whether ordinary work may be sent now.
-func (r *replica) free(now core.Time) bool {
+// available reports whether an ordinary request may be sent now.
+func (r *replica) available(now core.Time) bool {
 	return r.usable() && r.inFlight < r.slots() && now >= r.pausedUntil
 }
 
-// probeDue reports whether a down replica may get one request.
+// probeDue reports whether a down replica may get a probe request.
 func (r *replica) probeDue(now core.Time) bool {
-	return r.state == stateDown && r.max > 0 && r.inFlight == 0 && now >= r.probeAt
+	return r.state == stateDown && r.maxLimit > 0 && r.inFlight == 0 && now >= r.probeAt
 }
 
-// expectedWait is the replica's latency as it counts for the next request, in
-// nanoseconds: longer with work in flight, failures and distance.
+// expectedWait returns the latency of the replica in nanoseconds, weighted for the choice between
+// replicas: it is increased by requests in flight, failures, reported load and a remote data centre.
 func (r *replica) expectedWait(now core.Time) float64 {
-	wait := float64(guessedLatency)
+	wait := float64(initialLatency)
 	if r.latency > 0 {
-		wait = r.latency / (1 + float64(now-r.sampledAt)/float64(forgetSlowAfter))
+		wait = r.latency / (1 + float64(now-r.sampledAt)/float64(idleLatencyHalvedAfter))
 	}
 	wait *= 1 + float64(r.inFlight)/float64(r.slots())
 	wait *= 1 + failurePenalty*r.failureRate
@@ -102,28 +102,28 @@
 	return wait
 }
 
-// learn takes a measured latency; with atLeast the request was ended before it
-// answered and took that long or longer.
-func (r *replica) learn(now core.Time, latency time.Duration, atLeast bool) {
+// recordLatency records a latency. With lowerBound the request was ended before its answer and would
+// have taken at least that long.
+func (r *replica) recordLatency(now core.Time, latency time.Duration, lowerBound bool) {
 	sample := float64(latency)
 	switch {
 	case r.latency == 0:
 		r.latency = sample
-	case !atLeast || sample > r.latency:
+	case !lowerBound || sample > r.latency:
 		r.latency += latencyGain * (sample - r.latency)
 	}
 	r.sampledAt = now
 }
 
-// rate takes an outcome: 1 is a failure, 0 an answer.
-func (r *replica) rate(failure float64) {
+// recordOutcome updates the failure rate: 1 is a failure, 0 an answer.
+func (r *replica) recordOutcome(failure float64) {
 	r.failureRate += failureGain * (failure - r.failureRate)
 }
 
-// lengthen doubles a wait between bounds and returns it with jitter: the
-// replicas of a shard that fell together must not be probed together.
-func lengthen(wait *time.Duration, first, longest time.Duration, jitter Jitter) time.Duration {
-	*wait = min(max(2**wait, first), longest)
+// nextBackoff doubles a wait within bounds and returns it with jitter, so that replicas of a shard
+// that failed together are not probed together.
+func nextBackoff(wait *time.Duration, shortest, longest time.Duration, jitter Jitter) time.Duration {
+	*wait = min(max(2**wait, shortest), longest)
 	if jitter == nil {
 		return *wait
 	}
--- a/internal/core/admit/request.go
+++ b/internal/core/admit/request.go
@@ -7,24 +7,23 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// request is one offered request until its end.
+// request is the state of one offered request.
 type request struct {
 	Offered
-	flow           *flow
-	previous, next *request
-	deadlinePlace  int
-	tries          int
-	// kind is the next try's, once the request is returned.
-	kind Kind
-	// live are the running tries, at most two.
-	live []*try
-	// avoid are the replicas that this request is not sent to again.
-	avoid []*replica
-	// shedBy is the replica that shed it last; it is asked again only when no
-	// other one is free.
+	flow             *flow
+	previous, next   *request
+	deadlinePosition int
+	attempts         int
+	// nextKind is the kind of the next attempt of a returned request.
+	nextKind Kind
+	// running holds the attempts in flight, at most two.
+	running []*attempt
+	// excluded holds the replicas that this request is not sent to again.
+	excluded []*replica
+	// shedBy is the last replica that shed the request. It is used again only when no other one is free.
 	shedBy *replica
-	// best is the try whose result is reported when no other is better.
-	best        AttemptID
+	// bestAttempt is the attempt with the best result so far.
+	bestAttempt AttemptID
 	bestOutcome core.Outcome
 	ended       bool
 	// hedge is the state of the latest hedge; empty means HedgeNone.
@@ -34,7 +33,7 @@
 // HedgeState is the state of a request's latest hedge.
 type HedgeState string
 
-// The states of a request's hedge.
+// States of a request's hedge.
 const (
 	// HedgeNone means that no hedge has been scheduled.
 	HedgeNone HedgeState = "none"
@@ -42,11 +41,11 @@
 	HedgePlanned HedgeState = "planned"
 	// HedgeNoSlot means that a due hedge found no eligible replica with a free slot.
 	HedgeNoSlot HedgeState = "no slot"
-	// HedgeNoBudget means that a due hedge found the budget of extra tries exhausted.
+	// HedgeNoBudget means that a due hedge found the budget of extra attempts exhausted.
 	HedgeNoBudget HedgeState = "no budget"
 	// HedgeSent means that the hedge was dispatched.
 	HedgeSent HedgeState = "sent"
-	// HedgeAttemptsExhausted means that the request had no tries left when the hedge was due.
+	// HedgeAttemptsExhausted means that the request had no attempts left when the hedge was due.
 	HedgeAttemptsExhausted HedgeState = "tries used up"
 )
 
@@ -58,8 +57,8 @@
 	return HedgeNone
 }
 
-// dueBefore orders requests by deadline, those of one deadline by arrival.
-func dueBefore(a, b *request) bool {
+// deadlineBefore orders requests by deadline, and by ID for equal deadlines.
+func deadlineBefore(a, b *request) bool {
 	if a.Deadline != b.Deadline {
 		return a.Deadline < b.Deadline
 	}
@@ -71,28 +70,28 @@
 		s.refuse(e.ID, core.ReasonDeadline, 0)
 		return
 	}
-	if !s.serves(now, &e) {
-		s.refuse(e.ID, core.ReasonNoReplica, s.untilProbe(now))
+	if !s.canServe(now, &e) {
+		s.refuse(e.ID, core.ReasonNoReplica, s.timeUntilProbe(now))
 		return
 	}
 	r := &request{Offered: e}
 	s.requests[e.ID] = r
 	s.queue.push(r)
 	s.deadlines.fix(r)
-	if late := s.tooLate(now, r); late > 0 {
-		s.drop(r, core.ReasonOverloaded, late)
+	if late := s.expectedLateness(now, r); late > 0 {
+		s.refuseWaiting(r, core.ReasonOverloaded, late)
 		return
 	}
-	if s.queue.waiting > s.config.MaxQueue && s.choose(now, r) == nil {
-		// The customer that fills the queue pays for it with its own newest
-		// request, whichever request found the queue full.
-		over := s.queue.furthestOver()
-		s.drop(over, core.ReasonOverloaded, max(leastWait, s.queueWait(now, over)))
+	if s.queue.waiting > s.config.MaxQueue && s.chooseReplica(now, r) == nil {
+		// The newest request of the customer with the longest queue for its weight is refused, whichever
+		// request found the queue full.
+		newest := s.queue.newestOfLongest()
+		s.refuseWaiting(newest, core.ReasonOverloaded, max(minRetryAfter, s.queueWait(now, newest)))
 	}
 }
 
-// serves reports whether any replica may get the request, now or later.
-func (s *Shard) serves(now core.Time, e *Offered) bool {
+// canServe reports whether a replica may get the request, now or later.
+func (s *Shard) canServe(now core.Time, e *Offered) bool {
 	for _, r := range s.replicas {
 		if r.usable() || !e.Once && r.probeDue(now) {
 			return true
@@ -101,22 +100,22 @@
 	return false
 }
 
-// drop takes a waiting request out and refuses it.
-func (s *Shard) drop(r *request, reason core.Reason, retryAfter time.Duration) {
-	s.unqueue(r)
+// refuseWaiting dequeues a waiting request and refuses it.
+func (s *Shard) refuseWaiting(r *request, reason core.Reason, retryAfter time.Duration) {
+	s.dequeue(r)
 	delete(s.requests, r.ID)
 	s.refuse(r.ID, reason, retryAfter)
 }
 
-// unqueue takes a request out of whatever it waits in.
-func (s *Shard) unqueue(r *request) {
+// dequeue removes a request from the queue or from the returned requests.
+func (s *Shard) dequeue(r *request) {
 	s.deadlines.remove(r)
 	if r.flow != nil {
 		s.queue.remove(r)
 		return
 	}
-	if at := slices.Index(s.returned, r); at >= 0 {
-		s.returned = slices.Delete(s.returned, at, at+1)
+	if index := slices.Index(s.returned, r); index >= 0 {
+		s.returned = slices.Delete(s.returned, index, index+1)
 	}
 }
 
@@ -125,67 +124,67 @@
 	if r == nil {
 		return
 	}
-	s.unqueue(r)
-	s.end(r)
+	s.dequeue(r)
+	s.endRequest(r)
 }
 
-// end closes a request and aborts the tries that still run.
-func (s *Shard) end(r *request) {
+// endRequest removes a request and aborts its attempts in flight.
+func (s *Shard) endRequest(r *request) {
 	r.ended = true
 	delete(s.requests, r.ID)
-	for _, t := range r.live {
-		t.aborted = true
-		s.hedges.remove(t)
-		s.actions = append(s.actions, Abort{Try: t.id})
+	for _, a := range r.running {
+		a.aborted = true
+		s.hedges.remove(a)
+		s.actions = append(s.actions, Abort{Try: a.id})
 	}
 }
 
 func (s *Shard) settle(r *request) {
-	s.end(r)
-	s.actions = append(s.actions, Settle{Request: r.ID, Try: r.best, Tries: r.tries, Hedge: r.hedge})
+	s.endRequest(r)
+	s.actions = append(s.actions, Settle{Request: r.ID, Try: r.bestAttempt, Tries: r.attempts, Hedge: r.hedge})
 }
 
-// expire ends the waiting requests that have no time left to be served.
+// expire ends the waiting requests whose remaining time is too short to serve them.
 func (s *Shard) expire(now core.Time) {
 	for s.deadlines.len() > 0 {
 		r := s.deadlines.first()
-		if now < r.Deadline-s.quickest() {
+		if now < r.Deadline-s.minServiceTime() {
 			return
 		}
-		if r.tries > 0 {
-			s.unqueue(r)
+		if r.attempts > 0 {
+			s.dequeue(r)
 			s.settle(r)
 			continue
 		}
 		wait := time.Duration(0)
 		if now < r.Deadline {
-			wait = max(leastWait, s.quickest()-(r.Deadline-now))
+			wait = max(minRetryAfter, s.minServiceTime()-(r.Deadline-now))
 		}
-		s.drop(r, core.ReasonDeadline, wait)
+		s.refuseWaiting(r, core.ReasonDeadline, wait)
 	}
 }
 
-// dropStale refuses the oldest request of a customer that has newer ones when
-// it would probably end past its deadline. A customer over its share would
-// otherwise use its slots for answers that nobody waits for.
-func (s *Shard) dropStale(now core.Time) {
+// refuseStale refuses the oldest request of a customer that has newer ones if it would probably miss
+// its deadline. A customer over its share would otherwise spend its slots on answers that arrive after
+// their deadline.
+func (s *Shard) refuseStale(now core.Time) {
 	for s.queue.waiting > 0 {
 		r := s.queue.peek()
-		late := now + s.usual() - r.Deadline
+		late := now + s.usualServiceTime() - r.Deadline
 		if r.flow.length < 2 || late <= 0 {
 			return
 		}
-		s.drop(r, core.ReasonOverloaded, max(leastWait, late))
+		s.refuseWaiting(r, core.ReasonOverloaded, max(minRetryAfter, late))
 	}
 }
 
-// refuseUnserved refuses what waits when no replica is left that could take it.
-func (s *Shard) refuseUnserved(now core.Time) {
+// refuseUnservable refuses all queued requests when no replica is usable.
+func (s *Shard) refuseUnservable(now core.Time) {
 	if s.queue.waiting == 0 || slices.ContainsFunc(s.replicas, (*replica).usable) {
 		return
 	}
 	for s.queue.waiting > 0 {
-		s.drop(s.queue.peek(), core.ReasonNoReplica, s.untilProbe(now))
+		s.refuseWaiting(s.queue.peek(), core.ReasonNoReplica, s.timeUntilProbe(now))
 	}
 }
 
--- a/internal/core/admit/shard.go
+++ b/internal/core/admit/shard.go
@@ -5,47 +5,47 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/latency"
 )
 
-// Shard is the state of one shard's queue. It is not safe for concurrent use.
+// Shard schedules the requests of one shard. It is not safe for concurrent use.
 type Shard struct {
 	config   Config
 	replicas []*replica
 	queue    fairQueue
-	// returned are requests to be tried again, oldest first. They have paid for
-	// their turn and go before the queue.
+	// returned holds the requests that await another attempt, oldest first. Their customers have been
+	// charged for them already, so they are dispatched before the queue.
 	returned []*request
 	requests map[RequestID]*request
-	running  map[AttemptID]*try
-	// deadlines orders the requests that wait or are returned.
+	running  map[AttemptID]*attempt
+	// deadlines orders the queued and the returned requests by deadline.
 	deadlines indexedHeap[*request]
-	hedges    indexedHeap[*try]
-	// overdue are the tries whose hedge waits for a slot or the budget.
-	overdue []*try
-	service *latency.Histogram
-	// mean is the smoothed service time in nanoseconds; 0 is not known.
-	mean    float64
-	nextTry AttemptID
-	wake    core.Time
-	actions []Action
+	hedges    indexedHeap[*attempt]
+	// overdue holds the attempts whose hedge is due but lacks a slot or budget.
+	overdue        []*attempt
+	serviceLatency *latency.Histogram
+	// meanServiceTimeNs is the smoothed service time in nanoseconds; 0 if unknown.
+	meanServiceTimeNs float64
+	lastAttempt       AttemptID
+	wakeAt            core.Time
+	actions           []Action
 }
 
-// NewShard makes an idle shard.
+// NewShard returns an idle shard.
 func NewShard(config Config) *Shard {
 	shard := &Shard{
 		queue:     newFairQueue(),
 		requests:  map[RequestID]*request{},
-		running:   map[AttemptID]*try{},
-		deadlines: indexedHeap[*request]{before: dueBefore, place: func(r *request) *int { return &r.deadlinePlace }},
-		hedges:    indexedHeap[*try]{before: hedgedBefore, place: func(t *try) *int { return &t.hedgePlace }},
+		running:   map[AttemptID]*attempt{},
+		deadlines: indexedHeap[*request]{before: deadlineBefore, position: func(r *request) *int { return &r.deadlinePosition }},
+		hedges:    indexedHeap[*attempt]{before: hedgeAtBefore, position: func(a *attempt) *int { return &a.hedgePosition }},
 	}
 	shard.configure(0, config)
 	return shard
 }
 
-// Step takes one event and returns what to do. The slice is valid until the
-// next Step.
+// Step handles an event and returns the resulting actions. The slice is valid until the next call of
+// Step.
 func (s *Shard) Step(now core.Time, event Event) []Action {
 	s.actions = s.actions[:0]
-	s.endHolds(now)
+	s.expireDrainHolds(now)
 	switch e := event.(type) {
 	case Offered:
 		s.offered(now, e)
@@ -60,20 +60,20 @@
 	}
 	s.expire(now)
 	s.dispatch(now)
-	s.refuseUnserved(now)
+	s.refuseUnservable(now)
 	s.hedge(now)
-	s.planWake(now)
+	s.scheduleWake(now)
 	return s.actions
 }
 
-// Waiting is the number of requests that wait for a replica.
+// Waiting returns the number of requests that wait for a replica.
 func (s *Shard) Waiting() int { return s.queue.waiting + len(s.returned) }
 
-// Idle reports whether nothing waits or runs.
+// Idle reports whether no request is waiting or in flight.
 func (s *Shard) Idle() bool { return len(s.requests) == 0 && len(s.running) == 0 }
 
-// planWake asks to be woken at the next deadline, hedge or end of a pause.
-func (s *Shard) planWake(now core.Time) {
+// scheduleWake requests a Woken event at the next deadline, hedge or end of a pause.
+func (s *Shard) scheduleWake(now core.Time) {
 	wake := core.Time(0)
 	earliest := func(at core.Time) {
 		if wake == 0 || at < wake {
@@ -81,7 +81,7 @@
 		}
 	}
 	if s.deadlines.len() > 0 {
-		earliest(max(now+1, s.deadlines.first().Deadline-s.quickest()))
+		earliest(max(now+1, s.deadlines.first().Deadline-s.minServiceTime()))
 	}
 	if s.hedges.len() > 0 {
 		earliest(s.hedges.first().hedgeAt)
@@ -96,8 +96,8 @@
 			}
 		}
 	}
-	if wake != 0 && wake != s.wake {
+	if wake != 0 && wake != s.wakeAt {
 		s.actions = append(s.actions, WakeAt{At: wake})
 	}
-	s.wake = wake
+	s.wakeAt = wake
 }
--- a/internal/core/admit/share.go
+++ b/internal/core/admit/share.go
@@ -1,32 +1,31 @@
 package admit
 
-// Divisors of a replica's connection limit.
+// Divisors of the connection limit of a replica.
 const (
-	// reserveDivisor keeps an eighth of the limit unused: connections of
-	// operators' tools, of a crashed node whose end has not been noticed, and of
-	// a changed share whose old connections still close.
+	// reserveDivisor reserves an eighth of the limit for connections of operators' tools, connections of a
+	// crashed node whose end has not been detected, and old connections that are still closing after a
+	// change of the share.
 	reserveDivisor = 8
-	// An owner takes two fifths of the rest and a fallback owner one fifth, so
-	// that two owners under divergent views and one fallback owner together use
-	// the rest up and no more.
+	// An owner gets two fifths of the rest and a fallback owner one fifth, so that two owners with
+	// divergent views and one fallback owner together use exactly the rest.
 	shareParts    = 5
 	ownerParts    = 2
 	fallbackParts = 1
 )
 
-// Role is how a node comes to connect to a replica.
+// Role is the reason for which a node connects to a replica.
 type Role uint8
 
 const (
-	// RoleOwner is the first node of the bundle's order in the node's own view.
+	// RoleOwner is the first node in the bundle's order, according to the node's own view.
 	RoleOwner Role = iota
-	// RoleFallback is any later node, asked while the owner is silent.
+	// RoleFallback is any later node in the order, used while the owner does not respond.
 	RoleFallback
-	// RoleDirect is any node when the text has no owners.
+	// RoleDirect is any node, when the configuration defines no owners.
 	RoleDirect
 )
 
-// String names the role for operators.
+// String returns the name of the role that operators see.
 func (r Role) String() string {
 	switch r {
 	case RoleOwner:
@@ -38,10 +37,9 @@
 	}
 }
 
-// ConnectionShare is how many connections one node may hold to a replica that
-// accepts limit of them, where nodes is the size of its view (used by
-// RoleDirect only). What is usable is the limit less a fixed reserve of an
-// eighth (at least 1 from a limit of 3).
+// ConnectionShare returns how many connections one node may hold to a replica that accepts limit
+// connections. The number of nodes in the node's view is used for RoleDirect only. The usable part is
+// the limit less a reserve of an eighth (at least 1 from a limit of 3).
 //
 //	limit   reserve   owner   fallback
 //	    1         0       0          0
@@ -53,16 +51,15 @@
 //	   50         6      17          8
 //	  100        12      35         17
 //
-// An owner never takes more than half, so two owners that do not know of each
-// other, or an owner and a fallback owner, stay within the limit at every limit;
-// from 3 on, two owners and a fallback owner do as well. With a limit of 2 each
-// of two owners has one connection and nothing is in reserve. A limit of 1
-// cannot be shared by two nodes that may not know of each other, so nobody
-// connects: the replica counts as unusable and the operators are told.
+// An owner never takes more than half, so two owners that do not know of each other, or an owner and a
+// fallback owner, stay within any limit; from a limit of 3, two owners and a fallback owner do as
+// well. With a limit of 2 each of two owners has one connection and there is no reserve. A limit of 1
+// cannot be shared by two nodes that may not know of each other, so no node connects: the replica
+// counts as unusable, which is reported to the operators.
 //
-// RoleDirect splits the usable part by the number of nodes and gets 0 when there
-// are more nodes than that. It holds only while all nodes see the same view:
-// two halves of a split fleet would each split the whole.
+// RoleDirect divides the usable part by the number of nodes, which gives 0 when there are more nodes
+// than connections. The limit is kept only while all nodes have the same view: each half of a
+// partitioned fleet would use the whole.
 func ConnectionShare(limit int, role Role, nodes int) int {
 	usable := limit - reserve(limit)
 	switch role {
@@ -82,7 +79,7 @@
 	return max(1, limit/reserveDivisor)
 }
 
-// atLeastOne lets a node serve at all from a limit of 2 on.
+// atLeastOne gives each node at least one connection from a limit of 2.
 func atLeastOne(limit, share int) int {
 	if limit < 2 {
 		return 0
--- a/internal/core/admit/state.go
+++ b/internal/core/admit/state.go
@@ -8,7 +8,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// State is a shard's state for operators.
+// State is a snapshot of a shard for operators.
 type State struct {
 	Waiting   int             `json:"waiting"`
 	Returned  int             `json:"returned"`
@@ -19,14 +19,14 @@
 	Replicas  []ReplicaState  `json:"replicas"`
 }
 
-// CustomerState is one customer's queue.
+// CustomerState is the state of one customer's queue.
 type CustomerState struct {
 	Customer core.Customer `json:"customer"`
 	Weight   float64       `json:"weight"`
 	Waiting  int           `json:"waiting"`
 }
 
-// ReplicaState is one replica as its owner sees it.
+// ReplicaState is the state of one replica as seen by its owner.
 type ReplicaState struct {
 	Address     string  `json:"address"`
 	State       string  `json:"state"`
@@ -35,20 +35,20 @@
 	Share       int     `json:"share"`
 	LatencyUs   int64   `json:"latency_us"`
 	FailureRate float64 `json:"failure_rate"`
-	// PausedMs and ProbeInMs are how long it gets nothing yet.
+	// PausedMs and ProbeInMs are the times until the replica gets requests again.
 	PausedMs  int64 `json:"paused_ms,omitempty"`
 	ProbeInMs int64 `json:"probe_in_ms,omitempty"`
 }
 
-// State returns a copy of the shard's state.
+// State returns a snapshot of the shard.
 func (s *Shard) State(now core.Time) State {
 	state := State{
 		Waiting:  s.queue.waiting,
 		Returned: len(s.returned),
 		Running:  len(s.running),
-		MeanUs:   time.Duration(s.mean).Microseconds(),
+		MeanUs:   time.Duration(s.meanServiceTimeNs).Microseconds(),
 	}
-	if delay, known := s.service.Quantile(hedgeQuantile); known {
+	if delay, known := s.serviceLatency.Quantile(hedgeQuantile); known {
 		state.HedgeUs = delay.Microseconds()
 	}
 	for _, f := range s.queue.customers {
@@ -64,10 +64,10 @@
 func (r *replica) report(now core.Time) ReplicaState {
 	report := ReplicaState{
 		Address:     r.Address,
-		State:       lifeCycle.Name(r.state),
+		State:       healthChart.Name(r.state),
 		InFlight:    r.inFlight,
 		Limit:       r.limit,
-		Share:       r.max,
+		Share:       r.maxLimit,
 		LatencyUs:   time.Duration(r.latency).Microseconds(),
 		FailureRate: r.failureRate,
 		PausedMs:    max(0, r.pausedUntil-now).Milliseconds(),
--- a/internal/core/admit/try.go
+++ b/internal/core/admit/try.go
@@ -6,45 +6,46 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// maxTries bounds the upstream requests for one request, of all kinds.
-const maxTries = 3
+// maxAttempts is the maximum number of upstream requests per request, of all kinds.
+const maxAttempts = 3
 
-// try is one upstream request until its end.
-type try struct {
-	id         AttemptID
-	request    *request
-	replica    *replica
-	started    core.Time
-	hedgeAt    core.Time
-	hedgePlace int
-	// inFlight is the replica's count with this try, when it was sent.
-	inFlight int
-	aborted  bool
+// attempt is one upstream request.
+type attempt struct {
+	id            AttemptID
+	request       *request
+	replica       *replica
+	startedAt     core.Time
+	hedgeAt       core.Time
+	hedgePosition int
+	// inFlightAtSend is the number of requests in flight at the replica when this attempt was sent,
+	// including it.
+	inFlightAtSend int
+	aborted        bool
 }
 
 func (s *Shard) tryEnded(now core.Time, e TryEnded) {
-	t := s.running[e.Try]
-	if t == nil {
+	a := s.running[e.Try]
+	if a == nil {
 		return
 	}
 	delete(s.running, e.Try)
-	s.hedges.remove(t)
-	s.observe(now, t, e)
-	t.replica.inFlight--
-	s.forgetGone()
-	r := t.request
-	r.live = slices.DeleteFunc(r.live, func(other *try) bool { return other == t })
+	s.hedges.remove(a)
+	s.observe(now, a, e)
+	a.replica.inFlight--
+	s.removeGoneReplicas()
+	r := a.request
+	r.running = slices.DeleteFunc(r.running, func(other *attempt) bool { return other == a })
 	if r.ended {
 		return
 	}
-	r.note(e)
+	r.recordResult(e)
 	switch {
 	case e.Outcome == core.Done:
 		s.settle(r)
-	case len(r.live) > 0:
-		// The other try may still answer.
-		s.hedgeAgain(t, e)
-	case s.again(now, t, e):
+	case len(r.running) > 0:
+		// The other attempt may still answer.
+		s.scheduleAnotherHedge(a, e)
+	case s.shouldRetry(now, a, e):
 		s.returned = append(s.returned, r)
 		s.deadlines.fix(r)
 	default:
@@ -52,15 +53,15 @@
 	}
 }
 
-// note keeps the result to report: done before unknown before not run. A
-// request of which one try may have run is never reported as not run.
-func (r *request) note(e TryEnded) {
-	if r.best == 0 || strength(e.Outcome) >= strength(r.bestOutcome) {
-		r.best, r.bestOutcome = e.Try, e.Outcome
+// recordResult keeps the best result so far, in the order done, unknown, not run. A request is not
+// reported as not run if one of its attempts may have run.
+func (r *request) recordResult(e TryEnded) {
+	if r.bestAttempt == 0 || outcomePriority(e.Outcome) >= outcomePriority(r.bestOutcome) {
+		r.bestAttempt, r.bestOutcome = e.Try, e.Outcome
 	}
 }
 
-func strength(outcome core.Outcome) int {
+func outcomePriority(outcome core.Outcome) int {
 	switch outcome {
 	case core.Done:
 		return 2
@@ -71,59 +72,59 @@
 	}
 }
 
-// hedgeAgain looks for another replica beside the try that is left. The one that
-// ended may have been the hedge of a try that went silent: without another one
-// the request would wait for the silent replica until its deadline.
-func (s *Shard) hedgeAgain(ended *try, e TryEnded) {
-	if !byReplica(e) || e.Broken {
+// scheduleAnotherHedge looks for another replica beside the remaining attempt. The ended attempt may
+// have been the hedge of one that gets no reply: without another hedge the request would wait for the
+// unresponsive replica until its deadline.
+func (s *Shard) scheduleAnotherHedge(ended *attempt, e TryEnded) {
+	if !causedByReplica(e) || e.Broken {
 		return
 	}
 	r := ended.request
-	r.turnFrom(ended.replica, e)
-	left := r.live[0]
-	s.hedges.remove(left)
-	s.overdue = append(s.overdue, left)
+	r.avoidReplica(ended.replica, e)
+	remaining := r.running[0]
+	s.hedges.remove(remaining)
+	s.overdue = append(s.overdue, remaining)
 }
 
-// turnFrom steers the request's next try away from a replica: one that shed is
-// asked again when no other is free, one that failed is not.
-func (r *request) turnFrom(from *replica, e TryEnded) {
+// avoidReplica steers the next attempt away from a replica. A replica that shed the request is used
+// again when no other one is free; a replica that failed is not.
+func (r *request) avoidReplica(from *replica, e TryEnded) {
 	if e.Reason == core.ReasonOverloaded {
 		r.shedBy = from
 		return
 	}
-	r.avoid = append(r.avoid, from)
+	r.excluded = append(r.excluded, from)
 }
 
-// again decides whether the request is tried on another replica.
-func (s *Shard) again(now core.Time, t *try, e TryEnded) bool {
-	r := t.request
-	if r.tries >= maxTries || now >= r.Deadline {
+// shouldRetry decides whether to send another attempt to another replica.
+func (s *Shard) shouldRetry(now core.Time, a *attempt, e TryEnded) bool {
+	r := a.request
+	if r.attempts >= maxAttempts || now >= r.Deadline {
 		return false
 	}
-	if !byReplica(e) {
+	if !causedByReplica(e) {
 		return false
 	}
 	if e.Broken {
-		// The request may end every replica that runs it. The entry knows whether other shards have answered, and
-		// decides on the retry.
+		// The request may crash every replica that runs it. The entry knows whether other shards have
+		// answered, and decides on the retry.
 		return false
 	}
-	r.turnFrom(t.replica, e)
-	if !s.hasOther(r) {
+	r.avoidReplica(a.replica, e)
+	if !s.hasOtherReplica(r) {
 		return false
 	}
 	if e.Outcome == core.NotRun {
-		r.kind = KindRedispatch
+		r.nextKind = KindRedispatch
 		return true
 	}
-	r.kind = KindRetry
-	return !r.Once && s.extra(r)
+	r.nextKind = KindRetry
+	return !r.Once && s.takeExtraAttempt(r)
 }
 
-// byReplica reports whether another replica may do better. Other reasons are the
-// request's own or this node's: no time left, nobody waiting, not the owner.
-func byReplica(e TryEnded) bool {
+// causedByReplica reports whether another replica may succeed. Other reasons concern the request or
+// this node: deadline reached, cancelled by the caller, or this node is not the owner.
+func causedByReplica(e TryEnded) bool {
 	switch e.Reason {
 	case core.ReasonOverloaded, core.ReasonDraining, core.ReasonVersionGone, core.ReasonUpstreamFailed, core.ReasonCrossedReply:
 		return true
@@ -131,14 +132,14 @@
 	return false
 }
 
-// hasOther reports whether a usable replica is left for the request.
-func (s *Shard) hasOther(r *request) bool {
+// hasOtherReplica reports whether a usable replica is left for the request.
+func (s *Shard) hasOtherReplica(r *request) bool {
 	return slices.ContainsFunc(s.replicas, func(other *replica) bool {
-		return other.usable() && !slices.Contains(r.avoid, other)
+		return other.usable() && !slices.Contains(r.excluded, other)
 	})
 }
 
-// extra takes an extra try from the budget.
-func (s *Shard) extra(r *request) bool {
+// takeExtraAttempt takes a token for an extra attempt from the budget.
+func (s *Shard) takeExtraAttempt(r *request) bool {
 	return s.config.Budget != nil && s.config.Budget.TryExtra(s.config.Service, r.Customer)
 }
