--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -74,7 +74,7 @@
 	Alone bool
 }
 
-// Withdrawn cancels a request whose caller no longer waits for it.
+// Withdrawn cancels a request that its caller no longer waits for.
 type Withdrawn struct{ ID RequestID }
 
 // TryEnded reports the end of an upstream request.
@@ -109,7 +109,7 @@
 func (Reconfigured) isEvent() {}
 func (Woken) isEvent()        {}
 
-// Action is an output of Shard.Step, to be carried out by the caller.
+// Action is an operation requested by Shard.Step.
 type Action interface{ isAction() }
 
 // Kind is the reason for a dispatch.
--- a/internal/core/admit/hedge.go
+++ b/internal/core/admit/hedge.go
@@ -35,7 +35,7 @@
 // remaining/maxHedgeDelayDivisor, which is also used while the latency is unknown.
 func (s *Shard) hedgeDelay(chosen *replica, remaining time.Duration) time.Duration {
 	delay, known := s.serviceLatency.Quantile(hedgeQuantile)
-	if known && chosen.latency > float64(delay) {
+	if known && chosen.latencyNs > float64(delay) {
 		delay, known = s.serviceLatency.Quantile(slowReplicaHedgeQuantile)
 	}
 	if !known {
--- a/internal/core/admit/limiter.go
+++ b/internal/core/admit/limiter.go
@@ -65,9 +65,9 @@
 	// windowSheds is the number of refusals in the window at or below the configured slots.
 	windowSheds int
 
-	ceiling            int
-	ceilingWindowsLeft int
-	ceilingDuration    int
+	ceiling              int
+	ceilingWindowsLeft   int
+	ceilingPeriodWindows int
 }
 
 // slots returns the limit as a whole number of requests.
@@ -107,12 +107,12 @@
 	case gradient < 1:
 		l.limit = max(1, l.limit*gradient)
 	case l.windowPeak >= l.slots():
-		l.limit = min(l.limit+1, float64(l.maxGrowth()))
+		l.limit = min(l.limit+1, float64(l.growthLimit()))
 	}
 }
 
-// maxGrowth returns the highest value that the limit may grow to.
-func (l *limiter) maxGrowth() int {
+// growthLimit returns the highest value that the limit may grow to.
+func (l *limiter) growthLimit() int {
 	if l.ceilingWindowsLeft > 0 {
 		return max(1, min(l.ceiling, l.maxLimit))
 	}
@@ -138,11 +138,11 @@
 	l.ceiling = max(1, inFlight-1)
 	switch {
 	case l.ceiling < l.configuredSlots:
-		l.ceilingDuration = ceilingWindows
+		l.ceilingPeriodWindows = ceilingWindows
 	case l.ceilingWindowsLeft == 0:
-		l.ceilingDuration = min(max(2*l.ceilingDuration, ceilingWindows), maxCeilingWindows)
+		l.ceilingPeriodWindows = min(max(2*l.ceilingPeriodWindows, ceilingWindows), maxCeilingWindows)
 	}
-	l.ceilingWindowsLeft = l.ceilingDuration
+	l.ceilingWindowsLeft = l.ceilingPeriodWindows
 }
 
 // rampUp raises the limit of a cold replica by one step.
--- a/internal/core/admit/replica.go
+++ b/internal/core/admit/replica.go
@@ -54,7 +54,7 @@
 	configured bool
 	remote     bool
 
-	latency     float64 // ns, smoothed; 0 is not known
+	latencyNs   float64 // smoothed; 0 if unknown
 	sampledAt   core.Time
 	failureRate float64
 	failures    int
@@ -90,8 +90,8 @@
 // replicas: it is increased by requests in flight, failures, reported load and a remote data centre.
 func (r *replica) expectedWait(now core.Time) float64 {
 	wait := float64(initialLatency)
-	if r.latency > 0 {
-		wait = r.latency / (1 + float64(now-r.sampledAt)/float64(idleLatencyHalvedAfter))
+	if r.latencyNs > 0 {
+		wait = r.latencyNs / (1 + float64(now-r.sampledAt)/float64(idleLatencyHalvedAfter))
 	}
 	wait *= 1 + float64(r.inFlight)/float64(r.slots())
 	wait *= 1 + failurePenalty*r.failureRate
@@ -107,10 +107,10 @@
 func (r *replica) recordLatency(now core.Time, latency time.Duration, lowerBound bool) {
 	sample := float64(latency)
 	switch {
-	case r.latency == 0:
-		r.latency = sample
-	case !lowerBound || sample > r.latency:
-		r.latency += latencyGain * (sample - r.latency)
+	case r.latencyNs == 0:
+		r.latencyNs = sample
+	case !lowerBound || sample > r.latencyNs:
+		r.latencyNs += latencyGain * (sample - r.latencyNs)
 	}
 	r.sampledAt = now
 }
--- a/internal/core/admit/state.go
+++ b/internal/core/admit/state.go
@@ -68,7 +68,7 @@
 		InFlight:    r.inFlight,
 		Limit:       r.limit,
 		Share:       r.maxLimit,
-		LatencyUs:   time.Duration(r.latency).Microseconds(),
+		LatencyUs:   time.Duration(r.latencyNs).Microseconds(),
 		FailureRate: r.failureRate,
 		PausedMs:    max(0, r.pausedUntil-now).Milliseconds(),
 	}
