--- a/internal/core/outlook/outlook.go
+++ b/internal/core/outlook/outlook.go
@@ -66,8 +66,8 @@
 	return c.outlook.Book.Pick(replica.Wish{Service: service, Tried: tried, Regions: c.regions, Usual: c.usual}, now)
 }
 
-// Extra implements scatter.Chooser.
-func (c chooser) Extra(service string, now core.Time) bool {
+// TakeExtra implements scatter.Chooser.
+func (c chooser) TakeExtra(service string, now core.Time) bool {
 	return c.outlook.Budget.Take(service, now)
 }
 
@@ -75,8 +75,8 @@
 // spend a quarter of the bound, overloaded ones more than half.
 const scarceFrom = 0.5
 
-// Scarce implements scatter.Chooser.
-func (c chooser) Scarce(service string, now core.Time) bool {
+// ExtraScarce implements scatter.Chooser.
+func (c chooser) ExtraScarce(service string, now core.Time) bool {
 	return c.outlook.Budget.Used(service, now) > scarceFrom
 }
 
--- a/internal/core/outlook/outlook_test.go
+++ b/internal/core/outlook/outlook_test.go
@@ -33,9 +33,9 @@
 // refuse every request that meets another one, though all are served, only later.
 func TestAnAimThatNobodyKeepsRejectsNothing(t *testing.T) {
 	ask := gathered(60 * ms)
-	require.Equal(t, 51*ms, learnt(ask.Route, 20*ms).Plan(ask).Aim)
-	require.Zero(t, learnt(ask.Route, 40*ms).Plan(ask).Aim)
-	require.Zero(t, New("east", nil, extra.Bound{}, nil).Plan(ask).Aim, "nothing is known yet")
+	require.Equal(t, 51*ms, learnt(ask.Route, 20*ms).Plan(ask).TargetLatency)
+	require.Zero(t, learnt(ask.Route, 40*ms).Plan(ask).TargetLatency)
+	require.Zero(t, New("east", nil, extra.Bound{}, nil).Plan(ask).TargetLatency, "nothing is known yet")
 }
 
 // A caller's second try has less of its time left. An incomplete answer is then due sooner.
--- a/internal/core/outlook/plan.go
+++ b/internal/core/outlook/plan.go
@@ -87,18 +87,18 @@
 func (o *Outlook) Plan(ask Ask) scatter.Plan {
 	route := ask.Route
 	plan := scatter.Plan{
-		Services: ask.Services, Least: 1, Idempotent: route.Idempotent, MaxReplicas: route.MaxReplicas,
+		Services: ask.Services, MinParts: 1, Idempotent: route.Idempotent, MaxReplicas: route.MaxReplicas,
 		Deadline: ask.Arrived + ask.Wait,
 	}
 	times := o.times(route)
 	usual, known := times.answers.Quantile(usualQuantile)
 	if route.Idempotent {
-		plan.Hedge = times.hedgeAfter(route.Aim, usual, known)
-		plan.FarExtra = farExtra
+		plan.HedgeAfter = times.hedgeAfter(route.Aim, usual, known)
+		plan.RemoteHedgeExtra = farExtra
 	}
 	if route.Gather != nil {
-		plan.Least = route.Gather.Least()
-		plan.Aim = attainable(route.Aim-ask.Way, usual, known)
+		plan.MinParts = route.Gather.Least()
+		plan.TargetLatency = attainable(route.Aim-ask.Way, usual, known)
 		plan.PartialAt = ask.Arrived + o.partialAfter(ask)
 	}
 	return plan
--- a/internal/core/scatter/early.go
+++ b/internal/core/scatter/early.go
@@ -27,8 +27,8 @@
 // work always counts: only a request can tell that it is fast again.
 func (m *Machine) rejectEarly(choices []*replica.Choice) bool {
 	left := m.plan.Deadline - m.now
-	if m.plan.Aim > 0 {
-		left = min(left, m.plan.Aim)
+	if m.plan.TargetLatency > 0 {
+		left = min(left, m.plan.TargetLatency)
 	}
 	expected := make([]time.Duration, 0, len(choices))
 	for _, choice := range choices {
@@ -37,13 +37,13 @@
 		}
 	}
 	slices.Sort(expected)
-	needed := expected[m.plan.Least-1]
+	needed := expected[m.plan.MinParts-1]
 	if needed <= left {
 		return false
 	}
 	for i, choice := range choices {
 		if choice != nil && expectedWait(*choice) > left {
-			m.act(Short{Service: i, Replica: choice.Replica, Expect: choice.Expect, Unreachable: choice.Unreachable})
+			m.act(ServiceTooLate{Service: i, Replica: choice.Replica, ExpectedLatency: choice.Expect, Unreachable: choice.Unreachable})
 		}
 	}
 	m.result.Rejected = true
--- a/internal/core/scatter/event.go
+++ b/internal/core/scatter/event.go
@@ -16,8 +16,8 @@
 // Tick says that a time asked for by Wake has come.
 type Tick struct{}
 
-// Ended tells the end of a send.
-type Ended struct {
+// SendEnded tells the end of a send.
+type SendEnded struct {
 	Send    int
 	Verdict Verdict
 	// Broken is set when the replica ended the connection in place of an answer.
@@ -27,10 +27,10 @@
 // GiveUp says that nobody can wait any longer: the request ends now as at its deadline.
 type GiveUp struct{}
 
-func (Begin) isEvent()  {}
-func (Tick) isEvent()   {}
-func (Ended) isEvent()  {}
-func (GiveUp) isEvent() {}
+func (Begin) isEvent()     {}
+func (Tick) isEvent()      {}
+func (SendEnded) isEvent() {}
+func (GiveUp) isEvent()    {}
 
 // Action is what the machine wants done.
 type Action interface{ isAction() }
@@ -40,20 +40,20 @@
 	ID      int
 	Service int
 	Replica replica.Replica
-	// Far is set when the replica is in another data centre.
-	Far   bool
-	Cause Cause
+	// Remote is set when the replica is in another data centre.
+	Remote bool
+	Cause  Cause
 	// Alone is set when the request goes to one replica at a time, and this is the one.
 	Alone bool
 	// ShardAlone is set when the request is limited to one send at a time at the shard, and this is that send.
 	ShardAlone bool
 }
 
-// Withdraw ends a send whose answer is no longer wanted.
-type Withdraw struct{ ID int }
+// CancelSend ends a send whose answer is no longer wanted.
+type CancelSend struct{ ID int }
 
-// Late says that the answer to a send takes longer than usual.
-type Late struct{ Send int }
+// SendOverdue says that the answer to a send takes longer than usual.
+type SendOverdue struct{ Send int }
 
 // Withheld says that a further send for a service, a hedge or a retry, is not made.
 type Withheld struct {
@@ -62,13 +62,13 @@
 	Why     Reason
 }
 
-// Short says that a service's answer cannot be had in time, which led to an early rejection.
-type Short struct {
+// ServiceTooLate says that a service's answer cannot be had in time, which led to an early rejection.
+type ServiceTooLate struct {
 	Service int
-	// Replica is the best one, Expect how long its answer would probably take.
-	Replica     replica.Replica
-	Expect      time.Duration
-	Unreachable bool
+	// Replica is the best one, ExpectedLatency how long its answer would probably take.
+	Replica         replica.Replica
+	ExpectedLatency time.Duration
+	Unreachable     bool
 }
 
 // Reason is why a further send is not made.
@@ -76,23 +76,23 @@
 
 // The reasons.
 const (
-	// MustNotRepeat means that the request may run once only and may have run.
-	MustNotRepeat Reason = "it must not be repeated"
-	// TriesUsed means that the route allows no further replica.
-	TriesUsed Reason = "the route's tries are used up"
+	// NotIdempotent means that the request may run once only and may have run.
+	NotIdempotent Reason = "it must not be repeated"
+	// AttemptsUsed means that the route allows no further replica.
+	AttemptsUsed Reason = "the route's tries are used up"
 	// NoOtherReplica means that no replica is left that was not tried.
 	NoOtherReplica Reason = "no other replica"
-	// OtherDoubtful means that the other one is itself overdue or failing, or is expected to pause
+	// OtherDegraded means that the other one is itself overdue or failing, or is expected to pause
 	// just now.
-	OtherDoubtful Reason = "the other replica is overdue or failing too"
+	OtherDegraded Reason = "the other replica is overdue or failing too"
 	// OtherSlow means that the other one is expected to answer much later than usual.
 	OtherSlow Reason = "the other replica is slow or busy"
-	// Unproven means that replicas have ended under the request, and none has answered it.
-	Unproven Reason = "replicas ended under it and none has answered"
+	// MayEndReplicas means that replicas have ended under the request, and none has answered it.
+	MayEndReplicas Reason = "replicas ended under it and none has answered"
 	// ShardSetAside means that the request is set aside at the shard.
 	ShardSetAside Reason = "replicas of the shard ended under it each time it ran"
-	// ExtraUsed means that the bound on extra sends is reached.
-	ExtraUsed Reason = "the bound on extra sends is reached"
+	// BudgetSpent means that the bound on extra sends is reached.
+	BudgetSpent Reason = "the bound on extra sends is reached"
 )
 
 // Wake asks for a Tick at a time; it replaces the former one.
@@ -101,13 +101,13 @@
 // Finish ends the request. Nothing is sent after it.
 type Finish struct{ Result Result }
 
-func (Send) isAction()     {}
-func (Withdraw) isAction() {}
-func (Late) isAction()     {}
-func (Withheld) isAction() {}
-func (Short) isAction()    {}
-func (Wake) isAction()     {}
-func (Finish) isAction()   {}
+func (Send) isAction()           {}
+func (CancelSend) isAction()     {}
+func (SendOverdue) isAction()    {}
+func (Withheld) isAction()       {}
+func (ServiceTooLate) isAction() {}
+func (Wake) isAction()           {}
+func (Finish) isAction()         {}
 
 // Cause is why a send was made.
 type Cause string
@@ -124,9 +124,9 @@
 	// Parts holds for each service the id of the send that brought its answer, or
 	// -1.
 	Parts []int
-	// Got is the number of parts.
-	Got int
-	// Enough is set when Got reaches the plan's least number.
+	// Received is the number of parts.
+	Received int
+	// Enough is set when Received reaches the plan's least number.
 	Enough bool
 	// MayHaveRun is set when any replica may have worked on the request.
 	MayHaveRun bool
--- a/internal/core/scatter/further.go
+++ b/internal/core/scatter/further.go
@@ -22,7 +22,7 @@
 func (m *Machine) afterFailure(i int, verdict Verdict) {
 	s := &m.services[i]
 	if verdict == Failed && !m.plan.Idempotent {
-		m.withhold(i, Retry, MustNotRepeat)
+		m.withhold(i, Retry, NotIdempotent)
 		s.failed = true
 		return
 	}
@@ -31,7 +31,7 @@
 		return
 	}
 	if m.shardSuspect(i) && (s.live > 0 || s.gaveUp) {
-		m.withhold(i, Retry, Unproven)
+		m.withhold(i, Retry, MayEndReplicas)
 		s.failed = s.live == 0
 		return
 	}
@@ -50,20 +50,20 @@
 func (m *Machine) again(i int, cause Cause) bool {
 	s := &m.services[i]
 	if s.sent >= m.plan.MaxReplicas {
-		return m.withhold(i, cause, TriesUsed)
+		return m.withhold(i, cause, AttemptsUsed)
 	}
 	choice, ok := m.chooser.Pick(m.plan.Services[i], s.tried, m.now)
 	if !ok {
 		return m.withhold(i, cause, NoOtherReplica)
 	}
-	if cause == Hedge && choice.Expect > hedgeReach*m.plan.Hedge && m.chooser.Scarce(m.plan.Services[i], m.now) {
+	if cause == Hedge && choice.Expect > hedgeReach*m.plan.HedgeAfter && m.chooser.ExtraScarce(m.plan.Services[i], m.now) {
 		return m.withhold(i, cause, OtherSlow)
 	}
 	if cause == Hedge && choice.Doubtful && s.lates < doubtfulAfter {
-		return m.withhold(i, cause, OtherDoubtful)
+		return m.withhold(i, cause, OtherDegraded)
 	}
 	if !m.spend(i) {
-		return m.withhold(i, cause, ExtraUsed)
+		return m.withhold(i, cause, BudgetSpent)
 	}
 	m.send(i, choice, cause)
 	return true
@@ -80,7 +80,7 @@
 	if m.services[i].sent == 0 {
 		return true
 	}
-	if m.chooser.Extra(m.plan.Services[i], m.now) {
+	if m.chooser.TakeExtra(m.plan.Services[i], m.now) {
 		return true
 	}
 	m.result.BudgetSpent = true
@@ -95,7 +95,7 @@
 	}
 	choice, ok := m.chooser.Pick(m.plan.Services[i], nil, m.now)
 	if !ok || !m.spend(i) {
-		why := ExtraUsed
+		why := BudgetSpent
 		if !ok {
 			why = NoOtherReplica
 		}
@@ -112,17 +112,17 @@
 	s := &m.services[i]
 	for id, one := range m.sends {
 		if one.live && one.service == i {
-			m.act(Late{Send: id})
+			m.act(SendOverdue{Send: id})
 		}
 	}
-	s.hedgeAt = m.now + m.plan.Hedge
+	s.hedgeAt = m.now + m.plan.HedgeAfter
 	s.lates++
 	if !m.plan.Idempotent {
-		m.withhold(i, Hedge, MustNotRepeat)
+		m.withhold(i, Hedge, NotIdempotent)
 		return
 	}
 	if m.oneAtATime() || m.mayEndAll() || m.shardSuspect(i) {
-		m.withhold(i, Hedge, Unproven)
+		m.withhold(i, Hedge, MayEndReplicas)
 		return
 	}
 	m.again(i, Hedge)
--- a/internal/core/scatter/scatter.go
+++ b/internal/core/scatter/scatter.go
@@ -14,23 +14,23 @@
 type Plan struct {
 	// Services are the shards, or the one service.
 	Services []string
-	// Least is the number of parts below which the answer is a failure.
-	Least int
+	// MinParts is the number of parts below which the answer is a failure.
+	MinParts int
 	// Idempotent requests may be sent again although they may have run.
 	Idempotent bool
 	// MaxReplicas bounds the replicas of each service that the request is sent to.
 	MaxReplicas int
 	// Deadline is when the caller is told the outcome at the latest.
 	Deadline core.Time
-	// Aim is how long an answer may take to have its full worth; 0 is any time.
-	Aim time.Duration
+	// TargetLatency is how long an answer may take to have its full worth; 0 is any time.
+	TargetLatency time.Duration
 	// PartialAt is when the least number of parts is enough; 0 is never.
 	PartialAt core.Time
-	// Hedge is how long an answer may take before another replica is asked too;
+	// HedgeAfter is how long an answer may take before another replica is asked too;
 	// 0 is never.
-	Hedge time.Duration
-	// FarExtra is how much longer that is for a replica in another data centre.
-	FarExtra time.Duration
+	HedgeAfter time.Duration
+	// RemoteHedgeExtra is how much longer that is for a replica in another data centre.
+	RemoteHedgeExtra time.Duration
 	// Suspect is set when replicas have ended under the request before: see oneAtATime.
 	Suspect bool
 	// SuspectShards holds the indexes in Services of shards whose replicas have ended under the request before: see
@@ -42,12 +42,12 @@
 type Chooser interface {
 	// Pick chooses a replica that is not among tried.
 	Pick(service string, tried []string, now core.Time) (replica.Choice, bool)
-	// Extra spends one arrival beyond the first, or reports that the bound on
+	// TakeExtra spends one arrival beyond the first, or reports that the bound on
 	// those is reached.
-	Extra(service string, now core.Time) bool
-	// Scarce reports whether so many of those arrivals were spent that the rest should go where
+	TakeExtra(service string, now core.Time) bool
+	// ExtraScarce reports whether so many of those arrivals were spent that the rest should go where
 	// they most probably help.
-	Scarce(service string, now core.Time) bool
+	ExtraScarce(service string, now core.Time) bool
 }
 
 // Verdict is how a send ended.
@@ -55,8 +55,8 @@
 
 // The ends of a send.
 const (
-	// Whole is an answer that counts: for a part, a success with all its bytes.
-	Whole Verdict = iota
+	// Succeeded is an answer that counts: for a part, a success with all its bytes.
+	Succeeded Verdict = iota
 	// Failed may have run.
 	Failed
 	// Refused reached the replica, which proved that it did not run it.
@@ -134,7 +134,7 @@
 	switch e := event.(type) {
 	case Begin:
 		m.begin()
-	case Ended:
+	case SendEnded:
 		m.ended(e)
 	case Tick:
 		m.tick()
@@ -171,7 +171,7 @@
 		choices[i] = &choice
 		found++
 	}
-	if found < m.plan.Least || m.rejectEarly(choices) {
+	if found < m.plan.MinParts || m.rejectEarly(choices) {
 		return
 	}
 	if m.oneAtATime() {
@@ -193,17 +193,17 @@
 	s.sent++
 	s.live++
 	s.hedgeAt = 0
-	if m.plan.Hedge > 0 {
-		s.hedgeAt = m.now + m.plan.Hedge
+	if m.plan.HedgeAfter > 0 {
+		s.hedgeAt = m.now + m.plan.HedgeAfter
 	}
 	if to.Far && s.hedgeAt > 0 {
-		s.hedgeAt += m.plan.FarExtra
+		s.hedgeAt += m.plan.RemoteHedgeExtra
 	}
 	m.sends = append(m.sends, send{service: i, live: true, alone: alone, shardAlone: shardAlone})
-	m.act(Send{ID: len(m.sends) - 1, Service: i, Replica: to.Replica, Far: to.Far, Cause: cause, Alone: alone, ShardAlone: shardAlone})
+	m.act(Send{ID: len(m.sends) - 1, Service: i, Replica: to.Replica, Remote: to.Far, Cause: cause, Alone: alone, ShardAlone: shardAlone})
 }
 
-func (m *Machine) ended(e Ended) {
+func (m *Machine) ended(e SendEnded) {
 	one := &m.sends[e.Send]
 	if !one.live {
 		return
@@ -218,7 +218,7 @@
 	if s.settled() {
 		return
 	}
-	if e.Verdict == Whole {
+	if e.Verdict == Succeeded {
 		m.settle(one.service, e.Send)
 		return
 	}
@@ -231,10 +231,10 @@
 
 func (m *Machine) settle(i, sendID int) {
 	m.services[i].part = sendID
-	m.result.Got++
+	m.result.Received++
 	for id := range m.sends {
 		if m.sends[id].live && m.sends[id].service == i {
-			m.act(Withdraw{ID: id})
+			m.act(CancelSend{ID: id})
 		}
 	}
 }
@@ -262,10 +262,10 @@
 			open++
 		}
 	}
-	enough := m.result.Got >= m.plan.Least
+	enough := m.result.Received >= m.plan.MinParts
 	late := m.now >= m.plan.Deadline
 	partial := m.plan.PartialAt > 0 && m.now >= m.plan.PartialAt && enough
-	hopeless := m.result.Got+open < m.plan.Least || m.result.Rejected
+	hopeless := m.result.Received+open < m.plan.MinParts || m.result.Rejected
 	if open > 0 && !late && !partial && !hopeless {
 		return
 	}
@@ -284,7 +284,7 @@
 	for id := range m.sends {
 		if m.sends[id].live {
 			m.result.MayHaveRun = true
-			m.act(Withdraw{ID: id})
+			m.act(CancelSend{ID: id})
 		}
 	}
 }
--- a/internal/core/scatter/scatter_test.go
+++ b/internal/core/scatter/scatter_test.go
@@ -25,7 +25,7 @@
 	plenty bool
 }
 
-func (f *fakeChooser) Scarce(string, core.Time) bool { return !f.plenty }
+func (f *fakeChooser) ExtraScarce(string, core.Time) bool { return !f.plenty }
 
 func (f *fakeChooser) Pick(service string, tried []string, _ core.Time) (replica.Choice, bool) {
 	for i := range f.replicas {
@@ -37,7 +37,7 @@
 	return replica.Choice{}, false
 }
 
-func (f *fakeChooser) Extra(string, core.Time) bool {
+func (f *fakeChooser) TakeExtra(string, core.Time) bool {
 	f.extras--
 	return f.extras >= 0
 }
@@ -45,7 +45,7 @@
 const ms = time.Millisecond
 
 func gatherPlan() Plan {
-	return Plan{Services: []string{"a", "b", "c", "d"}, Least: 3, Idempotent: true, MaxReplicas: 2, Deadline: 600 * ms, PartialAt: 50 * ms, Hedge: 15 * ms}
+	return Plan{Services: []string{"a", "b", "c", "d"}, MinParts: 3, Idempotent: true, MaxReplicas: 2, Deadline: 600 * ms, PartialAt: 50 * ms, HedgeAfter: 15 * ms}
 }
 
 func sends(actions []Action) []Send {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func whole(send int) Ended { return Ended{Send: send, Verdict: Whole} }
+func whole(send int) SendEnded { return SendEnded{Send: send, Verdict: Succeeded} }
 
 func TestAWholeAnswerEndsAtOnce(t *testing.T) {
 	m := New(gatherPlan(), &fakeChooser{replicas: 2, extras: 9})
@@ -77,7 +77,7 @@
 	}
 	result := finish(m.Step(6*ms, whole(3)))
 	require.NotNil(t, result)
-	require.Equal(t, 4, result.Got)
+	require.Equal(t, 4, result.Received)
 	require.Equal(t, []int{0, 1, 2, 3}, result.Parts)
 	require.Empty(t, m.Step(7*ms, Tick{}), "nothing is done after the end")
 }
@@ -91,12 +91,12 @@
 		m.Step(5*ms, whole(i))
 	}
 	actions := m.Step(15*ms, Tick{})
-	require.Contains(t, actions, Action(Late{Send: 3}))
+	require.Contains(t, actions, Action(SendOverdue{Send: 3}))
 	hedge := sends(actions)
 	require.Len(t, hedge, 1)
 	require.Equal(t, "d-1", hedge[0].Replica.ID)
 	actions = m.Step(20*ms, whole(4))
-	require.Contains(t, actions, Action(Withdraw{ID: 3}))
+	require.Contains(t, actions, Action(CancelSend{ID: 3}))
 	require.Equal(t, 4, finish(actions).Parts[3])
 }
 
@@ -136,14 +136,14 @@
 func TestAnAnswerThatCannotBecomeEnoughEndsAtOnce(t *testing.T) {
 	m := New(gatherPlan(), &fakeChooser{replicas: 1})
 	m.Step(0, Begin{})
-	require.Nil(t, finish(m.Step(ms, Ended{Send: 0, Verdict: Unreached})))
-	result := finish(m.Step(2*ms, Ended{Send: 1, Verdict: Unreached}))
+	require.Nil(t, finish(m.Step(ms, SendEnded{Send: 0, Verdict: Unreached})))
+	result := finish(m.Step(2*ms, SendEnded{Send: 1, Verdict: Unreached}))
 	require.NotNil(t, result)
 	require.False(t, result.Enough)
 }
 
 func plainPlan(idempotent bool) Plan {
-	return Plan{Services: []string{"a"}, Least: 1, Idempotent: idempotent, MaxReplicas: 2, Deadline: time.Second}
+	return Plan{Services: []string{"a"}, MinParts: 1, Idempotent: idempotent, MaxReplicas: 2, Deadline: time.Second}
 }
 
 // An invoice is posted, its answer is lost, and the request is sent again: the
@@ -151,7 +151,7 @@
 func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
 	m := New(plainPlan(false), &fakeChooser{replicas: 3, extras: 9})
 	m.Step(0, Begin{})
-	result := finish(m.Step(ms, Ended{Send: 0, Verdict: Failed}))
+	result := finish(m.Step(ms, SendEnded{Send: 0, Verdict: Failed}))
 	require.NotNil(t, result)
 	require.True(t, result.MayHaveRun)
 }
@@ -160,7 +160,7 @@
 	for _, verdict := range []Verdict{Refused, Unreached} {
 		m := New(plainPlan(false), &fakeChooser{replicas: 3, extras: 9})
 		m.Step(0, Begin{})
-		again := sends(m.Step(ms, Ended{Send: 0, Verdict: verdict}))
+		again := sends(m.Step(ms, SendEnded{Send: 0, Verdict: verdict}))
 		require.Len(t, again, 1)
 		require.Equal(t, "a-1", again[0].Replica.ID)
 		require.True(t, finish(m.Step(2*ms, whole(1))).Enough)
@@ -170,9 +170,9 @@
 func TestAReplicaThatIsFullIsAskedAgainWhenThereIsNoOther(t *testing.T) {
 	m := New(plainPlan(true), &fakeChooser{replicas: 1, extras: 1})
 	m.Step(0, Begin{})
-	require.Nil(t, finish(m.Step(ms, Ended{Send: 0, Verdict: Refused})))
+	require.Nil(t, finish(m.Step(ms, SendEnded{Send: 0, Verdict: Refused})))
 	require.Len(t, sends(m.Step(ms+refusedPause, Tick{})), 1)
-	result := finish(m.Step(30*ms, Ended{Send: 1, Verdict: Refused}))
+	result := finish(m.Step(30*ms, SendEnded{Send: 1, Verdict: Refused}))
 	if result == nil {
 		result = finish(m.Step(30*ms+refusedPause, Tick{}))
 	}
@@ -194,7 +194,7 @@
 // never left, and "not run" is only said when every send proved it.
 func TestEndsInAnyOrderKeepThePromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plan := Plan{Services: []string{"a", "b"}, Least: rapid.IntRange(1, 2).Draw(t, "least"), Idempotent: rapid.Bool().Draw(t, "idempotent"), MaxReplicas: 2, Deadline: time.Second, Hedge: 15 * ms}
+		plan := Plan{Services: []string{"a", "b"}, MinParts: rapid.IntRange(1, 2).Draw(t, "least"), Idempotent: rapid.Bool().Draw(t, "idempotent"), MaxReplicas: 2, Deadline: time.Second, HedgeAfter: 15 * ms}
 		m := New(plan, &fakeChooser{replicas: 3, extras: rapid.IntRange(0, 4).Draw(t, "extras")})
 		var live []Send
 		var result *Result
@@ -224,7 +224,7 @@
 			if verdict == Failed {
 				mayHaveRun[one.Service] = true
 			}
-			take(m.Step(now, Ended{Send: one.ID, Verdict: verdict}))
+			take(m.Step(now, SendEnded{Send: one.ID, Verdict: verdict}))
 		}
 		if result != nil && !result.MayHaveRun {
 			require.Empty(t, mayHaveRun)
@@ -269,11 +269,11 @@
 	}
 	once, single := gatherPlan(), gatherPlan()
 	once.Idempotent, single.MaxReplicas = false, 1
-	require.Equal(t, MustNotRepeat, reason(once, &fakeChooser{replicas: 2, extras: 9}))
-	require.Equal(t, TriesUsed, reason(single, &fakeChooser{replicas: 2, extras: 9}))
+	require.Equal(t, NotIdempotent, reason(once, &fakeChooser{replicas: 2, extras: 9}))
+	require.Equal(t, AttemptsUsed, reason(single, &fakeChooser{replicas: 2, extras: 9}))
 	require.Equal(t, NoOtherReplica, reason(gatherPlan(), &fakeChooser{replicas: 1, extras: 9}))
-	require.Equal(t, OtherDoubtful, reason(gatherPlan(), &fakeChooser{replicas: 2, extras: 9, doubtful: true}))
-	require.Equal(t, ExtraUsed, reason(gatherPlan(), &fakeChooser{replicas: 2}))
+	require.Equal(t, OtherDegraded, reason(gatherPlan(), &fakeChooser{replicas: 2, extras: 9, doubtful: true}))
+	require.Equal(t, BudgetSpent, reason(gatherPlan(), &fakeChooser{replicas: 2}))
 	require.Empty(t, reason(gatherPlan(), &fakeChooser{replicas: 2, extras: 9}))
 }
 
@@ -281,7 +281,7 @@
 // Sent all the same, the question would wait for them, take the room of others, and be late.
 func TestAQuestionThatCannotComeInTimeIsRejectedBeforeAnythingIsSent(t *testing.T) {
 	plan := gatherPlan()
-	plan.Aim = 50 * ms
+	plan.TargetLatency = 50 * ms
 	chooser := &fakeChooser{replicas: 2, extras: 9, expect: map[string]time.Duration{"a": 80 * ms, "b": 200 * ms}}
 	actions := New(plan, chooser).Step(0, Begin{})
 	require.Empty(t, sends(actions))
@@ -297,7 +297,7 @@
 // As many shards as may be missing are slow: the answer comes in time without them.
 func TestWhatMayBeMissingRejectsNothing(t *testing.T) {
 	plan := gatherPlan()
-	plan.Aim = 50 * ms
+	plan.TargetLatency = 50 * ms
 	slow := &fakeChooser{replicas: 2, extras: 9, expect: map[string]time.Duration{"a": time.Minute}}
 	require.Len(t, sends(New(plan, slow).Step(0, Begin{})), 4)
 	away := &fakeChooser{replicas: 2, extras: 9, unreachable: []string{"b"}}
@@ -307,7 +307,7 @@
 // A slow replica with nothing in work is asked: only a request can tell that it is fast again.
 func TestAReplicaWithoutWorkIsTried(t *testing.T) {
 	plan := gatherPlan()
-	plan.Aim = 50 * ms
+	plan.TargetLatency = 50 * ms
 	chooser := &fakeChooser{replicas: 2, extras: 9, unreachable: []string{"a"}}
 	require.Len(t, sends(New(plan, chooser).Step(0, Begin{})), 4)
 }
--- a/internal/core/scatter/unproven.go
+++ b/internal/core/scatter/unproven.go
@@ -27,9 +27,9 @@
 func (m *Machine) mayEndAll() bool { return len(m.services) > 1 && !m.proven }
 
 // noteProof takes up what an end says of the request.
-func (m *Machine) noteProof(one *send, e Ended) {
+func (m *Machine) noteProof(one *send, e SendEnded) {
 	switch {
-	case e.Verdict == Whole:
+	case e.Verdict == Succeeded:
 		m.proven = true
 	case e.Verdict == Failed && e.Broken:
 		m.broken = true
@@ -77,7 +77,7 @@
 	for i := range m.services {
 		s := &m.services[i]
 		if s.held {
-			m.withhold(i, Retry, Unproven)
+			m.withhold(i, Retry, MayEndReplicas)
 			s.held, s.failed = false, true
 		}
 	}
--- a/internal/core/scatter/unproven_test.go
+++ b/internal/core/scatter/unproven_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func broken(send int) Ended { return Ended{Send: send, Verdict: Failed, Broken: true} }
+func broken(send int) SendEnded { return SendEnded{Send: send, Verdict: Failed, Broken: true} }
 
 // A question ends each replica that begins it. One of each shard ends under the first sends and one under the next;
 // the others live on.
@@ -73,7 +73,7 @@
 	plan.Suspect = true
 	m := New(plan, &fakeChooser{replicas: 2, extras: 9})
 	m.Step(0, Begin{})
-	next := sends(m.Step(2*ms, Ended{Send: 0, Verdict: Refused}))
+	next := sends(m.Step(2*ms, SendEnded{Send: 0, Verdict: Refused}))
 	require.Len(t, next, 1)
 	require.True(t, next[0].Alone)
 }
@@ -113,7 +113,7 @@
 	m.Step(8*ms, whole(2))
 	result := finish(m.Step(8*ms, whole(3)))
 	require.NotNil(t, result)
-	require.Equal(t, 3, result.Got)
+	require.Equal(t, 3, result.Received)
 }
 
 // Guards against hedges and retries at a shard whose replicas ended under the request before. Other shards are not
@@ -150,5 +150,5 @@
 		m.Step(5*ms, whole(i))
 	}
 	result := finish(m.Step(5*ms, whole(2)))
-	require.Equal(t, 3, result.Got)
+	require.Equal(t, 3, result.Received)
 }
--- a/internal/edge/beliefs.go
+++ b/internal/edge/beliefs.go
@@ -56,18 +56,18 @@
 	return c.chooser.Pick(service, tried, now)
 }
 
-// Extra implements scatter.Chooser.
-func (c *lockedChooser) Extra(service string, now core.Time) bool {
+// TakeExtra implements scatter.Chooser.
+func (c *lockedChooser) TakeExtra(service string, now core.Time) bool {
 	c.beliefs.mutex.Lock()
 	defer c.beliefs.mutex.Unlock()
-	return c.chooser.Extra(service, now)
+	return c.chooser.TakeExtra(service, now)
 }
 
-// Scarce implements scatter.Chooser.
-func (c *lockedChooser) Scarce(service string, now core.Time) bool {
+// ExtraScarce implements scatter.Chooser.
+func (c *lockedChooser) ExtraScarce(service string, now core.Time) bool {
 	c.beliefs.mutex.Lock()
 	defer c.beliefs.mutex.Unlock()
-	return c.chooser.Scarce(service, now)
+	return c.chooser.ExtraScarce(service, now)
 }
 
 // answered and answeredLate learn from an answer that was waited for, and from one that was not.
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -143,7 +143,7 @@
 	var direct []*exchange
 	ways := map[way][]*exchange{}
 	for _, one := range started {
-		if !one.send.Far || one.send.Cause == scatter.Retry || one.send.ShardAlone {
+		if !one.send.Remote || one.send.Cause == scatter.Retry || one.send.ShardAlone {
 			direct = append(direct, one)
 			continue
 		}
@@ -173,7 +173,7 @@
 	message := &peerpb.DelegateRequest{
 		Method: q.template.Method, Target: q.template.Target, Host: q.template.Host, Body: q.template.Body,
 		RequestId: q.id, TimeLeftUs: uint64(max(q.plan.Deadline-q.node.now(), 0).Microseconds()),
-		FlushUs: uint64((q.plan.Hedge / flushShare).Microseconds()), TopK: uint32(q.route.Gather.TopK),
+		FlushUs: uint64((q.plan.HedgeAfter / flushShare).Microseconds()), TopK: uint32(q.route.Gather.TopK),
 		Parts: uint32(q.node.beliefs.excerptParts(q.route)), Apart: apart,
 	}
 	for name, values := range q.template.Header {
@@ -277,8 +277,8 @@
 			one.response = &replicaconn.Response{Status: int(part.GetStatus()), Header: http.Header{}}
 		}
 		switch {
-		case one.verdict != scatter.Whole || one.response == nil:
-			if one.verdict == scatter.Whole {
+		case one.verdict != scatter.Succeeded || one.response == nil:
+			if one.verdict == scatter.Succeeded {
 				// A part without a status cannot be counted as one.
 				one.verdict = scatter.Failed
 			}
--- a/internal/edge/delegated.go
+++ b/internal/edge/delegated.go
@@ -154,7 +154,7 @@
 	for _, one := range r.pending {
 		part := &peerpb.DelegatedPart{Id: uint32(one.send.ID), Verdict: uint32(one.verdict), TookUs: uint64(one.took.Microseconds()), PauseEndedMs: r.pauseEnded(one), Broken: one.broken}
 		switch {
-		case one.verdict == scatter.Whole:
+		case one.verdict == scatter.Succeeded:
 			part.Status, part.Stamp = uint32(one.response.Status), platform.Stamp(one.response.Header)
 			if r.apart {
 				part.Records = r.sender.Greatest(one.response.Body)
--- a/internal/edge/delegated_test.go
+++ b/internal/edge/delegated_test.go
@@ -53,6 +53,6 @@
 	part.Records = make([]byte, topk.RecordBytes)
 	g.members[7] = &exchange{}
 	ends = g.take(&peerpb.DelegateReply{Apart: true, Parts: []*peerpb.DelegatedPart{part}})
-	require.Equal(t, scatter.Whole, ends[0].verdict)
+	require.Equal(t, scatter.Succeeded, ends[0].verdict)
 	require.Len(t, ends[0].response.Body, topk.RecordBytes)
 }
--- a/internal/edge/merge.go
+++ b/internal/edge/merge.go
@@ -14,8 +14,8 @@
 // which the result then says.
 func (q *request) answerGathered(w http.ResponseWriter, result *scatter.Result) bool {
 	body, stamps, taken := q.merge(*result)
-	result.Got = len(stamps)
-	result.Enough = result.Enough && len(stamps) >= q.plan.Least
+	result.Received = len(stamps)
+	result.Enough = result.Enough && len(stamps) >= q.plan.MinParts
 	missing := len(q.services) - len(stamps)
 	outcome := outcomeWhole
 	if missing > 0 && !result.Rejected {
--- a/internal/edge/merge_test.go
+++ b/internal/edge/merge_test.go
@@ -28,7 +28,7 @@
 
 // ended is a send whose whole answer has come.
 func ended(id, service int, body []byte) *exchange {
-	one := &exchange{over: true, verdict: scatter.Whole, response: &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}}
+	one := &exchange{over: true, verdict: scatter.Succeeded, response: &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}}
 	one.send.ID, one.send.Service = id, service
 	platform.SetStamp(one.response.Header, fmt.Sprint("stamp-", service))
 	return one
@@ -50,7 +50,7 @@
 func TestAMergeLeavesOutAnExcerptThatIsTooShort(t *testing.T) {
 	n := newNode(&settings.Edge{DataCentre: "east"}, io.Discard)
 	route := &policy.Route{Name: "deep", Gather: &policy.Gather{Shards: []string{"s1", "s2", "s3"}, TopK: 50, LeastCoverage: 0.6}}
-	result := scatter.Result{Parts: []int{0, 1, 2}, Got: 3, Enough: true}
+	result := scatter.Result{Parts: []int{0, 1, 2}, Received: 3, Enough: true}
 
 	q := merged(n, route, topk.NewSender(50, n.beliefs.excerptParts(route)))
 	body, stamps, taken := q.merge(result)
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -153,7 +153,7 @@
 
 // verdictNames are the outcomes of sends.
 var verdictNames = map[scatter.Verdict]string{
-	scatter.Whole: outcomeWhole, scatter.Failed: outcomeFailed, scatter.Refused: outcomeRefused, scatter.Unreached: "unreached",
+	scatter.Succeeded: outcomeWhole, scatter.Failed: outcomeFailed, scatter.Refused: outcomeRefused, scatter.Unreached: "unreached",
 }
 
 // send counts the end of a send to a service, and how long a whole answer took.
@@ -162,7 +162,7 @@
 	if counter := one.sends[verdict]; counter != nil {
 		counter.Inc(1)
 	}
-	if verdict == scatter.Whole {
+	if verdict == scatter.Succeeded {
 		one.took.Update(took.Microseconds())
 	}
 }
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -17,7 +17,7 @@
 func TestServicesMetricsAreBounded(t *testing.T) {
 	m := newNodeMetrics()
 	for i := range maxServices + 10 {
-		m.send("shard-"+strconv.Itoa(i), scatter.Whole, time.Millisecond)
+		m.send("shard-"+strconv.Itoa(i), scatter.Succeeded, time.Millisecond)
 	}
 	require.Len(t, m.services, maxServices+1)
 	count, _ := m.registry.Get(observe.Labelled("service_sends_total", labelService, otherServices, labelOutcome, outcomeWhole)).(interface{ Count() int64 })
@@ -47,7 +47,7 @@
 	b.Run("twenty sends", func(b *testing.B) {
 		for b.Loop() {
 			for _, one := range services {
-				m.send(one, scatter.Whole, time.Millisecond)
+				m.send(one, scatter.Succeeded, time.Millisecond)
 			}
 		}
 	})
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -62,7 +62,7 @@
 
 // setAside reports whether the request is set aside as a whole, or at so many shards that too few remain to answer it.
 func (q *request) setAside() bool {
-	return q.standing == quarantine.SetAside || len(q.plan.SetAsideShards) > 0 && len(q.services)-len(q.plan.SetAsideShards) < max(q.plan.Least, 1)
+	return q.standing == quarantine.SetAside || len(q.plan.SetAsideShards) > 0 && len(q.services)-len(q.plan.SetAsideShards) < max(q.plan.MinParts, 1)
 }
 
 // noteAnswered records that a replica of a shard has answered the request, which clears it as a whole and at that shard.
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -107,7 +107,7 @@
 		q.noteEnd(one)
 	}
 	for _, one := range ends {
-		result := q.perform(ctx, machine.Step(q.node.now(), scatter.Ended{Send: one.send.ID, Verdict: one.verdict, Broken: one.broken}), timer)
+		result := q.perform(ctx, machine.Step(q.node.now(), scatter.SendEnded{Send: one.send.ID, Verdict: one.verdict, Broken: one.broken}), timer)
 		if result != nil {
 			return result
 		}
@@ -128,13 +128,13 @@
 		switch a := action.(type) {
 		case scatter.Send:
 			started = append(started, q.prepare(ctx, a))
-		case scatter.Withdraw:
+		case scatter.CancelSend:
 			q.sends[a.ID].cancel(errAnswered)
-		case scatter.Late:
+		case scatter.SendOverdue:
 			q.late(a.Send)
 		case scatter.Withheld:
 			q.withheld(a)
-		case scatter.Short:
+		case scatter.ServiceTooLate:
 			q.short(a)
 		case scatter.Wake:
 			timer.Reset(max(a.At-q.node.now(), 0))
@@ -161,8 +161,8 @@
 }
 
 // short notes a service that an early rejection rests on.
-func (q *request) short(a scatter.Short) {
-	s := step{Event: "part_short", Service: q.services[a.Service], Replica: a.Replica.ID, ExpectMs: a.Expect.Milliseconds(), Cause: "it is expected too late"}
+func (q *request) short(a scatter.ServiceTooLate) {
+	s := step{Event: "part_short", Service: q.services[a.Service], Replica: a.Replica.ID, ExpectMs: a.ExpectedLatency.Milliseconds(), Cause: "it is expected too late"}
 	if a.Unreachable {
 		s.Cause = "no connection a moment ago"
 	}
@@ -281,7 +281,7 @@
 	case one.response.Status >= 500 || q.route.Gather != nil && !success(one.response.Status):
 		return scatter.Failed
 	default:
-		return scatter.Whole
+		return scatter.Succeeded
 	}
 }
 
@@ -304,7 +304,7 @@
 	}
 	q.node.metrics.send(one.send.Replica.Service, one.verdict, one.took)
 	switch one.verdict {
-	case scatter.Whole:
+	case scatter.Succeeded:
 		q.noteAnswered(one.send.Replica.Service)
 		b.answered(q.route, life, one.took)
 	case scatter.Failed:
@@ -331,7 +331,7 @@
 	select {
 	case <-q.over:
 		q.node.beliefs.note(func(book *replica.Book, _ core.Time) { book.Ended(one.send.Replica.Life()) })
-		if one.verdict == scatter.Whole {
+		if one.verdict == scatter.Succeeded {
 			q.node.beliefs.answeredLate(q.route, one.send.Replica.Life(), one.took)
 		}
 	default:
@@ -351,7 +351,7 @@
 
 // noteEnd keeps the ends that are no plain success for the request's story.
 func (q *request) noteEnd(one *exchange) {
-	if one.verdict == scatter.Whole || errors.Is(one.err, errAnswered) {
+	if one.verdict == scatter.Succeeded || errors.Is(one.err, errAnswered) {
 		return
 	}
 	s := step{Event: "send_failed", Replica: one.send.Replica.ID, Service: one.send.Replica.Service, TookMs: (q.node.now() - one.startAt).Milliseconds()}
--- a/internal/loadmodel/caller.go
+++ b/internal/loadmodel/caller.go
@@ -74,7 +74,7 @@
 	now := w.clock.now
 	left := c.began + c.kind.Deadline - now
 	if result.Enough && left > 0 {
-		c.earn(float64(result.Got) / float64(w.pattern.Shards))
+		c.earn(float64(result.Received) / float64(w.pattern.Shards))
 		return
 	}
 	refused := !result.Enough && !result.MayHaveRun
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -109,9 +109,9 @@
 		switch a := action.(type) {
 		case scatter.Send:
 			q.send(a)
-		case scatter.Withdraw:
+		case scatter.CancelSend:
 			q.transfers[a.ID].withdraw()
-		case scatter.Late:
+		case scatter.SendOverdue:
 			one := q.transfers[a.Send]
 			if !w.options.without(Overdue) {
 				q.node.outlook.Book.Overdue(one.send.Replica.Life(), w.clock.now)
@@ -141,11 +141,11 @@
 	w.report.Rejected++
 	inTime := 0
 	for _, service := range q.plan.Services {
-		if slices.ContainsFunc(w.byService[service], func(u *upstream) bool { return u.wait(w.clock.now, q.kind.Work) <= q.plan.Aim }) {
+		if slices.ContainsFunc(w.byService[service], func(u *upstream) bool { return u.wait(w.clock.now, q.kind.Work) <= q.plan.TargetLatency }) {
 			inTime++
 		}
 	}
-	if inTime >= q.plan.Least {
+	if inTime >= q.plan.MinParts {
 		w.report.WronglyRejected++
 	}
 }
@@ -155,7 +155,7 @@
 	n := q.node
 	one := &transfer{request: q, send: a, to: n.world.byID[a.Replica.ID], via: n, way: nearWay, began: n.world.clock.now}
 	q.transfers = append(q.transfers, one)
-	if a.Far {
+	if a.Remote {
 		one.way = farWay
 		if helper := n.world.helper(a.Replica.DataCentre); helper != nil && a.Cause == scatter.First {
 			one.via = helper
@@ -200,7 +200,7 @@
 		t.tell(took, verdict)
 	}
 	if t.withdrawn {
-		if verdict == scatter.Whole {
+		if verdict == scatter.Succeeded {
 			q.node.outlook.AnsweredLate(q.route, life, took, now)
 		}
 		return
@@ -208,7 +208,7 @@
 	book := q.node.outlook.Book
 	book.Ended(life)
 	switch verdict {
-	case scatter.Whole:
+	case scatter.Succeeded:
 		if w.options.without(Slowness) {
 			took = min(took, q.kind.Work)
 		}
@@ -226,14 +226,14 @@
 			book.Unreached(life, now)
 		}
 	}
-	q.step(scatter.Ended{Send: t.send.ID, Verdict: verdict})
+	q.step(scatter.SendEnded{Send: t.send.ID, Verdict: verdict})
 }
 
 // tell lets the node that sent learn from an answer, and the one that asked it from what that one
 // knows of the replica's pauses.
 func (t *transfer) tell(took time.Duration, verdict scatter.Verdict) {
 	q, life, now := t.request, t.send.Replica.Life(), t.request.node.world.clock.now
-	if verdict == scatter.Whole {
+	if verdict == scatter.Succeeded {
 		t.via.outlook.AnsweredLate(q.route, life, took-2*(farWay-nearWay), now)
 	}
 	if age, known := t.via.outlook.Book.PauseAge(life, now); known {
--- a/internal/loadmodel/upstream.go
+++ b/internal/loadmodel/upstream.go
@@ -64,7 +64,7 @@
 		if !j.running {
 			return
 		}
-		j.finish(scatter.Whole)
+		j.finish(scatter.Succeeded)
 		u.release(j)
 	})
 }
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -54,7 +54,7 @@
 // change leaves mechanisms of the plan out.
 func (o Options) change(plan *scatter.Plan) {
 	if o.without(Hedges) {
-		plan.Hedge = 0
+		plan.HedgeAfter = 0
 	}
 	if o.without(Retries) {
 		plan.MaxReplicas = 1
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -38,7 +38,7 @@
 	{"answers without a signature", "internal/edge/request.go", `case platform.Stamp(one.response.Header) == "":`, `case platform.Stamp(one.response.Header) == "?":`},
 	{"not run is said of all failures", "internal/edge/answer.go", "if !result.MayHaveRun {", "if !result.MayHaveRun || true {"},
 	{"a promise without a proof is passed on", "internal/edge/request.go", "case promises[one.response.Status]:", "case promises[one.response.Status] && false:"},
-	{"requests run twice", "internal/core/outlook/plan.go", "Least: 1, Idempotent: route.Idempotent", "Least: 1, Idempotent: true"},
+	{"requests run twice", "internal/core/outlook/plan.go", "MinParts: 1, Idempotent: route.Idempotent", "MinParts: 1, Idempotent: true"},
 	{"drains are passed over", "internal/edge/registry.go", "		listing = book.Put(listed)\n", "		listed.Draining = false\n		listing = book.Put(listed)\n"},
 	{"evacuations are passed over", "internal/edge/registry.go", "book.Evacuate(dataCentre, !item.Removed, now)", "book.Evacuate(dataCentre, false, now)"},
 	{"helpers send into an evacuated data centre", "internal/core/replica/place.go", "s.doubtedAt == 0 && !b.empties(s.DataCentre)", "s.doubtedAt == 0 && (b.dataCentre == s.DataCentre || !b.empties(s.DataCentre))"},
