--- a/internal/core/outlook/outlook.go
+++ b/internal/core/outlook/outlook.go
@@ -15,7 +15,7 @@
 
 // Outlook holds the expectations of one node. It is not safe for concurrent use.
 type Outlook struct {
-	Book     *replica.Book
+	Book     *replica.Table
 	Budget   *extra.Budget
 	splitter *policy.Splitter
 	routes   map[string]*routeTimes
@@ -25,7 +25,7 @@
 // between replicas.
 func New(dataCentre string, regions map[string]string, bound extra.Bound, random func() float64) *Outlook {
 	return &Outlook{
-		Book:     replica.NewBook(dataCentre, regions, random),
+		Book:     replica.NewTable(dataCentre, regions, random),
 		Budget:   extra.New(bound),
 		splitter: policy.NewSplitter(),
 		routes:   map[string]*routeTimes{},
@@ -63,7 +63,7 @@
 
 // Pick implements scatter.Chooser.
 func (c chooser) Pick(service string, tried []string, now core.Time) (replica.Choice, bool) {
-	return c.outlook.Book.Pick(replica.Wish{Service: service, Tried: tried, Regions: c.regions, Usual: c.usual}, now)
+	return c.outlook.Book.Pick(replica.Criteria{Service: service, Tried: tried, Regions: c.regions, Typical: c.usual}, now)
 }
 
 // TakeExtra implements scatter.Chooser.
--- a/internal/core/replica/choice.go
+++ b/internal/core/replica/choice.go
@@ -8,7 +8,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Weights of Book.cost, in units of one usual answer time of the route. They were
+// Weights of Table.cost, in units of one usual answer time of the route. They were
 // chosen so that a replica of the own data centre is preferred unless it is twice
 // as slow as usual or all its slots hold requests of this node.
 const (
@@ -27,27 +27,27 @@
 	refusalCost = 4.0
 )
 
-// Wish says which replicas a request may go to.
-type Wish struct {
+// Criteria says which replicas a request may go to.
+type Criteria struct {
 	Service string
 	// Tried are the ids of replicas to leave out.
 	Tried []string
 	// Regions are those whose replicas may be taken; none is all.
 	Regions []string
-	// Usual is the route's usual answer time, 0 where it is not known.
-	Usual time.Duration
+	// Typical is the route's usual answer time, 0 where it is not known.
+	Typical time.Duration
 }
 
 // Choice is a replica for a request.
 type Choice struct {
 	Replica
-	// Doubtful is set when the replica is overdue, failing, out of room or expected to pause: good
+	// Degraded is set when the replica is overdue, failing, out of room or expected to pause: good
 	// enough for a first try where there is no other, not for a hedge.
-	Doubtful bool
-	// Far is set when the replica is in another data centre.
-	Far bool
-	// Expect is how long its answer will probably take, 0 where that is not known.
-	Expect time.Duration
+	Degraded bool
+	// Remote is set when the replica is in another data centre.
+	Remote bool
+	// ExpectedLatency is how long its answer will probably take, 0 where that is not known.
+	ExpectedLatency time.Duration
 	// Unreachable is set when the last request found no connection, a moment ago.
 	Unreachable bool
 	// Busy is set while a request of this node is in work there, whose end will tell more.
@@ -55,14 +55,14 @@
 }
 
 // Pick chooses the replica with the least cost. It reports false when there is none.
-func (b *Book) Pick(wish Wish, now core.Time) (Choice, bool) {
+func (b *Table) Pick(wish Criteria, now core.Time) (Choice, bool) {
 	var best *state
 	bestCost := math.Inf(1)
 	for _, one := range b.byService[wish.Service] {
 		if !b.usable(one) || slices.Contains(wish.Tried, one.ID) || !b.within(one, wish.Regions) || !b.bears(one, now) {
 			continue
 		}
-		if cost := b.cost(one, wish.Usual, now); cost < bestCost {
+		if cost := b.cost(one, wish.Typical, now); cost < bestCost {
 			best, bestCost = one, cost
 		}
 	}
@@ -70,11 +70,11 @@
 		return Choice{}, false
 	}
 	b.takeCold(best, now)
-	return Choice{Replica: best.Replica, Doubtful: best.doubtful(now) || b.pausing(best, wish.Usual, now), Far: best.DataCentre != b.dataCentre, Expect: best.expect(wish.Usual, now), Busy: best.outstanding > 0, Unreachable: best.unreachable(now)}, true
+	return Choice{Replica: best.Replica, Degraded: best.doubtful(now) || b.pausing(best, wish.Typical, now), Remote: best.DataCentre != b.dataCentre, ExpectedLatency: best.expect(wish.Typical, now), Busy: best.outstanding > 0, Unreachable: best.unreachable(now)}, true
 }
 
 // cost estimates how long a request would take there, in usual answer times.
-func (b *Book) cost(s *state, usual time.Duration, now core.Time) float64 {
+func (b *Table) cost(s *state, usual time.Duration, now core.Time) float64 {
 	const tieBreak = 0.1
 	cost := s.slownessNow(now) * (1 + s.queued())
 	if rank := b.ranks[s.DataCentre]; rank > 0 {
--- a/internal/core/replica/cold.go
+++ b/internal/core/replica/cold.go
@@ -6,16 +6,16 @@
 )
 
 // SetColdBounds takes what cold replicas of each service bear.
-func (b *Book) SetColdBounds(bounds map[string]coldstart.Bound) { b.coldBounds = bounds }
+func (b *Table) SetColdBounds(bounds map[string]coldstart.Bound) { b.coldBounds = bounds }
 
 // SetSenders takes the nodes that requests come to, which share what cold replicas bear, and which
 // of them this one is.
-func (b *Book) SetSenders(self core.NodeID, senders []core.NodeID) {
+func (b *Table) SetSenders(self core.NodeID, senders []core.NodeID) {
 	b.self, b.senders = self, senders
 }
 
-// Cold notes until when a replica is cold by its own report.
-func (b *Book) Cold(life Incarnation, until core.Time) {
+// SetColdUntil notes until when a replica is cold by its own report.
+func (b *Table) SetColdUntil(life Incarnation, until core.Time) {
 	if known := b.of(life); known != nil {
 		known.coldUntil = until
 	}
@@ -26,7 +26,7 @@
 // The replicas of a data centre that is taken back after an evacuation count as cold although their
 // reports may still be those of before: they have done nothing for a while, and the report that
 // says so comes a heartbeat later than the requests.
-func (b *Book) coldBound(s *state, now core.Time) (coldstart.Bound, bool) {
+func (b *Table) coldBound(s *state, now core.Time) (coldstart.Bound, bool) {
 	bound := b.coldBounds[s.Service]
 	if bound.PerSecond <= 0 {
 		return bound, false
@@ -36,7 +36,7 @@
 }
 
 // bears reports whether a replica is warm or bears one more request of this node now.
-func (b *Book) bears(s *state, now core.Time) bool {
+func (b *Table) bears(s *state, now core.Time) bool {
 	bound, cold := b.coldBound(s, now)
 	return !cold || s.cold.Free(coldstart.Share(bound, s.ID, b.self, b.senders), now)
 }
@@ -44,7 +44,7 @@
 // takeCold counts a request at a cold replica. It counts at the choice and not at the send, so that
 // requests that choose at the same moment do not all take the same room; a choice that is not
 // sent leaves the replica less than it bears.
-func (b *Book) takeCold(s *state, now core.Time) {
+func (b *Table) takeCold(s *state, now core.Time) {
 	if _, cold := b.coldBound(s, now); cold {
 		s.cold.Take(now)
 	}
--- a/internal/core/replica/life_test.go
+++ b/internal/core/replica/life_test.go
@@ -18,7 +18,7 @@
 // sent to it for seconds for what its former life did, and its count of requests in work
 // would never fall back to nothing.
 func TestARestartedReplicaStartsAnew(t *testing.T) {
-	b := NewBook("east", nil, func() float64 { return 0 })
+	b := NewTable("east", nil, func() float64 { return 0 })
 	require.Equal(t, Added, b.Put(report(100, 50, false)))
 	former := Incarnation{ID: "near", Born: 100}
 	b.Sent(former, 0)
@@ -28,29 +28,29 @@
 	require.Equal(t, Updated, b.Put(report(100, 51, true)))
 	require.Equal(t, Restarted, b.Put(report(200, 1, false)))
 	choice := pick(t, b, time.Second)
-	require.False(t, choice.Doubtful)
-	require.Equal(t, 0, b.Running())
+	require.False(t, choice.Degraded)
+	require.Equal(t, 0, b.InFlight())
 	// Ends of the former life that come only now say nothing of the new one.
 	b.Sent(Incarnation{ID: "near", Born: 200}, time.Second)
 	b.Ended(former)
 	b.Unreached(former, time.Second)
 	b.Misdirected(former)
 	b.Overdue(former, time.Second)
-	require.Equal(t, 1, b.Running())
-	require.False(t, pick(t, b, time.Second).Doubtful)
+	require.Equal(t, 1, b.InFlight())
+	require.False(t, pick(t, b, time.Second).Degraded)
 }
 
 // A report of the former life was held up on its way to the store and comes after the new
 // one's. Taken for the newest, it would make a replica that serves look as if it drained.
 func TestAnOlderReportChangesNothing(t *testing.T) {
-	b := NewBook("east", nil, func() float64 { return 0 })
+	b := NewTable("east", nil, func() float64 { return 0 })
 	b.Put(report(200, 5, false))
 	require.Equal(t, Outdated, b.Put(report(100, 90, true)))
 	require.Equal(t, Outdated, b.Put(report(200, 4, true)))
 	require.False(t, pick(t, b, 0).Draining)
 	b.Remove("near")
 	require.Equal(t, Outdated, b.Put(report(100, 91, false)))
-	require.Equal(t, 0, b.Usable("s"), "the later life has left, the former one is long gone")
+	require.Equal(t, 0, b.CountUsable("s"), "the later life has left, the former one is long gone")
 	require.Equal(t, Added, b.Put(report(300, 1, false)))
 }
 
@@ -58,7 +58,7 @@
 // never older than the newest report of it, and a drain is never taken back within a life.
 func TestReportsInAnyOrderKeepTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook("east", nil, func() float64 { return 0 })
+		b := NewTable("east", nil, func() float64 { return 0 })
 		newest := Replica{}
 		for range 40 {
 			if rapid.IntRange(0, 9).Draw(t, "remove") == 0 {
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -38,11 +38,11 @@
 	ColdFor time.Duration
 }
 
-// Life names the incarnation.
-func (r Replica) Life() Incarnation { return Incarnation{ID: r.ID, Born: r.Born} }
+// Incarnation names the incarnation.
+func (r Replica) Incarnation() Incarnation { return Incarnation{ID: r.ID, Born: r.Born} }
 
-// Book holds the replicas of all services. It is not safe for concurrent use.
-type Book struct {
+// Table holds the replicas of all services. It is not safe for concurrent use.
+type Table struct {
 	dataCentre string
 	byID       map[string]*state
 	byService  map[string][]*state
@@ -69,18 +69,18 @@
 // lastReport names the last report of a replica that was taken.
 type lastReport struct{ born, sequence int64 }
 
-// maxEnded bounds Book.ended. Beyond it all are forgotten: a late report of a former
+// maxEnded bounds Table.ended. Beyond it all are forgotten: a late report of a former
 // incarnation may then list a replica that is gone, which answers nothing.
 const maxEnded = 4096
 
-// NewBook makes an empty book for a node of the given data centre. The random
+// NewTable makes an empty book for a node of the given data centre. The random
 // source, 0 to 1, breaks ties.
-func NewBook(dataCentre string, regions map[string]string, random func() float64) *Book {
-	return &Book{dataCentre: dataCentre, regions: regions, byID: map[string]*state{}, byService: map[string][]*state{}, random: random, ranks: map[string]int{dataCentre: 0}, ended: map[string]lastReport{}, evacuated: map[string]core.Time{}, returned: map[string]core.Time{}}
+func NewTable(dataCentre string, regions map[string]string, random func() float64) *Table {
+	return &Table{dataCentre: dataCentre, regions: regions, byID: map[string]*state{}, byService: map[string][]*state{}, random: random, ranks: map[string]int{dataCentre: 0}, ended: map[string]lastReport{}, evacuated: map[string]core.Time{}, returned: map[string]core.Time{}}
 }
 
 // rank takes a data centre that may be new into the ring.
-func (b *Book) rank(dataCentre string) {
+func (b *Table) rank(dataCentre string) {
 	if _, known := b.ranks[dataCentre]; known {
 		return
 	}
@@ -92,21 +92,21 @@
 	}
 }
 
-// Listing is what a report of a replica came to.
-type Listing int
+// PutResult is what a report of a replica came to.
+type PutResult int
 
 // The outcomes of Put.
 const (
 	// Added lists a replica that was not known.
-	Added Listing = iota
+	Added PutResult = iota
 	// Updated takes new particulars of a known incarnation; what was seen of it stays.
 	Updated
 	// Restarted replaces a former incarnation, of which nothing counts any more.
 	Restarted
 	// Outdated is a report that is older than what is known; it changes nothing.
 	Outdated
-	// Doubted lists a replica that may have left; it gets nothing yet.
-	Doubted
+	// Suspected lists a replica that may have left; it gets nothing yet.
+	Suspected
 )
 
 // Put takes a report of a replica.
@@ -114,7 +114,7 @@
 // A report that was on its way while its replica started again comes after the new one's. Taken
 // for the newest, it would bring back a replica that is gone, or one that drains as ready: an
 // older start never replaces a newer one, nor an older report of one life a newer one.
-func (b *Book) Put(replica Replica) Listing {
+func (b *Table) Put(replica Replica) PutResult {
 	known := b.byID[replica.ID]
 	switch {
 	case known == nil && replica.Born < b.ended[replica.ID].born:
@@ -139,7 +139,7 @@
 	return Updated
 }
 
-func (b *Book) add(replica Replica) {
+func (b *Table) add(replica Replica) {
 	delete(b.ended, replica.ID)
 	b.rank(replica.DataCentre)
 	added := &state{Replica: replica, slowness: 1}
@@ -148,7 +148,7 @@
 }
 
 // Remove forgets a replica.
-func (b *Book) Remove(id string) {
+func (b *Table) Remove(id string) {
 	known := b.byID[id]
 	if known == nil {
 		return
@@ -171,7 +171,7 @@
 }
 
 // Get finds a replica by its id.
-func (b *Book) Get(id string) (Replica, bool) {
+func (b *Table) Get(id string) (Replica, bool) {
 	known := b.byID[id]
 	if known == nil {
 		return Replica{}, false
@@ -181,7 +181,7 @@
 
 // of finds what is known of an incarnation; nil where it is not the one that is listed: what
 // happens to a former life says nothing of the present one.
-func (b *Book) of(life Incarnation) *state {
+func (b *Table) of(life Incarnation) *state {
 	known := b.byID[life.ID]
 	if known == nil || known.Born != life.Born {
 		return nil
@@ -189,8 +189,8 @@
 	return known
 }
 
-// All calls visit for each replica.
-func (b *Book) All(visit func(Replica)) {
+// Each calls visit for each replica.
+func (b *Table) Each(visit func(Replica)) {
 	for _, known := range b.byID {
 		visit(known.Replica)
 	}
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -13,16 +13,16 @@
 
 var near = Incarnation{ID: "near"}
 
-func bookOfTwo() *Book {
-	b := NewBook("east", nil, func() float64 { return 0 })
+func bookOfTwo() *Table {
+	b := NewTable("east", nil, func() float64 { return 0 })
 	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
 	b.Put(Replica{ID: "far", Service: "s", DataCentre: "west", Slots: 2})
 	return b
 }
 
-func pick(t *testing.T, b *Book, now core.Time, tried ...string) Choice {
+func pick(t *testing.T, b *Table, now core.Time, tried ...string) Choice {
 	t.Helper()
-	choice, ok := b.Pick(Wish{Service: "s", Tried: tried, Usual: usual}, now)
+	choice, ok := b.Pick(Criteria{Service: "s", Tried: tried, Typical: usual}, now)
 	require.True(t, ok)
 	return choice
 }
@@ -42,7 +42,7 @@
 
 func TestAnotherRegionIsTheLastChoice(t *testing.T) {
 	regions := map[string]string{"a": "north", "b": "south", "c": "north"}
-	b := NewBook("a", regions, func() float64 { return 0 })
+	b := NewTable("a", regions, func() float64 { return 0 })
 	b.Put(Replica{ID: "abroad", Service: "s", DataCentre: "b", Slots: 2})
 	b.Put(Replica{ID: "next door", Service: "s", DataCentre: "c", Slots: 2})
 	require.Equal(t, "next door", pick(t, b, 0).ID)
@@ -57,7 +57,7 @@
 	b.Overdue(near, time.Second)
 	require.Equal(t, "far", pick(t, b, time.Second).ID)
 	only := pick(t, b, time.Second, "far")
-	require.True(t, only.Doubtful, "a hedge must not go to it")
+	require.True(t, only.Degraded, "a hedge must not go to it")
 	b.Answered(near, usual, usual, time.Second+150*time.Millisecond)
 	require.Equal(t, "near", pick(t, b, time.Second+150*time.Millisecond).ID)
 }
@@ -97,10 +97,10 @@
 	b := bookOfTwo()
 	b.Misdirected(near)
 	require.Equal(t, "far", pick(t, b, time.Minute).ID)
-	_, ok := b.Pick(Wish{Service: "s", Tried: []string{"far"}, Usual: usual}, time.Minute)
+	_, ok := b.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: usual}, time.Minute)
 	require.False(t, ok)
 	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
-	_, ok = b.Pick(Wish{Service: "s", Tried: []string{"far"}, Usual: usual}, time.Minute)
+	_, ok = b.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: usual}, time.Minute)
 	require.False(t, ok, "the same entry again says nothing new")
 	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2, Address: "elsewhere"})
 	require.Equal(t, "near", pick(t, b, time.Minute).ID)
@@ -110,8 +110,8 @@
 	b := bookOfTwo()
 	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2, Draining: true})
 	require.Equal(t, "far", pick(t, b, 0).ID)
-	require.Equal(t, 1, b.Usable("s"))
-	_, ok := b.Pick(Wish{Service: "s", Tried: []string{"far"}, Usual: usual}, 0)
+	require.Equal(t, 1, b.CountUsable("s"))
+	_, ok := b.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: usual}, 0)
 	require.False(t, ok)
 }
 
@@ -126,25 +126,25 @@
 	require.Equal(t, []string{"far"}, b.Expire(2*time.Second, 3*time.Second))
 	require.Equal(t, "near", pick(t, b, 0).ID)
 	b.Remove("near")
-	_, ok := b.Pick(Wish{Service: "s", Usual: usual}, 0)
+	_, ok := b.Pick(Criteria{Service: "s", Typical: usual}, 0)
 	require.False(t, ok)
 }
 
 // What is expected of a replica decides whether a question is let in. It has to know a queue, a
 // silence that lasts, and slowness; and a replica that takes no connection is away for a moment only.
 func TestWhatIsExpectedOfAReplica(t *testing.T) {
-	b := NewBook("east", nil, func() float64 { return 0 })
+	b := NewTable("east", nil, func() float64 { return 0 })
 	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
-	require.Equal(t, usual, pick(t, b, 0).Expect)
+	require.Equal(t, usual, pick(t, b, 0).ExpectedLatency)
 	require.False(t, pick(t, b, 0).Busy)
 	for range 5 {
 		b.Sent(near, time.Second)
 	}
-	require.Equal(t, 3*usual, pick(t, b, time.Second).Expect, "two rounds of two are ahead")
+	require.Equal(t, 3*usual, pick(t, b, time.Second).ExpectedLatency, "two rounds of two are ahead")
 	require.True(t, pick(t, b, time.Second).Busy)
-	require.Equal(t, 3*usual+90*time.Millisecond, pick(t, b, time.Second+100*time.Millisecond).Expect, "nothing was heard for 90 ms more than usual")
+	require.Equal(t, 3*usual+90*time.Millisecond, pick(t, b, time.Second+100*time.Millisecond).ExpectedLatency, "nothing was heard for 90 ms more than usual")
 	b.Answered(near, usual, usual, time.Second+100*time.Millisecond)
-	require.Equal(t, 3*usual, pick(t, b, time.Second+100*time.Millisecond).Expect)
+	require.Equal(t, 3*usual, pick(t, b, time.Second+100*time.Millisecond).ExpectedLatency)
 	b.Unreached(near, 2*time.Second)
 	require.True(t, pick(t, b, 2*time.Second).Unreachable)
 	require.False(t, pick(t, b, 2*time.Second+unreachedLife).Unreachable)
--- a/internal/core/replica/seen.go
+++ b/internal/core/replica/seen.go
@@ -7,7 +7,7 @@
 )
 
 // Sent notes that a request was sent to a replica.
-func (b *Book) Sent(life Incarnation, now core.Time) {
+func (b *Table) Sent(life Incarnation, now core.Time) {
 	if known := b.of(life); known != nil {
 		if known.outstanding == 0 {
 			known.silentSince = now
@@ -17,14 +17,14 @@
 }
 
 // Ended notes that a request to a replica came to its end, whatever that was.
-func (b *Book) Ended(life Incarnation) {
+func (b *Table) Ended(life Incarnation) {
 	if known := b.of(life); known != nil {
 		known.outstanding = max(known.outstanding-1, 0)
 	}
 }
 
-// Running counts the requests that were sent and have not ended.
-func (b *Book) Running() int {
+// InFlight counts the requests that were sent and have not ended.
+func (b *Table) InFlight() int {
 	total := 0
 	for _, known := range b.byID {
 		total += known.outstanding
@@ -38,7 +38,7 @@
 
 // Answered notes a whole answer. Usual is the route's usual answer time, 0 while
 // it is not known.
-func (b *Book) Answered(life Incarnation, took, usual time.Duration, now core.Time) {
+func (b *Table) Answered(life Incarnation, took, usual time.Duration, now core.Time) {
 	known := b.of(life)
 	if known == nil {
 		return
@@ -61,7 +61,7 @@
 
 // Failed notes a request that brought no whole answer. Outcomes count, health
 // endpoints do not: those say "healthy" while requests fail, and the reverse.
-func (b *Book) Failed(life Incarnation, now core.Time) {
+func (b *Table) Failed(life Incarnation, now core.Time) {
 	known := b.of(life)
 	if known == nil {
 		return
@@ -71,7 +71,7 @@
 }
 
 // Unreached notes a replica that took no connection.
-func (b *Book) Unreached(life Incarnation, now core.Time) {
+func (b *Table) Unreached(life Incarnation, now core.Time) {
 	if known := b.of(life); known != nil {
 		known.failures = 1
 		known.unreachedAt = now
@@ -80,7 +80,7 @@
 }
 
 // Refused notes that a replica had no room for a request.
-func (b *Book) Refused(life Incarnation, now core.Time) {
+func (b *Table) Refused(life Incarnation, now core.Time) {
 	if known := b.of(life); known != nil {
 		known.refusedAt = now
 		known.refusals = known.refusalsNow(now)*(1-learning) + learning
@@ -90,7 +90,7 @@
 
 // Misdirected notes that another replica answered at a replica's address. The replica is
 // gone, whatever the registry still lists, until it is listed at another address.
-func (b *Book) Misdirected(life Incarnation) {
+func (b *Table) Misdirected(life Incarnation) {
 	if known := b.of(life); known != nil {
 		known.misdirected = true
 	}
@@ -99,7 +99,7 @@
 // Overdue notes that an answer takes longer than usual. Replicas pause for moments
 // that are several times a usual answer; the requests that follow within the pause
 // go elsewhere at once instead of each finding out by itself.
-func (b *Book) Overdue(life Incarnation, now core.Time) {
+func (b *Table) Overdue(life Incarnation, now core.Time) {
 	if known := b.of(life); known != nil && known.overdueAt == 0 || known != nil && !known.overdue(now) {
 		known.overdueAt = now
 	}
@@ -107,29 +107,29 @@
 
 // Lapse notes that the registry no longer lists a replica, for a reason that may
 // be the registry's own: it keeps getting requests until Expire.
-func (b *Book) Lapse(id string, now core.Time) {
+func (b *Table) Lapse(id string, now core.Time) {
 	if known := b.byID[id]; known != nil && known.lapsedAt == 0 {
 		known.lapsedAt = max(now, 1)
 	}
 }
 
-// Left reports whether a report is none that a replica which is no longer listed could have made since it
+// PredatesRemoval reports whether a report is none that a replica which is no longer listed could have made since it
 // left: a registry that came back from a copy lists replicas that are gone.
-func (b *Book) Left(listed Replica) bool {
+func (b *Table) PredatesRemoval(listed Replica) bool {
 	last, gone := b.ended[listed.ID]
 	return gone && listed.Born == last.born && listed.Sequence <= last.sequence
 }
 
-// Doubt keeps requests from a replica that may have left, until Trust or a newer report of it.
-func (b *Book) Doubt(life Incarnation, now core.Time) {
+// Suspect keeps requests from a replica that may have left, until ExpireSuspicions or a newer report of it.
+func (b *Table) Suspect(life Incarnation, now core.Time) {
 	if known := b.of(life); known != nil {
 		known.doubtedAt = max(now, 1)
 	}
 }
 
-// Trust ends the doubts that began longer than the given time ago, and returns the replicas' ids: an entry
+// ExpireSuspicions ends the doubts that began longer than the given time ago, and returns the replicas' ids: an entry
 // that is still listed then is renewed by somebody.
-func (b *Book) Trust(after time.Duration, now core.Time) []string {
+func (b *Table) ExpireSuspicions(after time.Duration, now core.Time) []string {
 	var trusted []string
 	for id, known := range b.byID {
 		if known.doubtedAt > 0 && now-known.doubtedAt >= after {
@@ -142,7 +142,7 @@
 
 // Expire removes the replicas that lapsed longer than the given time ago and
 // returns their ids.
-func (b *Book) Expire(after time.Duration, now core.Time) []string {
+func (b *Table) Expire(after time.Duration, now core.Time) []string {
 	var gone []string
 	for id, known := range b.byID {
 		if known.lapsedAt > 0 && now-known.lapsedAt >= after {
--- a/internal/core/scatter/early.go
+++ b/internal/core/scatter/early.go
@@ -43,7 +43,7 @@
 	}
 	for i, choice := range choices {
 		if choice != nil && expectedWait(*choice) > left {
-			m.act(ServiceTooLate{Service: i, Replica: choice.Replica, ExpectedLatency: choice.Expect, Unreachable: choice.Unreachable})
+			m.act(ServiceTooLate{Service: i, Replica: choice.Replica, ExpectedLatency: choice.ExpectedLatency, Unreachable: choice.Unreachable})
 		}
 	}
 	m.result.Rejected = true
@@ -59,6 +59,6 @@
 	case !choice.Busy:
 		return 0
 	default:
-		return choice.Expect
+		return choice.ExpectedLatency
 	}
 }
--- a/internal/core/scatter/further.go
+++ b/internal/core/scatter/further.go
@@ -56,10 +56,10 @@
 	if !ok {
 		return m.withhold(i, cause, NoOtherReplica)
 	}
-	if cause == Hedge && choice.Expect > hedgeReach*m.plan.HedgeAfter && m.chooser.ExtraScarce(m.plan.Services[i], m.now) {
+	if cause == Hedge && choice.ExpectedLatency > hedgeReach*m.plan.HedgeAfter && m.chooser.ExtraScarce(m.plan.Services[i], m.now) {
 		return m.withhold(i, cause, OtherSlow)
 	}
-	if cause == Hedge && choice.Doubtful && s.lates < doubtfulAfter {
+	if cause == Hedge && choice.Degraded && s.lates < doubtfulAfter {
 		return m.withhold(i, cause, OtherDegraded)
 	}
 	if !m.spend(i) {
--- a/internal/core/scatter/scatter.go
+++ b/internal/core/scatter/scatter.go
@@ -196,11 +196,11 @@
 	if m.plan.HedgeAfter > 0 {
 		s.hedgeAt = m.now + m.plan.HedgeAfter
 	}
-	if to.Far && s.hedgeAt > 0 {
+	if to.Remote && s.hedgeAt > 0 {
 		s.hedgeAt += m.plan.RemoteHedgeExtra
 	}
 	m.sends = append(m.sends, send{service: i, live: true, alone: alone, shardAlone: shardAlone})
-	m.act(Send{ID: len(m.sends) - 1, Service: i, Replica: to.Replica, Remote: to.Far, Cause: cause, Alone: alone, ShardAlone: shardAlone})
+	m.act(Send{ID: len(m.sends) - 1, Service: i, Replica: to.Replica, Remote: to.Remote, Cause: cause, Alone: alone, ShardAlone: shardAlone})
 }
 
 func (m *Machine) ended(e SendEnded) {
--- a/internal/core/scatter/scatter_test.go
+++ b/internal/core/scatter/scatter_test.go
@@ -31,7 +31,7 @@
 	for i := range f.replicas {
 		id := service + "-" + string(rune('0'+i))
 		if !slices.Contains(tried, id) {
-			return replica.Choice{Replica: replica.Replica{ID: id, Service: service}, Doubtful: f.doubtful, Expect: f.expect[service], Busy: f.expect[service] > 0, Unreachable: slices.Contains(f.unreachable, service)}, true
+			return replica.Choice{Replica: replica.Replica{ID: id, Service: service}, Degraded: f.doubtful, ExpectedLatency: f.expect[service], Busy: f.expect[service] > 0, Unreachable: slices.Contains(f.unreachable, service)}, true
 		}
 	}
 	return replica.Choice{}, false
--- a/internal/edge/beliefs.go
+++ b/internal/edge/beliefs.go
@@ -104,7 +104,7 @@
 }
 
 // note changes the book under the mutex.
-func (b *beliefs) note(change func(book *replica.Book, now core.Time)) {
+func (b *beliefs) note(change func(book *replica.Table, now core.Time)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	change(b.outlook.Book, b.now())
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -206,9 +206,9 @@
 
 // forget notes that sends no longer run whose ends nobody will tell.
 func (q *request) forget(sends []*exchange) {
-	q.node.beliefs.note(func(book *replica.Book, _ core.Time) {
+	q.node.beliefs.note(func(book *replica.Table, _ core.Time) {
 		for _, one := range sends {
-			book.Ended(one.send.Replica.Life())
+			book.Ended(one.send.Replica.Incarnation())
 		}
 	})
 }
--- a/internal/edge/delegated.go
+++ b/internal/edge/delegated.go
@@ -93,14 +93,14 @@
 		DataCentre: n.settings.Load().DataCentre,
 	}
 	var unwanted bool
-	n.beliefs.note(func(book *replica.Book, _ core.Time) { unwanted = book.Unwanted(one.send.Replica) })
+	n.beliefs.note(func(book *replica.Table, _ core.Time) { unwanted = book.KnownUnusable(one.send.Replica) })
 	if unwanted {
 		one.verdict, one.err = scatter.Unreached, delegatedError("the replica is leaving, evacuated or has started again")
 		cancel(nil)
 		q.ended <- []*exchange{one}
 		return
 	}
-	n.beliefs.note(func(book *replica.Book, now core.Time) { book.Sent(one.send.Replica.Life(), now) })
+	n.beliefs.note(func(book *replica.Table, now core.Time) { book.Sent(one.send.Replica.Incarnation(), now) })
 	go q.direct(one)
 }
 
@@ -178,7 +178,7 @@
 // pauseEnded is what is told of the pauses of a replica. Nodes next to it see them more often than
 // each of those that send through them.
 func (r *replies) pauseEnded(one *exchange) uint32 {
-	age, known := r.pauseAge(one.send.Replica.Life())
+	age, known := r.pauseAge(one.send.Replica.Incarnation())
 	if !known || age > maxPauseAge {
 		return 0
 	}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -222,13 +222,13 @@
 	watch("peer_links_inbound", n.server.Links)
 	watch("nodes_live", func() int64 { return int64(len(n.view().Nodes())) })
 	watch("data_centres_evacuated", func() (count int64) {
-		n.beliefs.note(func(book *replica.Book, _ core.Time) { count = int64(len(book.Evacuated())) })
+		n.beliefs.note(func(book *replica.Table, _ core.Time) { count = int64(len(book.Evacuated())) })
 		return count
 	})
 	watch("requests_suspected", func() int64 { return n.quarantine.Count(quarantine.Suspect) })
 	watch("requests_set_aside", func() int64 { return n.quarantine.Count(quarantine.SetAside) })
 	watch("pause_interval_ms", func() (ms int64) {
-		n.beliefs.note(func(book *replica.Book, _ core.Time) {
+		n.beliefs.note(func(book *replica.Table, _ core.Time) {
 			every, _ := book.Pauses.Interval()
 			ms = every.Milliseconds()
 		})
@@ -255,7 +255,7 @@
 		return unknownAge
 	})
 	watch("sends_running", func() (running int64) {
-		n.beliefs.note(func(book *replica.Book, _ core.Time) { running = int64(book.Running()) })
+		n.beliefs.note(func(book *replica.Table, _ core.Time) { running = int64(book.InFlight()) })
 		return running
 	})
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -301,7 +301,7 @@
 	n.beliefs.mutex.Lock()
 	defer n.beliefs.mutex.Unlock()
 	n.beliefs.outlook.Book.SetColdBounds(bounds)
-	n.beliefs.outlook.Budget.Forget(func(service string) bool { return n.beliefs.outlook.Book.Usable(service) > 0 }, n.now())
+	n.beliefs.outlook.Budget.Forget(func(service string) bool { return n.beliefs.outlook.Book.CountUsable(service) > 0 }, n.now())
 }
 
 // housekeeping is how often beliefs that age are looked at.
@@ -332,7 +332,7 @@
 	n.replicas.Forget(func(life replica.Incarnation) bool {
 		n.beliefs.mutex.Lock()
 		defer n.beliefs.mutex.Unlock()
-		return n.beliefs.outlook.Book.Wanted(life)
+		return n.beliefs.outlook.Book.IsUsable(life)
 	})
 }
 
@@ -350,7 +350,7 @@
 		addresses = append(addresses, one.CallerAddress)
 		senders = append(senders, one.ID)
 	}
-	n.beliefs.note(func(book *replica.Book, _ core.Time) { book.SetSenders(n.identity.Node, senders) })
+	n.beliefs.note(func(book *replica.Table, _ core.Time) { book.SetSenders(n.identity.Node, senders) })
 	n.log.Life("entries_changed", decisionlog.Fields{"entries": addresses, "live": len(n.view().Nodes())})
 }
 
@@ -385,9 +385,9 @@
 		state["config_version"] = config.Version
 	}
 	var replicas []replica.Replica
-	n.beliefs.note(func(book *replica.Book, _ core.Time) {
-		book.All(func(one replica.Replica) { replicas = append(replicas, one) })
-		state["sends_running"] = book.Running()
+	n.beliefs.note(func(book *replica.Table, _ core.Time) {
+		book.Each(func(one replica.Replica) { replicas = append(replicas, one) })
+		state["sends_running"] = book.InFlight()
 		state["evacuated"] = book.Evacuated()
 	})
 	state["replicas"] = replicas
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -88,7 +88,7 @@
 // ended, and may not have run the request.
 func (q *request) noteTrial(one *exchange) {
 	if marks := trialMarks(one.send); marks != 0 && one.verdict == scatter.Failed && one.response == nil {
-		q.node.quarantine.Seen(q.identity(), q.describe(), one.send.Replica.Service, one.send.Replica.Life(), marks|q.clearedMark())
+		q.node.quarantine.Seen(q.identity(), q.describe(), one.send.Replica.Service, one.send.Replica.Incarnation(), marks|q.clearedMark())
 	}
 }
 
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -130,13 +130,13 @@
 // ended and is back binds until it is taken back again: to send nothing there is the lesser harm.
 func (r *registry) evacuationChanged(dataCentre string, item mirror.Item, newEra bool) {
 	if item.Removed && newEra {
-		r.beliefs.note(func(book *replica.Book, now core.Time) { book.LapseEvacuation(dataCentre, now) })
+		r.beliefs.note(func(book *replica.Table, now core.Time) { book.LapseEvacuation(dataCentre, now) })
 		r.log.Life("evacuation_lapsed", decisionlog.Fields{"data_centre": dataCentre, "revision": item.Revision})
 		return
 	}
 	changed := false
-	r.beliefs.note(func(book *replica.Book, now core.Time) {
-		changed = book.Evacuate(dataCentre, !item.Removed, now)
+	r.beliefs.note(func(book *replica.Table, now core.Time) {
+		changed = book.SetEvacuated(dataCentre, !item.Removed, now)
 	})
 	if !changed {
 		return
@@ -160,19 +160,19 @@
 		return
 	}
 	var known replica.Replica
-	var listing replica.Listing
-	r.beliefs.note(func(book *replica.Book, now core.Time) {
+	var listing replica.PutResult
+	r.beliefs.note(func(book *replica.Table, now core.Time) {
 		known, _ = book.Get(id)
-		left := change.NewEra && book.Left(listed)
+		left := change.NewEra && book.PredatesRemoval(listed)
 		if listed.Born > 0 || known.Born == 0 {
 			listing = book.Put(listed)
 		}
 		if left && listing == replica.Added {
-			listing = replica.Doubted
-			book.Doubt(listed.Life(), now)
+			listing = replica.Suspected
+			book.Suspect(listed.Incarnation(), now)
 		}
 		if listing != replica.Outdated {
-			book.Cold(listed.Life(), now+listed.ColdFor)
+			book.SetColdUntil(listed.Incarnation(), now+listed.ColdFor)
 		}
 	})
 	if listed.Born == 0 && known.Born > 0 {
@@ -184,13 +184,13 @@
 	switch {
 	case listing == replica.Added:
 		r.log.Decision("replica_listed", fields)
-	case listing == replica.Doubted:
+	case listing == replica.Suspected:
 		r.log.Decision("replica_doubted", fields)
-	case listing == replica.Restarted && listed.Life() != known.Life():
+	case listing == replica.Restarted && listed.Incarnation() != known.Incarnation():
 		fields["born"], fields["former_born"] = listed.Born, known.Born
 		r.log.Decision("replica_restarted", fields)
 		r.metrics.restarted()
-		r.onRestart(known.Life())
+		r.onRestart(known.Incarnation())
 	case listing == replica.Outdated:
 		fields["born"], fields["known_born"], fields["sequence"], fields["known_sequence"] = listed.Born, known.Born, listed.Sequence, known.Sequence
 		r.log.Decision("replica_report_outdated", fields)
@@ -203,7 +203,7 @@
 // replica that stood there before is not used either, as its own entry is gone; others hold.
 func (r *registry) replicaRefused(id string, revision uint64, cause error) {
 	r.metrics.entryRefused()
-	r.beliefs.note(func(book *replica.Book, _ core.Time) { book.Remove(id) })
+	r.beliefs.note(func(book *replica.Table, _ core.Time) { book.Remove(id) })
 	r.mutex.Lock()
 	if r.refused == nil {
 		r.refused = map[string]refusedEntry{}
@@ -231,7 +231,7 @@
 
 func (r *registry) replicaRemoved(id string, revision uint64, afterOutage bool) {
 	r.accepted(id)
-	r.beliefs.note(func(book *replica.Book, now core.Time) {
+	r.beliefs.note(func(book *replica.Table, now core.Time) {
 		if afterOutage {
 			book.Lapse(id, now)
 			return
@@ -249,9 +249,9 @@
 // doubts in replicas whose entries have outlasted them.
 func (r *registry) expire() {
 	var gone, trusted, ended []string
-	r.beliefs.note(func(book *replica.Book, now core.Time) {
+	r.beliefs.note(func(book *replica.Table, now core.Time) {
 		gone = book.Expire(lapseWait, now)
-		trusted = book.Trust(r.doubtWait(), now)
+		trusted = book.ExpireSuspicions(r.doubtWait(), now)
 		ended = book.ExpireEvacuations(lapseWait, now)
 	})
 	for _, id := range gone {
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -150,7 +150,7 @@
 // it on this one's behalf when that has not been heard at all.
 func (q *request) late(send int) {
 	one := q.sends[send]
-	q.node.beliefs.note(func(book *replica.Book, now core.Time) { book.Overdue(one.send.Replica.Life(), now) })
+	q.node.beliefs.note(func(book *replica.Table, now core.Time) { book.Overdue(one.send.Replica.Incarnation(), now) })
 	if !one.late {
 		one.late = true
 		q.note(step{Event: "replica_late", Replica: one.send.Replica.ID, Service: one.send.Replica.Service})
@@ -199,9 +199,9 @@
 // dispatch sends the exchanges: those to another data centre together, through a node
 // there, the others directly.
 func (q *request) dispatch(started []*exchange) {
-	q.node.beliefs.note(func(book *replica.Book, now core.Time) {
+	q.node.beliefs.note(func(book *replica.Table, now core.Time) {
 		for _, one := range started {
-			book.Sent(one.send.Replica.Life(), now)
+			book.Sent(one.send.Replica.Incarnation(), now)
 		}
 	})
 	for _, one := range q.delegate(started) {
@@ -248,7 +248,7 @@
 	ctx, cancel := context.WithTimeout(ctx, max(left, time.Millisecond))
 	defer cancel()
 	wire := q.template
-	wire.Replica = one.send.Replica.Life()
+	wire.Replica = one.send.Replica.Incarnation()
 	wire.Address = one.send.Replica.Address
 	wire.Bytes = q.node.traffic.Counter(traffic.Flow{Purpose: traffic.Replicas, To: one.send.Replica.DataCentre})
 	wire.Work = inWork{request: q, send: one}
@@ -296,9 +296,9 @@
 // learn takes the end of an exchange into the node's beliefs. A send that was given
 // up teaches nothing more than the lateness noted before.
 func (q *request) learn(one *exchange) {
-	life := one.send.Replica.Life()
+	life := one.send.Replica.Incarnation()
 	b := q.node.beliefs
-	b.note(func(book *replica.Book, _ core.Time) { book.Ended(life) })
+	b.note(func(book *replica.Table, _ core.Time) { book.Ended(life) })
 	if errors.Is(one.err, errAnswered) || errors.Is(one.err, context.Canceled) {
 		return
 	}
@@ -308,15 +308,15 @@
 		q.noteAnswered(one.send.Replica.Service)
 		b.answered(q.route, life, one.took)
 	case scatter.Failed:
-		b.note(func(book *replica.Book, now core.Time) { book.Failed(life, now) })
+		b.note(func(book *replica.Table, now core.Time) { book.Failed(life, now) })
 	case scatter.Refused:
-		b.note(func(book *replica.Book, now core.Time) { book.Refused(life, now) })
+		b.note(func(book *replica.Table, now core.Time) { book.Refused(life, now) })
 		if one.response != nil && one.response.Status == http.StatusMisdirectedRequest {
-			b.note(func(book *replica.Book, _ core.Time) { book.Misdirected(life) })
+			b.note(func(book *replica.Table, _ core.Time) { book.Misdirected(life) })
 			q.node.log.Decision("replica_misdirected", decisionlog.Fields{"replica": life.ID, "service": one.send.Replica.Service, "address": one.send.Replica.Address, "request": q.id})
 		}
 	case scatter.Unreached:
-		b.note(func(book *replica.Book, now core.Time) { book.Unreached(life, now) })
+		b.note(func(book *replica.Table, now core.Time) { book.Unreached(life, now) })
 	}
 }
 
@@ -324,15 +324,15 @@
 // request's end the answer was waited for no more.
 func (q *request) learnDelegated(one *exchange) {
 	if one.pauseEnded > 0 {
-		q.node.beliefs.note(func(book *replica.Book, now core.Time) {
-			book.PauseHeard(one.send.Replica.Life(), one.pauseEnded, now)
+		q.node.beliefs.note(func(book *replica.Table, now core.Time) {
+			book.ReceivePause(one.send.Replica.Incarnation(), one.pauseEnded, now)
 		})
 	}
 	select {
 	case <-q.over:
-		q.node.beliefs.note(func(book *replica.Book, _ core.Time) { book.Ended(one.send.Replica.Life()) })
+		q.node.beliefs.note(func(book *replica.Table, _ core.Time) { book.Ended(one.send.Replica.Incarnation()) })
 		if one.verdict == scatter.Succeeded {
-			q.node.beliefs.answeredLate(q.route, one.send.Replica.Life(), one.took)
+			q.node.beliefs.answeredLate(q.route, one.send.Replica.Incarnation(), one.took)
 		}
 	default:
 		q.learn(one)
@@ -346,7 +346,7 @@
 		return
 	}
 	q.noteAnswered(one.send.Replica.Service)
-	q.node.beliefs.answeredLate(q.route, one.send.Replica.Life(), q.node.now()-one.startAt)
+	q.node.beliefs.answeredLate(q.route, one.send.Replica.Incarnation(), q.node.now()-one.startAt)
 }
 
 // noteEnd keeps the ends that are no plain success for the request's story.
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -114,7 +114,7 @@
 		case scatter.SendOverdue:
 			one := q.transfers[a.Send]
 			if !w.options.without(Overdue) {
-				q.node.outlook.Book.Overdue(one.send.Replica.Life(), w.clock.now)
+				q.node.outlook.Book.Overdue(one.send.Replica.Incarnation(), w.clock.now)
 			}
 		case scatter.Wake:
 			q.ticks++
@@ -161,7 +161,7 @@
 			one.via = helper
 		}
 	}
-	n.outlook.Book.Sent(a.Replica.Life(), n.world.clock.now)
+	n.outlook.Book.Sent(a.Replica.Incarnation(), n.world.clock.now)
 	p := one.via.pools[one.to]
 	if p.free > 0 {
 		p.free--
@@ -194,7 +194,7 @@
 	t.ended = true
 	t.release()
 	q, w := t.request, t.request.node.world
-	life, now := t.send.Replica.Life(), w.clock.now
+	life, now := t.send.Replica.Incarnation(), w.clock.now
 	took := now - t.began
 	if t.via != q.node {
 		t.tell(took, verdict)
@@ -232,12 +232,12 @@
 // tell lets the node that sent learn from an answer, and the one that asked it from what that one
 // knows of the replica's pauses.
 func (t *transfer) tell(took time.Duration, verdict scatter.Verdict) {
-	q, life, now := t.request, t.send.Replica.Life(), t.request.node.world.clock.now
+	q, life, now := t.request, t.send.Replica.Incarnation(), t.request.node.world.clock.now
 	if verdict == scatter.Succeeded {
 		t.via.outlook.AnsweredLate(q.route, life, took-2*(farWay-nearWay), now)
 	}
 	if age, known := t.via.outlook.Book.PauseAge(life, now); known {
-		q.node.outlook.Book.PauseHeard(life, age, now)
+		q.node.outlook.Book.ReceivePause(life, age, now)
 	}
 }
 
@@ -249,7 +249,7 @@
 	}
 	t.withdrawn = true
 	n := t.request.node
-	n.outlook.Book.Ended(t.send.Replica.Life())
+	n.outlook.Book.Ended(t.send.Replica.Incarnation())
 	p := t.via.pools[t.to]
 	if i := slices.Index(p.waiting, t); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
@@ -293,7 +293,7 @@
 		choice.Busy, choice.Unreachable = false, false
 	}
 	if u.reach && len(tried) > 0 {
-		choice.Expect = 0
+		choice.ExpectedLatency = 0
 	}
 	return choice, ok
 }
@@ -327,5 +327,5 @@
 	if best == nil {
 		return replica.Choice{}, false
 	}
-	return replica.Choice{Replica: best.entry, Far: best.entry.DataCentre != o.node.place.Name, Expect: bestWait, Busy: true}, true
+	return replica.Choice{Replica: best.entry, Remote: best.entry.DataCentre != o.node.place.Name, ExpectedLatency: bestWait, Busy: true}, true
 }
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -40,7 +40,7 @@
 	{"a promise without a proof is passed on", "internal/edge/request.go", "case promises[one.response.Status]:", "case promises[one.response.Status] && false:"},
 	{"requests run twice", "internal/core/outlook/plan.go", "MinParts: 1, Idempotent: route.Idempotent", "MinParts: 1, Idempotent: true"},
 	{"drains are passed over", "internal/edge/registry.go", "		listing = book.Put(listed)\n", "		listed.Draining = false\n		listing = book.Put(listed)\n"},
-	{"evacuations are passed over", "internal/edge/registry.go", "book.Evacuate(dataCentre, !item.Removed, now)", "book.Evacuate(dataCentre, false, now)"},
+	{"evacuations are passed over", "internal/edge/registry.go", "book.SetEvacuated(dataCentre, !item.Removed, now)", "book.SetEvacuated(dataCentre, false, now)"},
 	{"helpers send into an evacuated data centre", "internal/core/replica/place.go", "s.doubtedAt == 0 && !b.empties(s.DataCentre)", "s.doubtedAt == 0 && (b.dataCentre == s.DataCentre || !b.empties(s.DataCentre))"},
 	{"the first configuration stays", "internal/edge/registry.go", "	r.beliefs.config.Store(config)\n", "	if r.beliefs.config.Load() == nil {\n		r.beliefs.config.Store(config)\n	}\n"},
 	{"a stop cuts what is in work", "internal/edge/listen.go", "server.Shutdown(ctx)", "server.Close()"},
