--- a/internal/core/scatter/early.go
+++ b/internal/core/scatter/early.go
@@ -7,28 +7,26 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/replica"
 )
 
-// Bounds of the time to come back that goes with an early rejection: less than one answer
-// time brings the caller into the same queue, and whether a replica can be reached is
-// known anew after half a second.
+// Bounds of the Retry-After time of an early rejection. A caller that returns sooner than one
+// answer time meets the same queue; a replica's reachability is re-evaluated every half second.
 const (
-	leastRetryAfter = 50 * time.Millisecond
-	mostRetryAfter  = 500 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 500 * time.Millisecond
 )
 
-// rejectEarly rejects the request before anything is sent when too few answers can come in time.
+// rejectEarly rejects the request before sending anything when too few answers are expected in time.
 //
-// The failure: of several shards only a slow or overloaded replica is left. Every question waits for
-// them, most to its deadline, and then fails; and each fills the queues that the next one waits
-// in, so that with too little room for all nearly everyone is late. It holds since what is not
-// sent leaves its room to the others, and the caller learns at once what it would have learnt at its
-// deadline.
+// This guards against overload when several shards have only slow or overloaded replicas left: every
+// query waits for them, mostly until its deadline, then fails, and its sends lengthen the queues for
+// the next ones until nearly all queries are late. Rejecting early leaves the capacity to other
+// requests, and the caller gets immediately the outcome that it would have got at its deadline.
 //
-// In time is within the aim, counted anew for each try of a caller. A replica with nothing in
-// work always counts: only a request can tell that it is fast again.
+// An answer is in time within the target latency, measured anew for each attempt of a caller. An idle
+// replica always counts as in time: only a request can show that it is fast again.
 func (m *Machine) rejectEarly(choices []*replica.Choice) bool {
-	left := m.plan.Deadline - m.now
+	remaining := m.plan.Deadline - m.now
 	if m.plan.TargetLatency > 0 {
-		left = min(left, m.plan.TargetLatency)
+		remaining = min(remaining, m.plan.TargetLatency)
 	}
 	expected := make([]time.Duration, 0, len(choices))
 	for _, choice := range choices {
@@ -38,20 +36,20 @@
 	}
 	slices.Sort(expected)
 	needed := expected[m.plan.MinParts-1]
-	if needed <= left {
+	if needed <= remaining {
 		return false
 	}
 	for i, choice := range choices {
-		if choice != nil && expectedWait(*choice) > left {
+		if choice != nil && expectedWait(*choice) > remaining {
 			m.act(ServiceTooLate{Service: i, Replica: choice.Replica, ExpectedLatency: choice.ExpectedLatency, Unreachable: choice.Unreachable})
 		}
 	}
 	m.result.Rejected = true
-	m.result.RetryAfter = min(max(needed-left, leastRetryAfter), mostRetryAfter)
+	m.result.RetryAfter = min(max(needed-remaining, minRetryAfter), maxRetryAfter)
 	return true
 }
 
-// expectedWait is how long an answer is waited for at least.
+// expectedWait returns the least time that an answer is expected to take.
 func expectedWait(choice replica.Choice) time.Duration {
 	switch {
 	case choice.Unreachable:
--- a/internal/core/scatter/event.go
+++ b/internal/core/scatter/event.go
@@ -7,24 +7,24 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/replica"
 )
 
-// Event is what the machine is told.
+// Event is an input of the machine.
 type Event interface{ isEvent() }
 
 // Begin starts the request.
 type Begin struct{}
 
-// Tick says that a time asked for by Wake has come.
+// Tick reports that the time requested by Wake has come.
 type Tick struct{}
 
-// SendEnded tells the end of a send.
+// SendEnded reports the end of a send.
 type SendEnded struct {
 	Send    int
 	Verdict Verdict
-	// Broken is set when the replica ended the connection in place of an answer.
+	// Broken is set when the replica closed the connection instead of answering.
 	Broken bool
 }
 
-// GiveUp says that nobody can wait any longer: the request ends now as at its deadline.
+// GiveUp ends the request now as at its deadline, for example because the process is stopping.
 type GiveUp struct{}
 
 func (Begin) isEvent()     {}
@@ -32,10 +32,10 @@
 func (SendEnded) isEvent() {}
 func (GiveUp) isEvent()    {}
 
-// Action is what the machine wants done.
+// Action is an output of the machine, to be carried out by its caller.
 type Action interface{ isAction() }
 
-// Send sends the request to a replica. The ids of sends count from 0.
+// Send sends the request to a replica. Send ids start at 0.
 type Send struct {
 	ID      int
 	Service int
@@ -43,62 +43,62 @@
 	// Remote is set when the replica is in another data centre.
 	Remote bool
 	Cause  Cause
-	// Alone is set when the request goes to one replica at a time, and this is the one.
+	// Alone is set when the request is limited to one send at a time, and this is that send.
 	Alone bool
 	// ShardAlone is set when the request is limited to one send at a time at the shard, and this is that send.
 	ShardAlone bool
 }
 
-// CancelSend ends a send whose answer is no longer wanted.
+// CancelSend cancels a send whose answer is no longer needed.
 type CancelSend struct{ ID int }
 
-// SendOverdue says that the answer to a send takes longer than usual.
+// SendOverdue reports that the answer to a send takes longer than usual.
 type SendOverdue struct{ Send int }
 
-// Withheld says that a further send for a service, a hedge or a retry, is not made.
+// Withheld reports that a send to a service, usually a hedge or a retry, is not made.
 type Withheld struct {
 	Service int
 	Cause   Cause
 	Why     Reason
 }
 
-// ServiceTooLate says that a service's answer cannot be had in time, which led to an early rejection.
+// ServiceTooLate reports a service whose answer is not expected in time, which led to an early rejection.
 type ServiceTooLate struct {
 	Service int
-	// Replica is the best one, ExpectedLatency how long its answer would probably take.
+	// Replica is the best one available, ExpectedLatency the expected time of its answer.
 	Replica         replica.Replica
 	ExpectedLatency time.Duration
 	Unreachable     bool
 }
 
-// Reason is why a further send is not made.
+// Reason tells why a send is withheld. Reasons are values of a metric label and of a log field.
 type Reason string
 
-// The reasons.
+// The reasons of withheld sends.
 const (
-	// NotIdempotent means that the request may run once only and may have run.
+	// NotIdempotent means that the request must run at most once and may have run.
 	NotIdempotent Reason = "it must not be repeated"
-	// AttemptsUsed means that the route allows no further replica.
+	// AttemptsUsed means that the route's limit on replicas per request is reached.
 	AttemptsUsed Reason = "the route's tries are used up"
-	// NoOtherReplica means that no replica is left that was not tried.
+	// NoOtherReplica means that the request was already sent to every eligible replica.
 	NoOtherReplica Reason = "no other replica"
-	// OtherDegraded means that the other one is itself overdue or failing, or is expected to pause
-	// just now.
+	// OtherDegraded means that the other replica is itself overdue or failing, or is expected to be
+	// paused now.
 	OtherDegraded Reason = "the other replica is overdue or failing too"
-	// OtherSlow means that the other one is expected to answer much later than usual.
+	// OtherSlow means that the other replica is expected to answer much later than usual.
 	OtherSlow Reason = "the other replica is slow or busy"
-	// MayEndReplicas means that replicas have ended under the request, and none has answered it.
+	// MayEndReplicas means that replicas have ended while running the request, and none has answered it.
 	MayEndReplicas Reason = "replicas ended under it and none has answered"
 	// ShardSetAside means that the request is set aside at the shard.
 	ShardSetAside Reason = "replicas of the shard ended under it each time it ran"
-	// BudgetSpent means that the bound on extra sends is reached.
+	// BudgetSpent means that the budget for extra sends is spent.
 	BudgetSpent Reason = "the bound on extra sends is reached"
 )
 
-// Wake asks for a Tick at a time; it replaces the former one.
+// Wake requests a Tick at the given time and replaces the previous request.
 type Wake struct{ At core.Time }
 
-// Finish ends the request. Nothing is sent after it.
+// Finish ends the request. No send follows it.
 type Finish struct{ Result Result }
 
 func (Send) isAction()           {}
@@ -109,7 +109,7 @@
 func (Wake) isAction()           {}
 func (Finish) isAction()         {}
 
-// Cause is why a send was made.
+// Cause tells why a send was made.
 type Cause string
 
 // The causes of sends.
@@ -121,24 +121,22 @@
 
 // Result is the end of a request.
 type Result struct {
-	// Parts holds for each service the id of the send that brought its answer, or
-	// -1.
+	// Parts holds for each service the id of the send that returned its answer, or -1.
 	Parts []int
-	// Received is the number of parts.
+	// Received is the number of parts received.
 	Received int
-	// Enough is set when Received reaches the plan's least number.
+	// Enough is set when Received reaches the plan's MinParts.
 	Enough bool
-	// MayHaveRun is set when any replica may have worked on the request.
+	// MayHaveRun is set when any replica may have run the request.
 	MayHaveRun bool
-	// NoReplica is set when a service had no replica at all to try.
+	// NoReplica is set when a service had no eligible replica at all.
 	NoReplica bool
-	// BudgetSpent is set when a retry or hedge was held back by the bound on
-	// extra arrivals.
+	// BudgetSpent is set when a retry or hedge was withheld because the budget for extra sends was spent.
 	BudgetSpent bool
-	// Rejected is set when nothing was sent since too few answers could come in time;
-	// RetryAfter is then when they probably can.
+	// Rejected is set when nothing was sent because too few answers were expected in time;
+	// RetryAfter then estimates when they will be.
 	Rejected   bool
 	RetryAfter time.Duration
-	// PastDeadline is set when the time ran out.
+	// PastDeadline is set when the deadline passed before all parts had been received or had failed.
 	PastDeadline bool
 }
--- a/internal/core/scatter/further.go
+++ b/internal/core/scatter/further.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// refusedPause is the wait before a replica that had no room is asked again when
-// there is no other: about one answer time of a fast route.
-const refusedPause = 20 * time.Millisecond
+// refusedRetryDelay is the wait before resending to a replica that refused, when there is no other:
+// about one answer time of a fast route.
+const refusedRetryDelay = 20 * time.Millisecond
 
-// doubtfulAfter is how often a send must be found late before the hedge may go to a
-// replica that is itself overdue or failing: at first the hedge would most likely
-// be wasted, later it is the only chance left.
-const doubtfulAfter = 2
+// degradedHedgeAfter is the number of times that a send must be found overdue before its hedge may go
+// to a replica that is itself overdue or failing. The first time such a hedge is most likely wasted;
+// later it is the only chance left.
+const degradedHedgeAfter = 2
 
-// hedgeReach is how many hedge times another replica may be expected to take where extra arrivals
-// are scarce. When all replicas are slow, hedges take the room of first sends and come too late
-// themselves. Held to it always, calm days would give more incomplete answers: what is expected of a
-// replica that is asked seldom is often too much.
-const hedgeReach = 2
+// maxHedgeLatencyRatio bounds the expected latency of a hedge, in hedge delays, while extra sends are
+// scarce. When all replicas are slow, hedges take capacity from first sends and are late themselves.
+// Applied always, the bound would give more incomplete answers under normal load, since the latency
+// estimate of a rarely used replica is often too high.
+const maxHedgeLatencyRatio = 2
 
-// afterFailure tries another replica, or gives the service up when there is none
-// and nothing of it is on its way.
+// afterFailure sends to another replica, or marks the service as failed when there is none and no
+// send to it is in flight.
 func (m *Machine) afterFailure(i int, verdict Verdict) {
 	s := &m.services[i]
 	if verdict == Failed && !m.plan.Idempotent {
@@ -27,27 +27,27 @@
 		return
 	}
 	if m.oneAtATime() {
-		s.held = s.live == 0
+		s.held = s.inFlight == 0
 		return
 	}
-	if m.shardSuspect(i) && (s.live > 0 || s.gaveUp) {
+	if m.shardSuspect(i) && (s.inFlight > 0 || s.closedAlone) {
 		m.withhold(i, Retry, MayEndReplicas)
-		s.failed = s.live == 0
+		s.failed = s.inFlight == 0
 		return
 	}
-	if m.again(i, Retry) || s.live > 0 {
+	if m.sendAnother(i, Retry) || s.inFlight > 0 {
 		return
 	}
-	if verdict == Refused && s.sent <= m.plan.MaxReplicas && m.now+refusedPause < m.plan.Deadline {
-		s.retryAt = m.now + refusedPause
+	if verdict == Refused && s.sent <= m.plan.MaxReplicas && m.now+refusedRetryDelay < m.plan.Deadline {
+		s.retryAt = m.now + refusedRetryDelay
 		return
 	}
 	s.failed = true
 }
 
-// again sends to a further replica where the plan and the bound on extra arrivals
-// allow it.
-func (m *Machine) again(i int, cause Cause) bool {
+// sendAnother sends to another replica if the plan and the budget for extra sends allow it, and
+// reports whether it did.
+func (m *Machine) sendAnother(i int, cause Cause) bool {
 	s := &m.services[i]
 	if s.sent >= m.plan.MaxReplicas {
 		return m.withhold(i, cause, AttemptsUsed)
@@ -56,27 +56,27 @@
 	if !ok {
 		return m.withhold(i, cause, NoOtherReplica)
 	}
-	if cause == Hedge && choice.ExpectedLatency > hedgeReach*m.plan.HedgeAfter && m.chooser.ExtraScarce(m.plan.Services[i], m.now) {
+	if cause == Hedge && choice.ExpectedLatency > maxHedgeLatencyRatio*m.plan.HedgeAfter && m.chooser.ExtraScarce(m.plan.Services[i], m.now) {
 		return m.withhold(i, cause, OtherSlow)
 	}
-	if cause == Hedge && choice.Degraded && s.lates < doubtfulAfter {
+	if cause == Hedge && choice.Degraded && s.overdueCount < degradedHedgeAfter {
 		return m.withhold(i, cause, OtherDegraded)
 	}
-	if !m.spend(i) {
+	if !m.spendBudget(i) {
 		return m.withhold(i, cause, BudgetSpent)
 	}
 	m.send(i, choice, cause)
 	return true
 }
 
-// withhold tells why a further send is not made; it reports false.
+// withhold reports why a send is not made. It always returns false.
 func (m *Machine) withhold(i int, cause Cause, why Reason) bool {
 	m.act(Withheld{Service: i, Cause: cause, Why: why})
 	return false
 }
 
-// spend takes an extra arrival out of the bound, unless nothing has arrived yet.
-func (m *Machine) spend(i int) bool {
+// spendBudget takes an extra send out of the budget, unless no send of the service has arrived yet.
+func (m *Machine) spendBudget(i int) bool {
 	if m.services[i].sent == 0 {
 		return true
 	}
@@ -87,14 +87,14 @@
 	return false
 }
 
-// retryRefused asks a replica again that had no room; all of them were tried.
+// retryRefused resends to a replica that refused, after all replicas were tried.
 func (m *Machine) retryRefused(i int) {
 	if m.oneAtATime() {
 		m.services[i].held = true
 		return
 	}
 	choice, ok := m.chooser.Pick(m.plan.Services[i], nil, m.now)
-	if !ok || !m.spend(i) {
+	if !ok || !m.spendBudget(i) {
 		why := BudgetSpent
 		if !ok {
 			why = NoOtherReplica
@@ -106,17 +106,17 @@
 	m.send(i, choice, Retry)
 }
 
-// late marks the replicas that keep a service waiting and hedges. Where the hedge
-// is not possible now, it is looked at again after the same time.
-func (m *Machine) late(i int) {
+// overdue marks the replicas with sends in flight for the service as overdue and sends a hedge. If no
+// hedge is possible now, it is reconsidered after another hedge delay.
+func (m *Machine) overdue(i int) {
 	s := &m.services[i]
 	for id, one := range m.sends {
-		if one.live && one.service == i {
+		if one.inFlight && one.service == i {
 			m.act(SendOverdue{Send: id})
 		}
 	}
 	s.hedgeAt = m.now + m.plan.HedgeAfter
-	s.lates++
+	s.overdueCount++
 	if !m.plan.Idempotent {
 		m.withhold(i, Hedge, NotIdempotent)
 		return
@@ -125,5 +125,5 @@
 		m.withhold(i, Hedge, MayEndReplicas)
 		return
 	}
-	m.again(i, Hedge)
+	m.sendAnother(i, Hedge)
 }
--- a/internal/core/scatter/scatter.go
+++ b/internal/core/scatter/scatter.go
@@ -1,6 +1,6 @@
-// Package scatter decides the sends of one caller's request: to one replica of
-// one service, or to one replica of each shard. It chooses when to hedge, when to
-// try another replica, and when to answer with what is there.
+// Package scatter decides the sends of one caller's request: to one replica of one service, or to one
+// replica of each shard. It decides when to hedge, when to retry on another replica, and when to
+// answer with the parts received so far.
 package scatter
 
 import (
@@ -10,92 +10,91 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/replica"
 )
 
-// Plan says what the request needs. A plain forward is a plan with one service.
+// Plan holds the parameters of one request. A request that is not gathered from shards has one service.
 type Plan struct {
-	// Services are the shards, or the one service.
+	// Services names the shards, or the one service.
 	Services []string
 	// MinParts is the number of parts below which the answer is a failure.
 	MinParts int
-	// Idempotent requests may be sent again although they may have run.
+	// Idempotent requests may be resent after they may have run.
 	Idempotent bool
-	// MaxReplicas bounds the replicas of each service that the request is sent to.
+	// MaxReplicas bounds the number of replicas of each service that the request is sent to.
 	MaxReplicas int
-	// Deadline is when the caller is told the outcome at the latest.
+	// Deadline is the latest time at which the caller gets the outcome.
 	Deadline core.Time
-	// TargetLatency is how long an answer may take to have its full worth; 0 is any time.
+	// TargetLatency is the time within which an answer has its full value to the caller; 0 is no limit.
 	TargetLatency time.Duration
-	// PartialAt is when the least number of parts is enough; 0 is never.
+	// PartialAt is the time from which MinParts parts suffice for an answer; 0 is never.
 	PartialAt core.Time
-	// HedgeAfter is how long an answer may take before another replica is asked too;
-	// 0 is never.
+	// HedgeAfter is how long a send may take before the request is hedged; 0 is never.
 	HedgeAfter time.Duration
-	// RemoteHedgeExtra is how much longer that is for a replica in another data centre.
+	// RemoteHedgeExtra is added to HedgeAfter for a replica in another data centre.
 	RemoteHedgeExtra time.Duration
-	// Suspect is set when replicas have ended under the request before: see oneAtATime.
+	// Suspect is set when replicas have ended while running the request in an earlier attempt: see oneAtATime.
 	Suspect bool
-	// SuspectShards holds the indexes in Services of shards whose replicas have ended under the request before: see
-	// shardSuspect. SetAsideShards holds the indexes of shards that the request is not sent to.
+	// SuspectShards holds the indexes in Services of shards whose replicas have ended while running the request
+	// in an earlier attempt: see shardSuspect. SetAsideShards holds the indexes of shards that the request is not
+	// sent to.
 	SuspectShards, SetAsideShards map[int]bool
 }
 
-// Chooser is what the machine asks of the node's beliefs.
+// Chooser chooses replicas and accounts for extra sends, from the node's knowledge of its replicas.
 type Chooser interface {
-	// Pick chooses a replica that is not among tried.
+	// Pick chooses a replica whose id is not among tried.
 	Pick(service string, tried []string, now core.Time) (replica.Choice, bool)
-	// TakeExtra spends one arrival beyond the first, or reports that the bound on
-	// those is reached.
+	// TakeExtra takes one send beyond the first out of the budget, or returns false when it is spent.
 	TakeExtra(service string, now core.Time) bool
-	// ExtraScarce reports whether so many of those arrivals were spent that the rest should go where
-	// they most probably help.
+	// ExtraScarce reports whether so much of the budget is spent that the rest should be kept for the
+	// sends most likely to help.
 	ExtraScarce(service string, now core.Time) bool
 }
 
-// Verdict is how a send ended.
+// Verdict classifies how a send ended.
 type Verdict uint8
 
-// The ends of a send.
+// The verdicts.
 const (
-	// Succeeded is an answer that counts: for a part, a success with all its bytes.
+	// Succeeded means a usable answer: for a part, a complete success response.
 	Succeeded Verdict = iota
-	// Failed may have run.
+	// Failed means that the request may have run.
 	Failed
-	// Refused reached the replica, which proved that it did not run it.
+	// Refused means that the replica received the request and proved that it did not run it.
 	Refused
-	// Unreached never left this node.
+	// Unreached means that the request never left this node.
 	Unreached
 )
 
 // send is one request to a replica.
 type send struct {
-	service int
-	live    bool
+	service  int
+	inFlight bool
 	// alone is set when the request was limited to one send at a time and this was the only one in flight, shardAlone
-	// when that holds for the sends to the shard.
+	// when the same holds for the sends to the shard.
 	alone, shardAlone bool
 }
 
-// service is one shard of the request.
+// service is the state of one shard, or of the one service of the request.
 type service struct {
 	tried []string
-	// sent counts the sends that arrived or may still.
-	sent   int
-	live   int
-	part   int
-	failed bool
-	// broken is set once a replica of the shard has closed the connection instead of answering, gaveUp once that has
-	// happened to a send with shardAlone set.
-	broken, gaveUp bool
-	// held is set while a send waits for the first answer to the request.
+	// sent counts the sends that arrived or may still arrive.
+	sent     int
+	inFlight int
+	part     int
+	failed   bool
+	// connectionClosed is set once a replica of the shard has closed the connection instead of answering,
+	// closedAlone once that has happened to a send with shardAlone set.
+	connectionClosed, closedAlone bool
+	// held is set while the next send to the shard waits for the first answer to the request.
 	held bool
-	// lates counts how often the running send was found late.
-	lates int
-	// hedgeAt is when the running send is late, 0 for never; retryAt is when a
-	// refused one is tried again, 0 for none.
+	// overdueCount counts how often sends of the service were found overdue.
+	overdueCount int
+	// hedgeAt is when the send in flight becomes overdue, 0 for never; retryAt is when the request is resent
+	// after a refusal, 0 for none.
 	hedgeAt core.Time
 	retryAt core.Time
 }
 
-func (s *service) settled() bool { return s.part >= 0 || s.failed }
+func (s *service) isSettled() bool { return s.part >= 0 || s.failed }
 
 // Machine decides one request. It is not safe for concurrent use.
 type Machine struct {
@@ -105,16 +104,16 @@
 	sends    []send
 	result   Result
 	finished bool
-	// broken is set once a replica has ended the connection in place of an answer, proven once one has
-	// answered, and gaveUp once one broke off that nothing else of the request was in work at.
-	broken  bool
-	proven  bool
-	gaveUp  bool
-	now     core.Time
-	actions []Action
+	// connectionClosed is set once a replica has closed the connection instead of answering, answered once one
+	// has answered, and closedAlone once the connection of a send with alone set was closed.
+	connectionClosed bool
+	answered         bool
+	closedAlone      bool
+	now              core.Time
+	actions          []Action
 }
 
-// New makes the machine of one request.
+// New returns the machine of one request.
 func New(plan Plan, chooser Chooser) *Machine {
 	m := &Machine{plan: plan, chooser: chooser, services: make([]service, len(plan.Services))}
 	for i := range m.services {
@@ -123,8 +122,7 @@
 	return m
 }
 
-// Step takes one event and returns what to do. The slice is valid until the next
-// Step.
+// Step handles one event and returns the actions to perform. The slice is valid until the next Step.
 func (m *Machine) Step(now core.Time, event Event) []Action {
 	m.actions = m.actions[:0]
 	m.now = now
@@ -135,7 +133,7 @@
 	case Begin:
 		m.begin()
 	case SendEnded:
-		m.ended(e)
+		m.sendEnded(e)
 	case Tick:
 		m.tick()
 	case GiveUp:
@@ -151,8 +149,8 @@
 
 func (m *Machine) act(action Action) { m.actions = append(m.actions, action) }
 
-// begin sends to every service that has a replica. When too few have one, nothing is
-// sent at all: the request then truthfully has not run.
+// begin sends to every service that has an eligible replica. If too few have one, nothing is sent, so
+// that the request can be reported as not run.
 func (m *Machine) begin() {
 	choices := make([]*replica.Choice, len(m.services))
 	found := 0
@@ -188,10 +186,10 @@
 func (m *Machine) send(i int, to replica.Choice, cause Cause) {
 	s := &m.services[i]
 	alone := m.oneAtATime()
-	shardAlone := alone || m.shardSuspect(i) && s.live == 0
+	shardAlone := alone || m.shardSuspect(i) && s.inFlight == 0
 	s.tried = append(s.tried, to.ID)
 	s.sent++
-	s.live++
+	s.inFlight++
 	s.hedgeAt = 0
 	if m.plan.HedgeAfter > 0 {
 		s.hedgeAt = m.now + m.plan.HedgeAfter
@@ -199,23 +197,23 @@
 	if to.Remote && s.hedgeAt > 0 {
 		s.hedgeAt += m.plan.RemoteHedgeExtra
 	}
-	m.sends = append(m.sends, send{service: i, live: true, alone: alone, shardAlone: shardAlone})
+	m.sends = append(m.sends, send{service: i, inFlight: true, alone: alone, shardAlone: shardAlone})
 	m.act(Send{ID: len(m.sends) - 1, Service: i, Replica: to.Replica, Remote: to.Remote, Cause: cause, Alone: alone, ShardAlone: shardAlone})
 }
 
-func (m *Machine) ended(e SendEnded) {
+func (m *Machine) sendEnded(e SendEnded) {
 	one := &m.sends[e.Send]
-	if !one.live {
+	if !one.inFlight {
 		return
 	}
-	one.live = false
+	one.inFlight = false
 	s := &m.services[one.service]
-	s.live--
+	s.inFlight--
 	if e.Verdict == Failed {
 		m.result.MayHaveRun = true
 	}
-	m.noteProof(one, e)
-	if s.settled() {
+	m.recordEnd(one, e)
+	if s.isSettled() {
 		return
 	}
 	if e.Verdict == Succeeded {
@@ -223,7 +221,7 @@
 		return
 	}
 	if e.Verdict == Unreached {
-		// It was no arrival and uses up no try.
+		// An unreached send did not arrive and does not count against MaxReplicas.
 		s.sent--
 	}
 	m.afterFailure(one.service, e.Verdict)
@@ -233,7 +231,7 @@
 	m.services[i].part = sendID
 	m.result.Received++
 	for id := range m.sends {
-		if m.sends[id].live && m.sends[id].service == i {
+		if m.sends[id].inFlight && m.sends[id].service == i {
 			m.act(CancelSend{ID: id})
 		}
 	}
@@ -243,22 +241,22 @@
 	for i := range m.services {
 		s := &m.services[i]
 		switch {
-		case s.settled():
+		case s.isSettled():
 		case s.retryAt > 0 && m.now >= s.retryAt:
 			s.retryAt = 0
 			m.retryRefused(i)
-		case s.live > 0 && s.hedgeAt > 0 && m.now >= s.hedgeAt:
-			m.late(i)
+		case s.inFlight > 0 && s.hedgeAt > 0 && m.now >= s.hedgeAt:
+			m.overdue(i)
 		}
 	}
 }
 
-// conclude ends the request when it is whole, when no more can come, when what is
-// there is enough for now, or when the time is up.
+// conclude ends the request when all services are settled, when too few parts can still be received,
+// when the parts received suffice after PartialAt, or when the deadline has passed.
 func (m *Machine) conclude() {
 	open := 0
 	for i := range m.services {
-		if !m.services[i].settled() {
+		if !m.services[i].isSettled() {
 			open++
 		}
 	}
@@ -282,7 +280,7 @@
 
 func (m *Machine) withdrawAll() {
 	for id := range m.sends {
-		if m.sends[id].live {
+		if m.sends[id].inFlight {
 			m.result.MayHaveRun = true
 			m.act(CancelSend{ID: id})
 		}
@@ -296,10 +294,10 @@
 	}
 	for i := range m.services {
 		s := &m.services[i]
-		if s.settled() {
+		if s.isSettled() {
 			continue
 		}
-		if s.hedgeAt > 0 && s.live > 0 {
+		if s.hedgeAt > 0 && s.inFlight > 0 {
 			at = min(at, s.hedgeAt)
 		}
 		if s.retryAt > 0 {
--- a/internal/core/scatter/scatter_test.go
+++ b/internal/core/scatter/scatter_test.go
@@ -12,34 +12,34 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/replica"
 )
 
-// fakeChooser has the replicas "SERVICE-0", "SERVICE-1" and so on.
+// fakeChooser offers the replicas "SERVICE-0", "SERVICE-1" and so on for each service.
 type fakeChooser struct {
 	replicas int
-	extras   int
-	doubtful bool
-	// expect is how long the answers of a service's replicas will take: they have work.
-	expect map[string]time.Duration
-	// unreachable are services whose replicas cannot be reached.
+	budget   int
+	degraded bool
+	// expectedLatency is the expected latency of a service's replicas; a positive one marks them as busy.
+	expectedLatency map[string]time.Duration
+	// unreachable names the services whose replicas cannot be reached.
 	unreachable []string
-	// plenty is set while extra arrivals are not scarce.
-	plenty bool
+	// extraPlentiful is set while extra sends are not scarce.
+	extraPlentiful bool
 }
 
-func (f *fakeChooser) ExtraScarce(string, core.Time) bool { return !f.plenty }
+func (f *fakeChooser) ExtraScarce(string, core.Time) bool { return !f.extraPlentiful }
 
 func (f *fakeChooser) Pick(service string, tried []string, _ core.Time) (replica.Choice, bool) {
 	for i := range f.replicas {
 		id := service + "-" + string(rune('0'+i))
 		if !slices.Contains(tried, id) {
-			return replica.Choice{Replica: replica.Replica{ID: id, Service: service}, Degraded: f.doubtful, ExpectedLatency: f.expect[service], Busy: f.expect[service] > 0, Unreachable: slices.Contains(f.unreachable, service)}, true
+			return replica.Choice{Replica: replica.Replica{ID: id, Service: service}, Degraded: f.degraded, ExpectedLatency: f.expectedLatency[service], Busy: f.expectedLatency[service] > 0, Unreachable: slices.Contains(f.unreachable, service)}, true
 		}
 	}
 	return replica.Choice{}, false
 }
 
 func (f *fakeChooser) TakeExtra(string, core.Time) bool {
-	f.extras--
-	return f.extras >= 0
+	f.budget--
+	return f.budget >= 0
 }
 
 const ms = time.Millisecond
@@ -58,7 +58,7 @@
 	return found
 }
 
-func finish(actions []Action) *Result {
+func finishResult(actions []Action) *Result {
 	for _, action := range actions {
 		if one, ok := action.(Finish); ok {
 			return &one.Result
@@ -67,56 +67,55 @@
 	return nil
 }
 
-func whole(send int) SendEnded { return SendEnded{Send: send, Verdict: Succeeded} }
+func succeeded(send int) SendEnded { return SendEnded{Send: send, Verdict: Succeeded} }
 
-func TestAWholeAnswerEndsAtOnce(t *testing.T) {
-	m := New(gatherPlan(), &fakeChooser{replicas: 2, extras: 9})
+func TestACompleteAnswerEndsTheRequest(t *testing.T) {
+	m := New(gatherPlan(), &fakeChooser{replicas: 2, budget: 9})
 	require.Len(t, sends(m.Step(0, Begin{})), 4)
 	for i := range 3 {
-		require.Nil(t, finish(m.Step(5*ms, whole(i))))
+		require.Nil(t, finishResult(m.Step(5*ms, succeeded(i))))
 	}
-	result := finish(m.Step(6*ms, whole(3)))
+	result := finishResult(m.Step(6*ms, succeeded(3)))
 	require.NotNil(t, result)
 	require.Equal(t, 4, result.Received)
 	require.Equal(t, []int{0, 1, 2, 3}, result.Parts)
-	require.Empty(t, m.Step(7*ms, Tick{}), "nothing is done after the end")
+	require.Empty(t, m.Step(7*ms, Tick{}), "no actions after the end")
 }
 
-// One replica of twenty stands still for a moment. The caller would wait for it,
-// although another replica has the same part.
-func TestALateReplicaIsHedgedAndTheFirstAnswerCounts(t *testing.T) {
-	m := New(gatherPlan(), &fakeChooser{replicas: 2, extras: 9})
+// Guards against waiting for a briefly paused replica although another one holds the same part.
+func TestAnOverdueSendIsHedgedAndTheFirstAnswerCounts(t *testing.T) {
+	m := New(gatherPlan(), &fakeChooser{replicas: 2, budget: 9})
 	m.Step(0, Begin{})
 	for i := range 3 {
-		m.Step(5*ms, whole(i))
+		m.Step(5*ms, succeeded(i))
 	}
 	actions := m.Step(15*ms, Tick{})
 	require.Contains(t, actions, Action(SendOverdue{Send: 3}))
 	hedge := sends(actions)
 	require.Len(t, hedge, 1)
 	require.Equal(t, "d-1", hedge[0].Replica.ID)
-	actions = m.Step(20*ms, whole(4))
+	actions = m.Step(20*ms, succeeded(4))
 	require.Contains(t, actions, Action(CancelSend{ID: 3}))
-	require.Equal(t, 4, finish(actions).Parts[3])
+	require.Equal(t, 4, finishResult(actions).Parts[3])
 }
 
-func TestNoHedgeToADoubtfulReplicaOrBeyondTheBound(t *testing.T) {
-	for _, chooser := range []*fakeChooser{{replicas: 2, extras: 9, doubtful: true}, {replicas: 2}} {
+func TestNoHedgeToADegradedReplicaOrBeyondTheBudget(t *testing.T) {
+	for _, chooser := range []*fakeChooser{{replicas: 2, budget: 9, degraded: true}, {replicas: 2}} {
 		m := New(gatherPlan(), chooser)
 		m.Step(0, Begin{})
 		require.Empty(t, sends(m.Step(15*ms, Tick{})))
 	}
 }
 
-// All replicas of a shard are gone. A caller that prefers an early answer gets one
-// that says what it lacks, at its aim and not at its deadline.
+// All replicas of a shard are lost. A caller that prefers an early answer gets an answer that names the
+// missing parts at its target latency, not at its deadline.
 func TestAPartialAnswerIsGivenAtTheAim(t *testing.T) {
 	m := New(gatherPlan(), &fakeChooser{replicas: 1})
 	m.Step(0, Begin{})
 	for i := range 3 {
-		require.Nil(t, finish(m.Step(5*ms, whole(i))))
+		require.Nil(t, finishResult(m.Step(5*ms, succeeded(i))))
 	}
-	result := finish(m.Step(50*ms, Tick{}))
+	result := finishResult(m.Step(50*ms, Tick{}))
 	require.NotNil(t, result)
 	require.True(t, result.Enough)
 	require.Equal(t, []int{0, 1, 2, -1}, result.Parts)
@@ -125,19 +124,19 @@
 func TestAThinAnswerAfterTheAimIsGivenOnceItIsEnough(t *testing.T) {
 	m := New(gatherPlan(), &fakeChooser{replicas: 1})
 	m.Step(0, Begin{})
-	m.Step(5*ms, whole(0))
-	require.Nil(t, finish(m.Step(50*ms, Tick{})))
-	require.Nil(t, finish(m.Step(70*ms, whole(1))))
-	require.NotNil(t, finish(m.Step(80*ms, whole(2))))
+	m.Step(5*ms, succeeded(0))
+	require.Nil(t, finishResult(m.Step(50*ms, Tick{})))
+	require.Nil(t, finishResult(m.Step(70*ms, succeeded(1))))
+	require.NotNil(t, finishResult(m.Step(80*ms, succeeded(2))))
 }
 
-// Two shards have lost all their replicas, which is one too many. Waiting for the
-// deadline would only keep the caller from trying elsewhere.
+// Two shards have lost all their replicas, one more than may be missing. Waiting for the deadline would
+// only delay the caller's retry elsewhere.
 func TestAnAnswerThatCannotBecomeEnoughEndsAtOnce(t *testing.T) {
 	m := New(gatherPlan(), &fakeChooser{replicas: 1})
 	m.Step(0, Begin{})
-	require.Nil(t, finish(m.Step(ms, SendEnded{Send: 0, Verdict: Unreached})))
-	result := finish(m.Step(2*ms, SendEnded{Send: 1, Verdict: Unreached}))
+	require.Nil(t, finishResult(m.Step(ms, SendEnded{Send: 0, Verdict: Unreached})))
+	result := finishResult(m.Step(2*ms, SendEnded{Send: 1, Verdict: Unreached}))
 	require.NotNil(t, result)
 	require.False(t, result.Enough)
 }
@@ -146,35 +145,35 @@
 	return Plan{Services: []string{"a"}, MinParts: 1, Idempotent: idempotent, MaxReplicas: 2, Deadline: time.Second}
 }
 
-// An invoice is posted, its answer is lost, and the request is sent again: the
-// invoice is counted twice.
+// Guards against duplicate execution: an invoice is posted, the answer is lost, and resending the request
+// would post the invoice twice.
 func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
-	m := New(plainPlan(false), &fakeChooser{replicas: 3, extras: 9})
+	m := New(plainPlan(false), &fakeChooser{replicas: 3, budget: 9})
 	m.Step(0, Begin{})
-	result := finish(m.Step(ms, SendEnded{Send: 0, Verdict: Failed}))
+	result := finishResult(m.Step(ms, SendEnded{Send: 0, Verdict: Failed}))
 	require.NotNil(t, result)
 	require.True(t, result.MayHaveRun)
 }
 
 func TestWhatDidNotRunIsTriedElsewhere(t *testing.T) {
 	for _, verdict := range []Verdict{Refused, Unreached} {
-		m := New(plainPlan(false), &fakeChooser{replicas: 3, extras: 9})
+		m := New(plainPlan(false), &fakeChooser{replicas: 3, budget: 9})
 		m.Step(0, Begin{})
-		again := sends(m.Step(ms, SendEnded{Send: 0, Verdict: verdict}))
-		require.Len(t, again, 1)
-		require.Equal(t, "a-1", again[0].Replica.ID)
-		require.True(t, finish(m.Step(2*ms, whole(1))).Enough)
+		retried := sends(m.Step(ms, SendEnded{Send: 0, Verdict: verdict}))
+		require.Len(t, retried, 1)
+		require.Equal(t, "a-1", retried[0].Replica.ID)
+		require.True(t, finishResult(m.Step(2*ms, succeeded(1))).Enough)
 	}
 }
 
-func TestAReplicaThatIsFullIsAskedAgainWhenThereIsNoOther(t *testing.T) {
-	m := New(plainPlan(true), &fakeChooser{replicas: 1, extras: 1})
+func TestAFullReplicaIsRetriedWhenThereIsNoOther(t *testing.T) {
+	m := New(plainPlan(true), &fakeChooser{replicas: 1, budget: 1})
 	m.Step(0, Begin{})
-	require.Nil(t, finish(m.Step(ms, SendEnded{Send: 0, Verdict: Refused})))
-	require.Len(t, sends(m.Step(ms+refusedPause, Tick{})), 1)
-	result := finish(m.Step(30*ms, SendEnded{Send: 1, Verdict: Refused}))
+	require.Nil(t, finishResult(m.Step(ms, SendEnded{Send: 0, Verdict: Refused})))
+	require.Len(t, sends(m.Step(ms+refusedRetryDelay, Tick{})), 1)
+	result := finishResult(m.Step(30*ms, SendEnded{Send: 1, Verdict: Refused}))
 	if result == nil {
-		result = finish(m.Step(30*ms+refusedPause, Tick{}))
+		result = finishResult(m.Step(30*ms+refusedRetryDelay, Tick{}))
 	}
 	require.NotNil(t, result)
 	require.False(t, result.MayHaveRun)
@@ -183,29 +182,29 @@
 
 func TestNoReplicaIsSaidAtOnce(t *testing.T) {
 	m := New(plainPlan(true), &fakeChooser{})
-	result := finish(m.Step(0, Begin{}))
+	result := finishResult(m.Step(0, Begin{}))
 	require.NotNil(t, result)
 	require.True(t, result.NoReplica)
 	require.False(t, result.MayHaveRun)
 }
 
-// Any order of ends and ticks: a request that must not be repeated is never sent
-// after it may have run, no service gets more sends than allowed plus those that
-// never left, and "not run" is only said when every send proved it.
+// For any order of send ends and ticks: a non-idempotent request is never resent after it may have run, no
+// service gets more sends than allowed plus the unreached ones, and a request is reported as not run only
+// when every send proved it.
 func TestEndsInAnyOrderKeepThePromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := Plan{Services: []string{"a", "b"}, MinParts: rapid.IntRange(1, 2).Draw(t, "least"), Idempotent: rapid.Bool().Draw(t, "idempotent"), MaxReplicas: 2, Deadline: time.Second, HedgeAfter: 15 * ms}
-		m := New(plan, &fakeChooser{replicas: 3, extras: rapid.IntRange(0, 4).Draw(t, "extras")})
+		m := New(plan, &fakeChooser{replicas: 3, budget: rapid.IntRange(0, 4).Draw(t, "extras")})
 		var live []Send
 		var result *Result
 		mayHaveRun := map[int]bool{}
 		now := core.Time(0)
 		take := func(actions []Action) {
 			for _, one := range sends(actions) {
-				require.False(t, !plan.Idempotent && mayHaveRun[one.Service], "sent again")
+				require.False(t, !plan.Idempotent && mayHaveRun[one.Service], "resent after it may have run")
 				live = append(live, one)
 			}
-			result = finish(actions)
+			result = finishResult(actions)
 		}
 		take(m.Step(now, Begin{}))
 		for range 200 {
@@ -232,34 +231,34 @@
 	})
 }
 
-// The process is about to end while answers are out. Each request ends now, with what is
-// certain of it and without a further send, though a hedge would just be due.
+// The process stops while sends are in flight. Each request ends immediately with its known state and
+// without a further send, even if a hedge is due.
 func TestGivingUpEndsAsAtTheDeadline(t *testing.T) {
-	m := New(gatherPlan(), &fakeChooser{replicas: 2, extras: 9})
+	m := New(gatherPlan(), &fakeChooser{replicas: 2, budget: 9})
 	m.Step(0, Begin{})
-	m.Step(5*ms, whole(0))
+	m.Step(5*ms, succeeded(0))
 	actions := m.Step(20*ms, GiveUp{})
 	require.Empty(t, sends(actions))
-	result := finish(actions)
+	result := finishResult(actions)
 	require.NotNil(t, result)
 	require.False(t, result.Enough)
 	require.True(t, result.PastDeadline)
 	require.True(t, result.MayHaveRun)
 
-	enough := New(gatherPlan(), &fakeChooser{replicas: 2, extras: 9})
+	enough := New(gatherPlan(), &fakeChooser{replicas: 2, budget: 9})
 	enough.Step(0, Begin{})
 	for i := range 3 {
-		enough.Step(5*ms, whole(i))
+		enough.Step(5*ms, succeeded(i))
 	}
-	require.True(t, finish(enough.Step(20*ms, GiveUp{})).Enough, "three of four parts are the least")
+	require.True(t, finishResult(enough.Step(20*ms, GiveUp{})).Enough, "three of four parts suffice")
 }
 
-// On call, a part that was late and not hedged has its reason in the story.
-func TestASendThatIsNotMadeSaysWhy(t *testing.T) {
+// Operators need the reason why an overdue part was not hedged.
+func TestAWithheldSendReportsItsReason(t *testing.T) {
 	reason := func(plan Plan, chooser *fakeChooser) Reason {
 		m := New(plan, chooser)
 		m.Step(0, Begin{})
-		m.Step(5*ms, whole(0))
+		m.Step(5*ms, succeeded(0))
 		for _, action := range m.Step(15*ms, Tick{}) {
 			if withheld, ok := action.(Withheld); ok {
 				return withheld.Why
@@ -269,68 +268,68 @@
 	}
 	once, single := gatherPlan(), gatherPlan()
 	once.Idempotent, single.MaxReplicas = false, 1
-	require.Equal(t, NotIdempotent, reason(once, &fakeChooser{replicas: 2, extras: 9}))
-	require.Equal(t, AttemptsUsed, reason(single, &fakeChooser{replicas: 2, extras: 9}))
-	require.Equal(t, NoOtherReplica, reason(gatherPlan(), &fakeChooser{replicas: 1, extras: 9}))
-	require.Equal(t, OtherDegraded, reason(gatherPlan(), &fakeChooser{replicas: 2, extras: 9, doubtful: true}))
+	require.Equal(t, NotIdempotent, reason(once, &fakeChooser{replicas: 2, budget: 9}))
+	require.Equal(t, AttemptsUsed, reason(single, &fakeChooser{replicas: 2, budget: 9}))
+	require.Equal(t, NoOtherReplica, reason(gatherPlan(), &fakeChooser{replicas: 1, budget: 9}))
+	require.Equal(t, OtherDegraded, reason(gatherPlan(), &fakeChooser{replicas: 2, budget: 9, degraded: true}))
 	require.Equal(t, BudgetSpent, reason(gatherPlan(), &fakeChooser{replicas: 2}))
-	require.Empty(t, reason(gatherPlan(), &fakeChooser{replicas: 2, extras: 9}))
+	require.Empty(t, reason(gatherPlan(), &fakeChooser{replicas: 2, budget: 9}))
 }
 
-// Of one shard more than may be missing only replicas are left that answer long after the aim.
-// Sent all the same, the question would wait for them, take the room of others, and be late.
+// One shard more than may be missing has only replicas left that answer long after the target latency.
+// If sent, the query would wait for them, take capacity from other requests, and be late.
 func TestAQuestionThatCannotComeInTimeIsRejectedBeforeAnythingIsSent(t *testing.T) {
 	plan := gatherPlan()
 	plan.TargetLatency = 50 * ms
-	chooser := &fakeChooser{replicas: 2, extras: 9, expect: map[string]time.Duration{"a": 80 * ms, "b": 200 * ms}}
+	chooser := &fakeChooser{replicas: 2, budget: 9, expectedLatency: map[string]time.Duration{"a": 80 * ms, "b": 200 * ms}}
 	actions := New(plan, chooser).Step(0, Begin{})
 	require.Empty(t, sends(actions))
-	result := finish(actions)
+	result := finishResult(actions)
 	require.NotNil(t, result)
 	require.True(t, result.Rejected)
 	require.False(t, result.MayHaveRun)
-	require.Equal(t, leastRetryAfter, result.RetryAfter, "the better of the two is late by 30 ms")
+	require.Equal(t, minRetryAfter, result.RetryAfter, "the faster of the two misses the target by 30 ms")
 	chooser.unreachable = []string{"a", "b"}
-	require.Equal(t, mostRetryAfter, finish(New(plan, chooser).Step(0, Begin{})).RetryAfter)
+	require.Equal(t, maxRetryAfter, finishResult(New(plan, chooser).Step(0, Begin{})).RetryAfter)
 }
 
-// As many shards as may be missing are slow: the answer comes in time without them.
-func TestWhatMayBeMissingRejectsNothing(t *testing.T) {
+// No more shards are slow than may be missing: the answer is in time without them.
+func TestSlowShardsThatMayBeMissingRejectNothing(t *testing.T) {
 	plan := gatherPlan()
 	plan.TargetLatency = 50 * ms
-	slow := &fakeChooser{replicas: 2, extras: 9, expect: map[string]time.Duration{"a": time.Minute}}
+	slow := &fakeChooser{replicas: 2, budget: 9, expectedLatency: map[string]time.Duration{"a": time.Minute}}
 	require.Len(t, sends(New(plan, slow).Step(0, Begin{})), 4)
-	away := &fakeChooser{replicas: 2, extras: 9, unreachable: []string{"b"}}
-	require.Len(t, sends(New(plan, away).Step(0, Begin{})), 4)
+	unreachable := &fakeChooser{replicas: 2, budget: 9, unreachable: []string{"b"}}
+	require.Len(t, sends(New(plan, unreachable).Step(0, Begin{})), 4)
 }
 
-// A slow replica with nothing in work is asked: only a request can tell that it is fast again.
-func TestAReplicaWithoutWorkIsTried(t *testing.T) {
+// An idle slow replica gets requests, since only a request can show that it is fast again.
+func TestAnIdleReplicaIsSentTo(t *testing.T) {
 	plan := gatherPlan()
 	plan.TargetLatency = 50 * ms
-	chooser := &fakeChooser{replicas: 2, extras: 9, unreachable: []string{"a"}}
+	chooser := &fakeChooser{replicas: 2, budget: 9, unreachable: []string{"a"}}
 	require.Len(t, sends(New(plan, chooser).Step(0, Begin{})), 4)
 }
 
 func TestASingleRequestIsRejectedOnlyWhenItsDeadlineCannotBeKept(t *testing.T) {
 	plan := plainPlan(false)
-	chooser := &fakeChooser{replicas: 2, expect: map[string]time.Duration{"a": 900 * ms}}
+	chooser := &fakeChooser{replicas: 2, expectedLatency: map[string]time.Duration{"a": 900 * ms}}
 	require.Len(t, sends(New(plan, chooser).Step(0, Begin{})), 1)
-	chooser.expect["a"] = 1100 * ms
-	result := finish(New(plan, chooser).Step(0, Begin{}))
+	chooser.expectedLatency["a"] = 1100 * ms
+	result := finishResult(New(plan, chooser).Step(0, Begin{}))
 	require.True(t, result.Rejected)
 	require.Equal(t, 100*ms, result.RetryAfter)
 }
 
-// All replicas are many times slower. A hedge would come too late itself and take the room of a first send.
+// All replicas are many times slower than usual. A hedge would be late itself and take capacity from a first send.
 func TestNoScarceHedgeToAReplicaThatIsExpectedToBeSlow(t *testing.T) {
-	chooser := &fakeChooser{replicas: 2, extras: 9, expect: map[string]time.Duration{"d": 31 * ms}}
+	chooser := &fakeChooser{replicas: 2, budget: 9, expectedLatency: map[string]time.Duration{"d": 31 * ms}}
 	m := New(gatherPlan(), chooser)
 	m.Step(0, Begin{})
 	for i := range 3 {
-		m.Step(5*ms, whole(i))
+		m.Step(5*ms, succeeded(i))
 	}
 	require.Empty(t, sends(m.Step(15*ms, Tick{})))
-	chooser.plenty = true
-	require.Len(t, sends(m.Step(30*ms, Tick{})), 1, "with plenty of extra arrivals it is worth a try")
+	chooser.extraPlentiful = true
+	require.Len(t, sends(m.Step(30*ms, Tick{})), 1, "the hedge is sent while the budget is plentiful")
 }
--- a/internal/core/scatter/unproven.go
+++ b/internal/core/scatter/unproven.go
@@ -2,66 +2,69 @@
 
 import "github.com/pistachiopier/pistachiopier/internal/core/replica"
 
-// oneAtATime reports whether the request may end the replicas that run it: some have ended the connection in place
-// of an answer, in this try or under the request before, and none has answered.
+// oneAtATime reports whether the request may crash the replicas that run it: some have closed the connection instead
+// of answering, in this attempt or an earlier one, and none has answered. Such a request gets one send at a time.
 //
-// The failure: a request ends each replica that begins to run it. Sent to all shards at once, and then to
-// the other replica of each, it ends them all. It holds since further sends wait for the first answer: a
-// request that harms nobody has one within an answer time, mostly from another shard; the one that does harm ends the
-// replicas of its first sends and one more.
+// This guards against a request that crashes each replica that begins to run it: sent to all shards at once, and then
+// to the other replica of each, it would crash them all. Further sends therefore wait for the first answer. A harmless
+// request has one within an answer time, usually from another shard; a harmful one crashes the replicas of its first
+// sends and one more.
 func (m *Machine) oneAtATime() bool {
-	return (m.plan.Suspect || m.broken) && !m.proven
+	return (m.plan.Suspect || m.connectionClosed) && !m.answered
 }
 
-// shardSuspect reports whether the request may end the replicas of one shard: some of them have closed the connection
-// instead of answering, in this try or in an earlier one. Such a shard gets one send at a time, and none after that send's
-// connection was closed.
+// shardSuspect reports whether the request may crash the replicas of one shard: some of them have closed the connection
+// instead of answering, in this attempt or in an earlier one. Such a shard gets one send at a time, and none after the
+// connection of that send was closed.
 //
-// This guards against retries and hedges ending all replicas of one shard: oneAtATime does not limit the request once
+// This guards against retries and hedges crashing all replicas of one shard: oneAtATime does not limit the request once
 // another shard has answered it.
-func (m *Machine) shardSuspect(i int) bool { return m.plan.SuspectShards[i] || m.services[i].broken }
+func (m *Machine) shardSuspect(i int) bool {
+	return m.plan.SuspectShards[i] || m.services[i].connectionClosed
+}
 
-// mayEndAll reports whether a request over several shards has been answered by none yet. Its hedges wait for the first
-// answer: one that ends replicas would end the other one of each shard before the first has ended. Shards differ by
-// more than a hedge takes, so that nearly always one has answered by then.
-func (m *Machine) mayEndAll() bool { return len(m.services) > 1 && !m.proven }
+// mayEndAll reports whether a request over several shards has been answered by none of them yet. Its hedges wait for
+// the first answer: the hedges of a request that crashes replicas would crash the second replica of each shard before
+// the first one has ended. The shards' latencies differ by more than the hedge delay, so that nearly always one shard
+// has answered by then.
+func (m *Machine) mayEndAll() bool { return len(m.services) > 1 && !m.answered }
 
-// noteProof takes up what an end says of the request.
-func (m *Machine) noteProof(one *send, e SendEnded) {
+// recordEnd updates whether replicas have answered the request or closed the connection.
+func (m *Machine) recordEnd(one *send, e SendEnded) {
 	switch {
 	case e.Verdict == Succeeded:
-		m.proven = true
+		m.answered = true
 	case e.Verdict == Failed && e.Broken:
-		m.broken = true
+		m.connectionClosed = true
 		s := &m.services[one.service]
-		s.broken = true
-		s.gaveUp = s.gaveUp || one.shardAlone
-		m.gaveUp = m.gaveUp || one.alone
+		s.connectionClosed = true
+		s.closedAlone = s.closedAlone || one.shardAlone
+		m.closedAlone = m.closedAlone || one.alone
 	}
 }
 
-// hold lets the first sends wait for a first answer.
+// hold makes the first sends wait for the first answer to the request.
 func (m *Machine) hold(choices []*replica.Choice) {
 	for i, choice := range choices {
 		m.services[i].held = choice != nil
 	}
 }
 
-// sendHeld makes the sends that waited, all once the request is proven, one when nothing else of it is in work.
+// sendHeld makes the held sends: all of them once the request has been answered, one when none is in flight.
 func (m *Machine) sendHeld() {
 	switch {
-	case m.gaveUp && !m.proven:
+	case m.closedAlone && !m.answered:
 		m.dropHeld()
 	case !m.oneAtATime():
 		for i := range m.services {
 			m.release(i)
 		}
-	case !m.inWork():
+	case !m.anyInFlight():
 		m.releaseOne()
 	}
 }
 
-// releaseOne makes one of the waiting sends, trying shards that are not suspect first.
+// releaseOne makes one of the held sends, preferring shards that are not suspect.
 func (m *Machine) releaseOne() {
 	for _, suspect := range []bool{false, true} {
 		for i := range m.services {
@@ -72,7 +75,7 @@
 	}
 }
 
-// dropHeld gives up what waited: the request has most probably ended another replica.
+// dropHeld drops the held sends, since the request has most likely crashed another replica.
 func (m *Machine) dropHeld() {
 	for i := range m.services {
 		s := &m.services[i]
@@ -83,25 +86,25 @@
 	}
 }
 
-// release makes a send that waited and reports whether there was one. Where none can be made the service
-// is given up.
+// release makes the held send of a service and reports whether it did. If the send cannot be made and none is in
+// flight, the service has failed.
 func (m *Machine) release(i int) bool {
 	s := &m.services[i]
 	if !s.held {
 		return false
 	}
 	s.held = false
-	if s.settled() {
+	if s.isSettled() {
 		return false
 	}
-	if m.again(i, s.nextCause()) {
+	if m.sendAnother(i, s.nextCause()) {
 		return true
 	}
-	s.failed = s.live == 0
+	s.failed = s.inFlight == 0
 	return false
 }
 
-// nextCause is that of the service's next send.
+// nextCause returns the cause of the service's next send.
 func (s *service) nextCause() Cause {
 	if len(s.tried) == 0 {
 		return First
@@ -109,9 +112,9 @@
 	return Retry
 }
 
-func (m *Machine) inWork() bool {
+func (m *Machine) anyInFlight() bool {
 	for _, one := range m.sends {
-		if one.live {
+		if one.inFlight {
 			return true
 		}
 	}
