--- a/internal/core/replica/choice.go
+++ b/internal/core/replica/choice.go
@@ -8,103 +8,102 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Weights of Table.cost, in units of one usual answer time of the route. They were
-// chosen so that a replica of the own data centre is preferred unless it is twice
-// as slow as usual or all its slots hold requests of this node.
+// Weights of Table.cost, in units of the route's typical latency. With them a replica of the node's own
+// data centre is preferred unless it is twice as slow as usual or this node's requests fill all its slots.
 const (
 	remoteCost = 1.0
-	// rankCost makes a node prefer one other data centre to the next, so that the
-	// parts it lacks come from few of them.
+	// rankCost makes a node prefer one other data centre to the next, so that it gets
+	// its remote parts from few data centres.
 	rankCost = 0.4
 	// regionCost is added for another region, some ten milliseconds away.
 	regionCost  = 3.0
 	overdueCost = 4.0
 	failureCost = 8.0
 	refusedCost = 4.0
-	// refusalCost is for a replica that refuses every request. A refusal costs a round trip and
-	// an arrival out of the service's bound, less than a failure, which costs the work too: the
-	// replica is used for what does not fit into others.
+	// refusalCost applies to a replica that refuses every request. A refusal costs a round trip and
+	// an extra send out of the service's budget, but not the work that a failure wastes, so the
+	// replica still gets the requests that the others have no capacity for.
 	refusalCost = 4.0
 )
 
-// Criteria says which replicas a request may go to.
+// Criteria restricts the replicas that a request may be sent to.
 type Criteria struct {
 	Service string
-	// Tried are the ids of replicas to leave out.
+	// Tried holds the ids of replicas to exclude.
 	Tried []string
-	// Regions are those whose replicas may be taken; none is all.
+	// Regions names the allowed regions; empty allows all.
 	Regions []string
-	// Typical is the route's usual answer time, 0 where it is not known.
+	// Typical is the route's typical latency, 0 if unknown.
 	Typical time.Duration
 }
 
-// Choice is a replica for a request.
+// Choice is the replica chosen for a request.
 type Choice struct {
 	Replica
-	// Degraded is set when the replica is overdue, failing, out of room or expected to pause: good
-	// enough for a first try where there is no other, not for a hedge.
+	// Degraded is set when the replica is overdue, failing, at capacity or expected to pause: acceptable
+	// for a first send if there is no other replica, but not for a hedge.
 	Degraded bool
 	// Remote is set when the replica is in another data centre.
 	Remote bool
-	// ExpectedLatency is how long its answer will probably take, 0 where that is not known.
+	// ExpectedLatency is the expected time until the answer, 0 if unknown.
 	ExpectedLatency time.Duration
-	// Unreachable is set when the last request found no connection, a moment ago.
+	// Unreachable is set when a connection failed within unreachedTTL and no answer has arrived since.
 	Unreachable bool
-	// Busy is set while a request of this node is in work there, whose end will tell more.
+	// Busy is set while a request of this node is in flight there; its end will update the estimate.
 	Busy bool
 }
 
-// Pick chooses the replica with the least cost. It reports false when there is none.
-func (b *Table) Pick(wish Criteria, now core.Time) (Choice, bool) {
+// Pick chooses the eligible replica with the lowest cost. It returns false if there is none.
+func (t *Table) Pick(criteria Criteria, now core.Time) (Choice, bool) {
 	var best *state
 	bestCost := math.Inf(1)
-	for _, one := range b.byService[wish.Service] {
-		if !b.usable(one) || slices.Contains(wish.Tried, one.ID) || !b.within(one, wish.Regions) || !b.bears(one, now) {
+	for _, one := range t.byService[criteria.Service] {
+		if !t.usable(one) || slices.Contains(criteria.Tried, one.ID) || !t.inRegions(one, criteria.Regions) || !t.hasColdCapacity(one, now) {
 			continue
 		}
-		if cost := b.cost(one, wish.Typical, now); cost < bestCost {
+		if cost := t.cost(one, criteria.Typical, now); cost < bestCost {
 			best, bestCost = one, cost
 		}
 	}
 	if best == nil {
 		return Choice{}, false
 	}
-	b.takeCold(best, now)
-	return Choice{Replica: best.Replica, Degraded: best.doubtful(now) || b.pausing(best, wish.Typical, now), Remote: best.DataCentre != b.dataCentre, ExpectedLatency: best.expect(wish.Typical, now), Busy: best.outstanding > 0, Unreachable: best.unreachable(now)}, true
+	t.countCold(best, now)
+	return Choice{Replica: best.Replica, Degraded: best.degraded(now) || t.expectsPause(best, criteria.Typical, now), Remote: best.DataCentre != t.dataCentre, ExpectedLatency: best.expectedLatency(criteria.Typical, now), Busy: best.inFlight > 0, Unreachable: best.unreachable(now)}, true
 }
 
-// cost estimates how long a request would take there, in usual answer times.
-func (b *Table) cost(s *state, usual time.Duration, now core.Time) float64 {
+// cost estimates how long a request would take at a replica, in units of the typical latency.
+func (t *Table) cost(s *state, typical time.Duration, now core.Time) float64 {
 	const tieBreak = 0.1
-	cost := s.slownessNow(now) * (1 + s.queued())
-	if rank := b.ranks[s.DataCentre]; rank > 0 {
+	cost := s.slownessNow(now) * (1 + s.queuedRounds())
+	if rank := t.ranks[s.DataCentre]; rank > 0 {
 		cost += remoteCost + rankCost*float64(rank-1)
 	}
-	if b.regions[s.DataCentre] != b.regions[b.dataCentre] {
+	if t.regions[s.DataCentre] != t.regions[t.dataCentre] {
 		cost += regionCost
 	}
-	if s.overdue(now) || b.pausing(s, usual, now) {
+	if s.overdue(now) || t.expectsPause(s, typical, now) {
 		cost += overdueCost
 	}
 	if s.refused(now) {
 		cost += refusedCost
 	}
 	cost += failureCost*s.failuresNow(now) + refusalCost*s.refusalsNow(now)
-	return cost + tieBreak*b.random()
+	return cost + tieBreak*t.random()
 }
 
-// expect is how long an answer will probably take.
-func (s *state) expect(usual time.Duration, now core.Time) time.Duration {
-	answer := time.Duration(float64(usual) * s.slownessNow(now))
-	expected := time.Duration(float64(answer) * (1 + s.queued()))
-	if s.outstanding > 0 {
-		expected += max(now-s.silentSince-answer, 0)
+// expectedLatency estimates the time until the answer to a request.
+func (s *state) expectedLatency(typical time.Duration, now core.Time) time.Duration {
+	answer := time.Duration(float64(typical) * s.slownessNow(now))
+	expected := time.Duration(float64(answer) * (1 + s.queuedRounds()))
+	if s.inFlight > 0 {
+		expected += max(now-s.noAnswerSince-answer, 0)
 	}
 	return expected
 }
 
-// queued is how many rounds of its slots this node's own requests fill.
-func (s *state) queued() float64 {
+// queuedRounds returns how many times over this node's own requests fill the replica's slots.
+func (s *state) queuedRounds() float64 {
 	slots := max(s.Slots, 1)
-	return float64(max(s.outstanding+1-slots, 0)) / float64(slots)
+	return float64(max(s.inFlight+1-slots, 0)) / float64(slots)
 }
--- a/internal/core/replica/cold.go
+++ b/internal/core/replica/cold.go
@@ -5,47 +5,46 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/coldstart"
 )
 
-// SetColdBounds takes what cold replicas of each service bear.
-func (b *Table) SetColdBounds(bounds map[string]coldstart.Bound) { b.coldBounds = bounds }
+// SetColdBounds sets the bounds on the request rate of cold replicas, by service.
+func (t *Table) SetColdBounds(bounds map[string]coldstart.Bound) { t.coldBounds = bounds }
 
-// SetSenders takes the nodes that requests come to, which share what cold replicas bear, and which
-// of them this one is.
-func (b *Table) SetSenders(self core.NodeID, senders []core.NodeID) {
-	b.self, b.senders = self, senders
+// SetSenders sets the nodes that receive requests and so share the rate bound of cold replicas, and the
+// id of this node.
+func (t *Table) SetSenders(self core.NodeID, senders []core.NodeID) {
+	t.self, t.senders = self, senders
 }
 
-// SetColdUntil notes until when a replica is cold by its own report.
-func (b *Table) SetColdUntil(life Incarnation, until core.Time) {
-	if known := b.of(life); known != nil {
+// SetColdUntil records until when a replica is cold according to its own report.
+func (t *Table) SetColdUntil(incarnation Incarnation, until core.Time) {
+	if known := t.find(incarnation); known != nil {
 		known.coldUntil = until
 	}
 }
 
-// coldBound finds the bound that holds for a replica now; false when it is warm or states none.
+// coldBound returns the rate bound that applies to a replica now, false if it is warm or its service has none.
 //
-// The replicas of a data centre that is taken back after an evacuation count as cold although their
-// reports may still be those of before: they have done nothing for a while, and the report that
-// says so comes a heartbeat later than the requests.
-func (b *Table) coldBound(s *state, now core.Time) (coldstart.Bound, bool) {
-	bound := b.coldBounds[s.Service]
+// After the end of an evacuation the data centre's replicas count as cold, whatever they last reported: they
+// have been idle, and the report that they are cold arrives a heartbeat after the first requests.
+func (t *Table) coldBound(s *state, now core.Time) (coldstart.Bound, bool) {
+	bound := t.coldBounds[s.Service]
 	if bound.PerSecond <= 0 {
 		return bound, false
 	}
-	returned, evacuatedOnce := b.returned[s.DataCentre]
+	returned, evacuatedOnce := t.returnedAt[s.DataCentre]
 	return bound, now < s.coldUntil || evacuatedOnce && now-returned < bound.Lasts
 }
 
-// bears reports whether a replica is warm or bears one more request of this node now.
-func (b *Table) bears(s *state, now core.Time) bool {
-	bound, cold := b.coldBound(s, now)
-	return !cold || s.cold.Free(coldstart.Share(bound, s.ID, b.self, b.senders), now)
+// hasColdCapacity reports whether a replica is warm or, if cold, has capacity for one more request of this node now.
+func (t *Table) hasColdCapacity(s *state, now core.Time) bool {
+	bound, cold := t.coldBound(s, now)
+	return !cold || s.cold.Free(coldstart.Share(bound, s.ID, t.self, t.senders), now)
 }
 
-// takeCold counts a request at a cold replica. It counts at the choice and not at the send, so that
-// requests that choose at the same moment do not all take the same room; a choice that is not
-// sent leaves the replica less than it bears.
-func (b *Table) takeCold(s *state, now core.Time) {
-	if _, cold := b.coldBound(s, now); cold {
+// countCold counts a request to a cold replica. It counts when the replica is chosen, not when the request is
+// sent, so that concurrent choices do not all use the same capacity; a choice that is not sent leaves capacity
+// unused.
+func (t *Table) countCold(s *state, now core.Time) {
+	if _, cold := t.coldBound(s, now); cold {
 		s.cold.Take(now)
 	}
 }
--- a/internal/core/replica/pause.go
+++ b/internal/core/replica/pause.go
@@ -6,35 +6,35 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// pauseTimes is how many of a replica's usual answer times an answer takes longer that waited through
-// a pause. Slow moments of replicas that work are up to four times as long as usual.
-const pauseTimes = 5
+// minPauseRatio is the least delay of an answer that is taken for a pause, as a multiple of the replica's typical
+// latency. Replicas that are slow but not paused take up to four times as long as usual.
+const minPauseRatio = 5
 
-// notePause learns from an answer that took much longer than this replica's usually do: it stood still
-// until about one answer time ago.
-func (b *Table) notePause(s *state, took, usual time.Duration, now core.Time) {
-	own := time.Duration(float64(usual) * s.slownessNow(now))
-	if stood := took - own; stood >= pauseTimes*own {
-		b.Pauses.Seen(&s.pauses, now-own, stood)
+// recordPause records a pause if an answer took much longer than this replica's usually do. The pause ended
+// about one answer time before the answer.
+func (t *Table) recordPause(s *state, took, typical time.Duration, now core.Time) {
+	own := time.Duration(float64(typical) * s.slownessNow(now))
+	if paused := took - own; paused >= minPauseRatio*own {
+		t.Pauses.Seen(&s.pauses, now-own, paused)
 	}
 }
 
-// pausing reports whether a request that takes a usual time would probably meet a pause.
-func (b *Table) pausing(s *state, usual time.Duration, now core.Time) bool {
-	return b.Pauses.Pausing(&s.pauses, usual, now)
+// expectsPause reports whether a request of typical latency sent now would probably meet a pause.
+func (t *Table) expectsPause(s *state, typical time.Duration, now core.Time) bool {
+	return t.Pauses.Pausing(&s.pauses, typical, now)
 }
 
-// PauseAge is how long ago a pause of a replica ended that was seen; false where none is known.
-func (b *Table) PauseAge(life Incarnation, now core.Time) (time.Duration, bool) {
-	if known := b.of(life); known != nil {
+// PauseAge returns how long ago the last known pause of a replica ended, false if none is known.
+func (t *Table) PauseAge(incarnation Incarnation, now core.Time) (time.Duration, bool) {
+	if known := t.find(incarnation); known != nil {
 		return known.pauses.Age(now)
 	}
 	return 0, false
 }
 
-// ReceivePause takes the age of a pause that another node saw.
-func (b *Table) ReceivePause(life Incarnation, age time.Duration, now core.Time) {
-	if known := b.of(life); known != nil {
-		b.Pauses.Heard(&known.pauses, age, now)
+// ReceivePause records the age of a pause that another node observed.
+func (t *Table) ReceivePause(incarnation Incarnation, age time.Duration, now core.Time) {
+	if known := t.find(incarnation); known != nil {
+		t.Pauses.Heard(&known.pauses, age, now)
 	}
 }
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -1,6 +1,5 @@
-// Package replica is what a node believes of the replicas of each service: which
-// there are, how each has answered lately, and which one the next request is
-// best sent to.
+// Package replica tracks what a node knows of the replicas of each service: which replicas exist, how each
+// has answered lately, and which one is best for the next request.
 package replica
 
 import (
@@ -13,11 +12,11 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/pauses"
 )
 
-// Incarnation names one life of a replica. A replica that starts again may keep its id; it
-// then knows nothing of its former life, and nothing seen of that one holds for it.
+// Incarnation identifies one run of a replica's process. A replica that restarts may keep its id, but it has no
+// state of the previous incarnation, and observations of that incarnation do not apply to it.
 type Incarnation struct {
 	ID string
-	// Born is when it started, in Unix milliseconds of its own clock; 0 where it does not say.
+	// Born is its start time in Unix milliseconds of its own clock, 0 if not reported.
 	Born int64
 }
 
@@ -30,15 +29,15 @@
 	Service    string
 	Address    string
 	DataCentre string
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Draining replicas get no new request.
+	// Draining replicas get no new requests.
 	Draining bool
-	// ColdFor is how much longer the replica was to be cold when it reported.
+	// ColdFor is how much longer the replica expected to be cold when it reported.
 	ColdFor time.Duration
 }
 
-// Incarnation names the incarnation.
+// Incarnation returns the id and start time of the replica.
 func (r Replica) Incarnation() Incarnation { return Incarnation{ID: r.ID, Born: r.Born} }
 
 // Table holds the replicas of all services. It is not safe for concurrent use.
@@ -50,148 +49,149 @@
 	// ranks orders the data centres by preference: 0 is the node's own, the others
 	// follow in a ring by name, which spreads the preferences of all nodes evenly.
 	ranks map[string]int
-	// regions names the region of each data centre.
+	// regions maps each data centre to its region.
 	regions map[string]string
-	// ended holds the last report of ids that are no longer listed.
-	ended map[string]lastReport
-	// evacuated are the data centres whose replicas are to get nothing, with the time since when the wish is
-	// no longer listed, 0 while it is; returned is when the others were last taken back.
-	evacuated map[string]core.Time
-	returned  map[string]core.Time
-	// coldBounds are what cold replicas of a service bear; self and senders are the nodes that share it.
+	// removed holds the last reports of replicas that are no longer listed, by id.
+	removed map[string]lastReport
+	// evacuated holds the evacuated data centres with the time at which the evacuation ceased to be listed, 0
+	// while it is listed; returnedAt is when the last evacuation of each other data centre ended.
+	evacuated  map[string]core.Time
+	returnedAt map[string]core.Time
+	// coldBounds holds the rate bounds of cold replicas by service; senders are the nodes that share them, self is
+	// this node.
 	coldBounds map[string]coldstart.Bound
 	self       core.NodeID
 	senders    []core.NodeID
-	// Pauses is what the pauses of all replicas have in common.
+	// Pauses estimates the interval and duration of the replicas' pauses.
 	Pauses pauses.Rhythm
 }
 
-// lastReport names the last report of a replica that was taken.
+// lastReport identifies the last accepted report of a replica.
 type lastReport struct{ born, sequence int64 }
 
-// maxEnded bounds Table.ended. Beyond it all are forgotten: a late report of a former
-// incarnation may then list a replica that is gone, which answers nothing.
-const maxEnded = 4096
+// maxRemoved bounds Table.removed. Beyond it all entries are dropped: a late report of an earlier incarnation may
+// then list a replica that no longer exists and does not answer.
+const maxRemoved = 4096
 
-// NewTable makes an empty book for a node of the given data centre. The random
-// source, 0 to 1, breaks ties.
+// NewTable returns an empty table for a node of the given data centre. The random source, which returns 0 to 1,
+// breaks ties.
 func NewTable(dataCentre string, regions map[string]string, random func() float64) *Table {
-	return &Table{dataCentre: dataCentre, regions: regions, byID: map[string]*state{}, byService: map[string][]*state{}, random: random, ranks: map[string]int{dataCentre: 0}, ended: map[string]lastReport{}, evacuated: map[string]core.Time{}, returned: map[string]core.Time{}}
+	return &Table{dataCentre: dataCentre, regions: regions, byID: map[string]*state{}, byService: map[string][]*state{}, random: random, ranks: map[string]int{dataCentre: 0}, removed: map[string]lastReport{}, evacuated: map[string]core.Time{}, returnedAt: map[string]core.Time{}}
 }
 
-// rank takes a data centre that may be new into the ring.
-func (b *Table) rank(dataCentre string) {
-	if _, known := b.ranks[dataCentre]; known {
+// rankDataCentre adds a data centre to the ring if it is new.
+func (t *Table) rankDataCentre(dataCentre string) {
+	if _, known := t.ranks[dataCentre]; known {
 		return
 	}
-	b.ranks[dataCentre] = 0
-	names := slices.Sorted(maps.Keys(b.ranks))
-	own := slices.Index(names, b.dataCentre)
+	t.ranks[dataCentre] = 0
+	names := slices.Sorted(maps.Keys(t.ranks))
+	own := slices.Index(names, t.dataCentre)
 	for i, name := range names {
-		b.ranks[name] = (i - own + len(names)) % len(names)
+		t.ranks[name] = (i - own + len(names)) % len(names)
 	}
 }
 
-// PutResult is what a report of a replica came to.
+// PutResult tells how a report of a replica was handled.
 type PutResult int
 
-// The outcomes of Put.
+// The results of Put and Suspect.
 const (
-	// Added lists a replica that was not known.
+	// Added means that a replica is newly listed.
 	Added PutResult = iota
-	// Updated takes new particulars of a known incarnation; what was seen of it stays.
+	// Updated means that a known incarnation has new data; its observations are kept.
 	Updated
-	// Restarted replaces a former incarnation, of which nothing counts any more.
+	// Restarted means that a new incarnation replaces an earlier one, whose observations are dropped.
 	Restarted
-	// Outdated is a report that is older than what is known; it changes nothing.
+	// Outdated means that the report is older than the known one; it changes nothing.
 	Outdated
-	// Suspected lists a replica that may have left; it gets nothing yet.
+	// Suspected means that a newly listed replica may have left and gets no requests yet; Put does not return it.
 	Suspected
 )
 
-// Put takes a report of a replica.
+// Put applies a report of a replica.
 //
-// A report that was on its way while its replica started again comes after the new one's. Taken
-// for the newest, it would bring back a replica that is gone, or one that drains as ready: an
-// older start never replaces a newer one, nor an older report of one life a newer one.
-func (b *Table) Put(replica Replica) PutResult {
-	known := b.byID[replica.ID]
+// A delayed report of an earlier incarnation may arrive after the first report of a restarted replica. Applied, it
+// would list a replica that no longer exists, or a draining one as ready. Therefore an older start time never replaces
+// a newer one, nor an older report of one incarnation a newer one.
+func (t *Table) Put(replica Replica) PutResult {
+	known := t.byID[replica.ID]
 	switch {
-	case known == nil && replica.Born < b.ended[replica.ID].born:
+	case known == nil && replica.Born < t.removed[replica.ID].born:
 		return Outdated
 	case known == nil:
-		b.add(replica)
+		t.add(replica)
 		return Added
 	case replica.Born < known.Born || replica.Born == known.Born && replica.Sequence < known.Sequence:
 		return Outdated
 	case replica.Born > known.Born || replica.Service != known.Service:
-		b.Remove(replica.ID)
-		b.add(replica)
+		t.Remove(replica.ID)
+		t.add(replica)
 		return Restarted
 	}
 	known.misdirected = known.misdirected && known.Address == replica.Address
 	if replica.Sequence > known.Sequence {
-		// It lives.
-		known.doubtedAt = 0
+		// A newer report shows that the replica is live.
+		known.suspectedAt = 0
 	}
 	known.Replica = replica
 	known.lapsedAt = 0
 	return Updated
 }
 
-func (b *Table) add(replica Replica) {
-	delete(b.ended, replica.ID)
-	b.rank(replica.DataCentre)
+func (t *Table) add(replica Replica) {
+	delete(t.removed, replica.ID)
+	t.rankDataCentre(replica.DataCentre)
 	added := &state{Replica: replica, slowness: 1}
-	b.byID[replica.ID] = added
-	b.byService[replica.Service] = append(b.byService[replica.Service], added)
+	t.byID[replica.ID] = added
+	t.byService[replica.Service] = append(t.byService[replica.Service], added)
 }
 
-// Remove forgets a replica.
-func (b *Table) Remove(id string) {
-	known := b.byID[id]
+// Remove removes a replica and keeps only the identity of its last report.
+func (t *Table) Remove(id string) {
+	known := t.byID[id]
 	if known == nil {
 		return
 	}
-	delete(b.byID, id)
-	if len(b.ended) >= maxEnded {
-		clear(b.ended)
+	delete(t.byID, id)
+	if len(t.removed) >= maxRemoved {
+		clear(t.removed)
 	}
-	b.ended[id] = lastReport{born: known.Born, sequence: known.Sequence}
-	kept := make([]*state, 0, len(b.byService[known.Service]))
-	for _, one := range b.byService[known.Service] {
+	t.removed[id] = lastReport{born: known.Born, sequence: known.Sequence}
+	kept := make([]*state, 0, len(t.byService[known.Service]))
+	for _, one := range t.byService[known.Service] {
 		if one != known {
 			kept = append(kept, one)
 		}
 	}
-	b.byService[known.Service] = kept
+	t.byService[known.Service] = kept
 	if len(kept) == 0 {
-		delete(b.byService, known.Service)
+		delete(t.byService, known.Service)
 	}
 }
 
 // Get finds a replica by its id.
-func (b *Table) Get(id string) (Replica, bool) {
-	known := b.byID[id]
+func (t *Table) Get(id string) (Replica, bool) {
+	known := t.byID[id]
 	if known == nil {
 		return Replica{}, false
 	}
 	return known.Replica, true
 }
 
-// of finds what is known of an incarnation; nil where it is not the one that is listed: what
-// happens to a former life says nothing of the present one.
-func (b *Table) of(life Incarnation) *state {
-	known := b.byID[life.ID]
-	if known == nil || known.Born != life.Born {
+// find returns the state of an incarnation, or nil if it is not the listed one: events of an earlier incarnation do
+// not apply to the current one.
+func (t *Table) find(incarnation Incarnation) *state {
+	known := t.byID[incarnation.ID]
+	if known == nil || known.Born != incarnation.Born {
 		return nil
 	}
 	return known
 }
 
 // Each calls visit for each replica.
-func (b *Table) Each(visit func(Replica)) {
-	for _, known := range b.byID {
+func (t *Table) Each(visit func(Replica)) {
+	for _, known := range t.byID {
 		visit(known.Replica)
 	}
 }
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -9,143 +9,141 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-const usual = 10 * time.Millisecond
+const typical = 10 * time.Millisecond
 
 var near = Incarnation{ID: "near"}
 
-func bookOfTwo() *Table {
-	b := NewTable("east", nil, func() float64 { return 0 })
-	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
-	b.Put(Replica{ID: "far", Service: "s", DataCentre: "west", Slots: 2})
-	return b
+func tableOfTwo() *Table {
+	table := NewTable("east", nil, func() float64 { return 0 })
+	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
+	table.Put(Replica{ID: "far", Service: "s", DataCentre: "west", Slots: 2})
+	return table
 }
 
-func pick(t *testing.T, b *Table, now core.Time, tried ...string) Choice {
+func pick(t *testing.T, table *Table, now core.Time, tried ...string) Choice {
 	t.Helper()
-	choice, ok := b.Pick(Criteria{Service: "s", Tried: tried, Typical: usual}, now)
+	choice, ok := table.Pick(Criteria{Service: "s", Tried: tried, Typical: typical}, now)
 	require.True(t, ok)
 	return choice
 }
 
 func TestTheNearReplicaIsPreferredUntilItsSlotsAreFull(t *testing.T) {
-	b := bookOfTwo()
+	table := tableOfTwo()
 	for range 3 {
-		require.Equal(t, "near", pick(t, b, 0).ID)
-		b.Sent(near, 0)
+		require.Equal(t, "near", pick(t, table, 0).ID)
+		table.Sent(near, 0)
 	}
-	b.Sent(near, 0)
-	require.Equal(t, "far", pick(t, b, 0).ID)
-	b.Ended(near)
-	b.Ended(near)
-	require.Equal(t, "near", pick(t, b, 0).ID)
+	table.Sent(near, 0)
+	require.Equal(t, "far", pick(t, table, 0).ID)
+	table.Ended(near)
+	table.Ended(near)
+	require.Equal(t, "near", pick(t, table, 0).ID)
 }
 
 func TestAnotherRegionIsTheLastChoice(t *testing.T) {
 	regions := map[string]string{"a": "north", "b": "south", "c": "north"}
-	b := NewTable("a", regions, func() float64 { return 0 })
-	b.Put(Replica{ID: "abroad", Service: "s", DataCentre: "b", Slots: 2})
-	b.Put(Replica{ID: "next door", Service: "s", DataCentre: "c", Slots: 2})
-	require.Equal(t, "next door", pick(t, b, 0).ID)
-	require.Equal(t, "abroad", pick(t, b, 0, "next door").ID)
+	table := NewTable("a", regions, func() float64 { return 0 })
+	table.Put(Replica{ID: "abroad", Service: "s", DataCentre: "b", Slots: 2})
+	table.Put(Replica{ID: "next door", Service: "s", DataCentre: "c", Slots: 2})
+	require.Equal(t, "next door", pick(t, table, 0).ID)
+	require.Equal(t, "abroad", pick(t, table, 0, "next door").ID)
 }
 
-// A replica pauses for 150 ms, as each does every few seconds. A question finds out
-// at its hedge; the ones that follow meet the pause again unless the first one's
-// finding is shared.
+// A replica pauses for 150 ms, as each does every few seconds. One query detects the pause when it hedges; the
+// following queries must use that observation instead of waiting themselves.
 func TestAnOverdueReplicaIsAvoidedUntilItAnswers(t *testing.T) {
-	b := bookOfTwo()
-	b.Overdue(near, time.Second)
-	require.Equal(t, "far", pick(t, b, time.Second).ID)
-	only := pick(t, b, time.Second, "far")
+	table := tableOfTwo()
+	table.Overdue(near, time.Second)
+	require.Equal(t, "far", pick(t, table, time.Second).ID)
+	only := pick(t, table, time.Second, "far")
 	require.True(t, only.Degraded, "a hedge must not go to it")
-	b.Answered(near, usual, usual, time.Second+150*time.Millisecond)
-	require.Equal(t, "near", pick(t, b, time.Second+150*time.Millisecond).ID)
+	table.Answered(near, typical, typical, time.Second+150*time.Millisecond)
+	require.Equal(t, "near", pick(t, table, time.Second+150*time.Millisecond).ID)
 }
 
-// A replica that is overdue dies and never answers. It must not be shunned for
-// ever by that alone, as it may have come back meanwhile.
-func TestAnOverdueMarkEnds(t *testing.T) {
-	b := bookOfTwo()
-	b.Overdue(near, time.Second)
-	require.Equal(t, "near", pick(t, b, time.Second+overdueLife).ID)
+// An overdue replica crashes and never answers. The mark must expire, since the replica may have recovered.
+func TestAnOverdueMarkExpires(t *testing.T) {
+	table := tableOfTwo()
+	table.Overdue(near, time.Second)
+	require.Equal(t, "near", pick(t, table, time.Second+overdueTTL).ID)
 }
 
-// A replica fails 40 in 100 of its requests while its health endpoint says all is
-// well. Requests must leave it by what they see themselves, and come back.
-func TestAReplicaThatFailsIsLeftAndTriedAgain(t *testing.T) {
-	b := bookOfTwo()
-	b.Failed(near, time.Second)
-	b.Answered(near, usual, usual, time.Second)
-	b.Failed(near, time.Second)
-	require.Equal(t, "far", pick(t, b, time.Second).ID)
-	require.Equal(t, "near", pick(t, b, 10*time.Second).ID)
+// A replica fails 40 % of its requests while its health endpoint reports it healthy. The outcomes of requests must
+// steer requests away from it, and it must be retried later.
+func TestAFailingReplicaIsAvoidedAndRetriedLater(t *testing.T) {
+	table := tableOfTwo()
+	table.Failed(near, time.Second)
+	table.Answered(near, typical, typical, time.Second)
+	table.Failed(near, time.Second)
+	require.Equal(t, "far", pick(t, table, time.Second).ID)
+	require.Equal(t, "near", pick(t, table, 10*time.Second).ID)
 }
 
-func TestASlowReplicaIsLeftAndTriedAgain(t *testing.T) {
-	b := bookOfTwo()
+func TestASlowReplicaIsAvoidedAndRetriedLater(t *testing.T) {
+	table := tableOfTwo()
 	for range 6 {
-		b.Answered(near, 8*usual, usual, time.Second)
+		table.Answered(near, 8*typical, typical, time.Second)
 	}
-	require.Equal(t, "far", pick(t, b, time.Second).ID)
-	require.Equal(t, "near", pick(t, b, 20*time.Second).ID)
+	require.Equal(t, "far", pick(t, table, time.Second).ID)
+	require.Equal(t, "near", pick(t, table, 20*time.Second).ID)
 }
 
-// A replica is gone and its address belongs to one of another service, which refuses each
-// request by its name. Refusals count as arrivals there; the registry still lists the old
-// replica for many seconds when the store is down.
+// A replica is gone and its address is in use by a replica of another service, which refuses each request for another
+// replica. Such refusals count as arrivals there, and while the store is down the registry still lists the old replica
+// for many seconds.
 func TestAReplicaWhoseAddressIsUsedAgainIsLeft(t *testing.T) {
-	b := bookOfTwo()
-	b.Misdirected(near)
-	require.Equal(t, "far", pick(t, b, time.Minute).ID)
-	_, ok := b.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: usual}, time.Minute)
+	table := tableOfTwo()
+	table.Misdirected(near)
+	require.Equal(t, "far", pick(t, table, time.Minute).ID)
+	_, ok := table.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: typical}, time.Minute)
 	require.False(t, ok)
-	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
-	_, ok = b.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: usual}, time.Minute)
-	require.False(t, ok, "the same entry again says nothing new")
-	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2, Address: "elsewhere"})
-	require.Equal(t, "near", pick(t, b, time.Minute).ID)
+	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
+	_, ok = table.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: typical}, time.Minute)
+	require.False(t, ok, "the same entry at the same address changes nothing")
+	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2, Address: "elsewhere"})
+	require.Equal(t, "near", pick(t, table, time.Minute).ID)
 }
 
-func TestDrainingReplicasGetNothing(t *testing.T) {
-	b := bookOfTwo()
-	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2, Draining: true})
-	require.Equal(t, "far", pick(t, b, 0).ID)
-	require.Equal(t, 1, b.CountUsable("s"))
-	_, ok := b.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: usual}, 0)
+func TestDrainingReplicasGetNoRequests(t *testing.T) {
+	table := tableOfTwo()
+	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2, Draining: true})
+	require.Equal(t, "far", pick(t, table, 0).ID)
+	require.Equal(t, 1, table.CountUsable("s"))
+	_, ok := table.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: typical}, 0)
 	require.False(t, ok)
 }
 
-// The registry is down and loses the entries of live replicas. They go on serving
-// for a while; an entry that then is back stays, one that is not is gone.
+// The registry fails and loses the entries of live replicas. They keep getting requests for a grace period; replicas
+// that are listed again within it stay, the others are removed.
 func TestALapsedReplicaServesOnForAWhile(t *testing.T) {
-	b := bookOfTwo()
-	b.Lapse("near", time.Second)
-	b.Lapse("far", time.Second)
-	require.Empty(t, b.Expire(2*time.Second, 2*time.Second))
-	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
-	require.Equal(t, []string{"far"}, b.Expire(2*time.Second, 3*time.Second))
-	require.Equal(t, "near", pick(t, b, 0).ID)
-	b.Remove("near")
-	_, ok := b.Pick(Criteria{Service: "s", Typical: usual}, 0)
+	table := tableOfTwo()
+	table.Lapse("near", time.Second)
+	table.Lapse("far", time.Second)
+	require.Empty(t, table.Expire(2*time.Second, 2*time.Second))
+	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
+	require.Equal(t, []string{"far"}, table.Expire(2*time.Second, 3*time.Second))
+	require.Equal(t, "near", pick(t, table, 0).ID)
+	table.Remove("near")
+	_, ok := table.Pick(Criteria{Service: "s", Typical: typical}, 0)
 	require.False(t, ok)
 }
 
-// What is expected of a replica decides whether a question is let in. It has to know a queue, a
-// silence that lasts, and slowness; and a replica that takes no connection is away for a moment only.
-func TestWhatIsExpectedOfAReplica(t *testing.T) {
-	b := NewTable("east", nil, func() float64 { return 0 })
-	b.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
-	require.Equal(t, usual, pick(t, b, 0).ExpectedLatency)
-	require.False(t, pick(t, b, 0).Busy)
+// The expected latency decides on early rejection of queries. It must account for queued requests, for time without an
+// answer and for slowness; a replica that accepts no connection counts as unreachable only for a short time.
+func TestExpectedLatencyOfAReplica(t *testing.T) {
+	table := NewTable("east", nil, func() float64 { return 0 })
+	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
+	require.Equal(t, typical, pick(t, table, 0).ExpectedLatency)
+	require.False(t, pick(t, table, 0).Busy)
 	for range 5 {
-		b.Sent(near, time.Second)
+		table.Sent(near, time.Second)
 	}
-	require.Equal(t, 3*usual, pick(t, b, time.Second).ExpectedLatency, "two rounds of two are ahead")
-	require.True(t, pick(t, b, time.Second).Busy)
-	require.Equal(t, 3*usual+90*time.Millisecond, pick(t, b, time.Second+100*time.Millisecond).ExpectedLatency, "nothing was heard for 90 ms more than usual")
-	b.Answered(near, usual, usual, time.Second+100*time.Millisecond)
-	require.Equal(t, 3*usual, pick(t, b, time.Second+100*time.Millisecond).ExpectedLatency)
-	b.Unreached(near, 2*time.Second)
-	require.True(t, pick(t, b, 2*time.Second).Unreachable)
-	require.False(t, pick(t, b, 2*time.Second+unreachedLife).Unreachable)
+	require.Equal(t, 3*typical, pick(t, table, time.Second).ExpectedLatency, "two rounds of two slots are ahead")
+	require.True(t, pick(t, table, time.Second).Busy)
+	require.Equal(t, 3*typical+90*time.Millisecond, pick(t, table, time.Second+100*time.Millisecond).ExpectedLatency, "no answer for 90 ms more than typical")
+	table.Answered(near, typical, typical, time.Second+100*time.Millisecond)
+	require.Equal(t, 3*typical, pick(t, table, time.Second+100*time.Millisecond).ExpectedLatency)
+	table.Unreached(near, 2*time.Second)
+	require.True(t, pick(t, table, 2*time.Second).Unreachable)
+	require.False(t, pick(t, table, 2*time.Second+unreachedTTL).Unreachable)
 }
--- a/internal/core/replica/seen.go
+++ b/internal/core/replica/seen.go
@@ -6,151 +6,148 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Sent notes that a request was sent to a replica.
-func (b *Table) Sent(life Incarnation, now core.Time) {
-	if known := b.of(life); known != nil {
-		if known.outstanding == 0 {
-			known.silentSince = now
+// Sent records that a request was sent to a replica.
+func (t *Table) Sent(incarnation Incarnation, now core.Time) {
+	if known := t.find(incarnation); known != nil {
+		if known.inFlight == 0 {
+			known.noAnswerSince = now
 		}
-		known.outstanding++
+		known.inFlight++
 	}
 }
 
-// Ended notes that a request to a replica came to its end, whatever that was.
-func (b *Table) Ended(life Incarnation) {
-	if known := b.of(life); known != nil {
-		known.outstanding = max(known.outstanding-1, 0)
+// Ended records that a request to a replica has ended, with any outcome.
+func (t *Table) Ended(incarnation Incarnation) {
+	if known := t.find(incarnation); known != nil {
+		known.inFlight = max(known.inFlight-1, 0)
 	}
 }
 
 // InFlight counts the requests that were sent and have not ended.
-func (b *Table) InFlight() int {
+func (t *Table) InFlight() int {
 	total := 0
-	for _, known := range b.byID {
-		total += known.outstanding
+	for _, known := range t.byID {
+		total += known.inFlight
 	}
 	return total
 }
 
-// maxSlowness bounds what one answer teaches: after a stall of a second a replica
-// is not to be shunned for half a minute.
+// maxSlowness bounds the effect of one answer on the slowness estimate, so that a replica is not avoided for
+// half a minute after a stall of one second.
 const maxSlowness = 10
 
-// Answered notes a whole answer. Usual is the route's usual answer time, 0 while
-// it is not known.
-func (b *Table) Answered(life Incarnation, took, usual time.Duration, now core.Time) {
-	known := b.of(life)
+// Answered records a complete answer. Typical is the route's typical latency, 0 while it is unknown.
+func (t *Table) Answered(incarnation Incarnation, took, typical time.Duration, now core.Time) {
+	known := t.find(incarnation)
 	if known == nil {
 		return
 	}
 	known.overdueAt = 0
-	known.silentSince = now
+	known.noAnswerSince = now
 	known.unreachedAt = 0
-	known.failures = known.failuresNow(now) * (1 - learning)
+	known.failures = known.failuresNow(now) * (1 - ewmaWeight)
 	known.failuresAt = now
-	known.refusals = known.refusalsNow(now) * (1 - learning)
+	known.refusals = known.refusalsNow(now) * (1 - ewmaWeight)
 	known.refusalsAt = now
-	if usual <= 0 {
+	if typical <= 0 {
 		return
 	}
-	b.notePause(known, took, usual, now)
-	ratio := min(float64(took)/float64(usual), maxSlowness)
-	known.slowness = known.slownessNow(now)*(1-learning) + ratio*learning
+	t.recordPause(known, took, typical, now)
+	ratio := min(float64(took)/float64(typical), maxSlowness)
+	known.slowness = known.slownessNow(now)*(1-ewmaWeight) + ratio*ewmaWeight
 	known.slownessAt = now
 }
 
-// Failed notes a request that brought no whole answer. Outcomes count, health
-// endpoints do not: those say "healthy" while requests fail, and the reverse.
-func (b *Table) Failed(life Incarnation, now core.Time) {
-	known := b.of(life)
+// Failed records a request without a complete answer. Replicas are judged by the outcomes of requests, not by
+// their health endpoints, which may report "healthy" while requests fail, and the reverse.
+func (t *Table) Failed(incarnation Incarnation, now core.Time) {
+	known := t.find(incarnation)
 	if known == nil {
 		return
 	}
-	known.failures = known.failuresNow(now)*(1-learning) + learning
+	known.failures = known.failuresNow(now)*(1-ewmaWeight) + ewmaWeight
 	known.failuresAt = now
 }
 
-// Unreached notes a replica that took no connection.
-func (b *Table) Unreached(life Incarnation, now core.Time) {
-	if known := b.of(life); known != nil {
+// Unreached records that a replica accepted no connection.
+func (t *Table) Unreached(incarnation Incarnation, now core.Time) {
+	if known := t.find(incarnation); known != nil {
 		known.failures = 1
 		known.unreachedAt = now
 		known.failuresAt = now
 	}
 }
 
-// Refused notes that a replica had no room for a request.
-func (b *Table) Refused(life Incarnation, now core.Time) {
-	if known := b.of(life); known != nil {
+// Refused records that a replica had no capacity for a request.
+func (t *Table) Refused(incarnation Incarnation, now core.Time) {
+	if known := t.find(incarnation); known != nil {
 		known.refusedAt = now
-		known.refusals = known.refusalsNow(now)*(1-learning) + learning
+		known.refusals = known.refusalsNow(now)*(1-ewmaWeight) + ewmaWeight
 		known.refusalsAt = now
 	}
 }
 
-// Misdirected notes that another replica answered at a replica's address. The replica is
-// gone, whatever the registry still lists, until it is listed at another address.
-func (b *Table) Misdirected(life Incarnation) {
-	if known := b.of(life); known != nil {
+// Misdirected records that another replica answered at a replica's address. The replica gets no requests, even if
+// the registry still lists it, until it is listed at another address.
+func (t *Table) Misdirected(incarnation Incarnation) {
+	if known := t.find(incarnation); known != nil {
 		known.misdirected = true
 	}
 }
 
-// Overdue notes that an answer takes longer than usual. Replicas pause for moments
-// that are several times a usual answer; the requests that follow within the pause
-// go elsewhere at once instead of each finding out by itself.
-func (b *Table) Overdue(life Incarnation, now core.Time) {
-	if known := b.of(life); known != nil && known.overdueAt == 0 || known != nil && !known.overdue(now) {
+// Overdue records that an answer takes longer than usual. Replicas pause for several times the typical latency;
+// requests that follow within the pause go elsewhere immediately instead of each waiting for its own hedge.
+func (t *Table) Overdue(incarnation Incarnation, now core.Time) {
+	if known := t.find(incarnation); known != nil && known.overdueAt == 0 || known != nil && !known.overdue(now) {
 		known.overdueAt = now
 	}
 }
 
-// Lapse notes that the registry no longer lists a replica, for a reason that may
-// be the registry's own: it keeps getting requests until Expire.
-func (b *Table) Lapse(id string, now core.Time) {
-	if known := b.byID[id]; known != nil && known.lapsedAt == 0 {
+// Lapse records that the registry no longer lists a replica, possibly because the registry lost the entry: the
+// replica keeps getting requests until Expire.
+func (t *Table) Lapse(id string, now core.Time) {
+	if known := t.byID[id]; known != nil && known.lapsedAt == 0 {
 		known.lapsedAt = max(now, 1)
 	}
 }
 
-// PredatesRemoval reports whether a report is none that a replica which is no longer listed could have made since it
-// left: a registry that came back from a copy lists replicas that are gone.
-func (b *Table) PredatesRemoval(listed Replica) bool {
-	last, gone := b.ended[listed.ID]
-	return gone && listed.Born == last.born && listed.Sequence <= last.sequence
+// PredatesRemoval reports whether a report is not newer than the last one before its replica was removed: a registry
+// that was restored from a copy lists replicas that have since left.
+func (t *Table) PredatesRemoval(listed Replica) bool {
+	last, removed := t.removed[listed.ID]
+	return removed && listed.Born == last.born && listed.Sequence <= last.sequence
 }
 
-// Suspect keeps requests from a replica that may have left, until ExpireSuspicions or a newer report of it.
-func (b *Table) Suspect(life Incarnation, now core.Time) {
-	if known := b.of(life); known != nil {
-		known.doubtedAt = max(now, 1)
+// Suspect withholds requests from a replica that may have left, until ExpireSuspicions or a newer report of it.
+func (t *Table) Suspect(incarnation Incarnation, now core.Time) {
+	if known := t.find(incarnation); known != nil {
+		known.suspectedAt = max(now, 1)
 	}
 }
 
-// ExpireSuspicions ends the doubts that began longer than the given time ago, and returns the replicas' ids: an entry
-// that is still listed then is renewed by somebody.
-func (b *Table) ExpireSuspicions(after time.Duration, now core.Time) []string {
-	var trusted []string
-	for id, known := range b.byID {
-		if known.doubtedAt > 0 && now-known.doubtedAt >= after {
-			known.doubtedAt = 0
-			trusted = append(trusted, id)
+// ExpireSuspicions ends the suspicions that began at least the given time ago and returns the replicas' ids: an entry
+// that is still listed by then is being renewed by its replica.
+func (t *Table) ExpireSuspicions(after time.Duration, now core.Time) []string {
+	var cleared []string
+	for id, known := range t.byID {
+		if known.suspectedAt > 0 && now-known.suspectedAt >= after {
+			known.suspectedAt = 0
+			cleared = append(cleared, id)
 		}
 	}
-	return trusted
+	return cleared
 }
 
-// Expire removes the replicas that lapsed longer than the given time ago and
-// returns their ids.
-func (b *Table) Expire(after time.Duration, now core.Time) []string {
-	var gone []string
-	for id, known := range b.byID {
+// Expire removes the replicas that lapsed at least the given time ago and returns their ids.
+func (t *Table) Expire(after time.Duration, now core.Time) []string {
+	var expired []string
+	for id, known := range t.byID {
 		if known.lapsedAt > 0 && now-known.lapsedAt >= after {
-			gone = append(gone, id)
+			expired = append(expired, id)
 		}
 	}
-	for _, id := range gone {
-		b.Remove(id)
+	for _, id := range expired {
+		t.Remove(id)
 	}
-	return gone
+	return expired
 }
--- a/internal/core/replica/state.go
+++ b/internal/core/replica/state.go
@@ -9,89 +9,88 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/pauses"
 )
 
-// Times after which what was seen of a replica no longer counts.
+// Half-lives and expiry times of observations of a replica.
 const (
-	// slownessLife is the time in which half of a measured slowness is forgotten
-	// while no answer comes: a replica that became fast again is then tried.
-	slownessLife = 3 * time.Second
-	// overdueLife bounds how long a request without an answer counts against a
-	// replica.
-	overdueLife = time.Second
-	// refusedLife is how long a refusal says that there is no room just now.
-	refusedLife = 100 * time.Millisecond
-	// refusalLife halves the share of requests that a replica refused: one that refuses at
-	// any load is tried again every few seconds.
-	refusalLife = 1500 * time.Millisecond
-	// unreachedLife is how long a replica that took no connection counts as away.
-	unreachedLife = 500 * time.Millisecond
-	// failureLife halves the rate of failures.
-	failureLife = 1500 * time.Millisecond
+	// slownessHalfLife halves the measured slowness while no answer arrives, so that a replica
+	// that has become fast again gets requests.
+	slownessHalfLife = 3 * time.Second
+	// overdueTTL bounds how long an overdue answer counts against a replica.
+	overdueTTL = time.Second
+	// refusedTTL is how long a replica counts as at capacity after a refusal.
+	refusedTTL = 100 * time.Millisecond
+	// refusalHalfLife halves the refusal rate, so that a replica that refuses at any load is
+	// retried every few seconds.
+	refusalHalfLife = 1500 * time.Millisecond
+	// unreachedTTL is how long a replica that accepted no connection counts as unreachable.
+	unreachedTTL = 500 * time.Millisecond
+	// failureHalfLife halves the failure rate.
+	failureHalfLife = 1500 * time.Millisecond
 )
 
-// learning is the weight of a new answer in a replica's slowness and failures.
-const learning = 0.25
+// ewmaWeight is the weight of a new observation in the moving averages of slowness, failures and refusals.
+const ewmaWeight = 0.25
 
-// state is what was seen of one replica.
+// state holds the registry data and the observations of one replica.
 type state struct {
 	Replica
-	outstanding int
-	// silentSince is since when requests are in work without an answer to any.
-	silentSince core.Time
-	// slowness is the mean of answer times over the usual one; 1 is usual.
+	inFlight int
+	// noAnswerSince is since when requests have been in flight without any answer.
+	noAnswerSince core.Time
+	// slowness is the moving average of latency relative to the typical latency; 1 is typical.
 	slowness   float64
 	slownessAt core.Time
-	// failures is the mean share of requests that failed.
+	// failures is the moving average of the share of requests that failed.
 	failures   float64
 	failuresAt core.Time
 	overdueAt  core.Time
-	// unreachedAt is when it last took no connection, 0 once it answers.
+	// unreachedAt is when it last accepted no connection, 0 once it answers.
 	unreachedAt core.Time
 	refusedAt   core.Time
-	// refusals is the mean share of requests that the replica refused.
+	// refusals is the moving average of the share of requests that the replica refused.
 	refusals   float64
 	refusalsAt core.Time
-	// misdirected is set when another replica was found at its address.
+	// misdirected is set when another replica answered at its address.
 	misdirected bool
-	// lapsedAt is when the registry lost the entry, 0 while it is listed.
+	// lapsedAt is when the registry ceased to list the replica, 0 while it is listed.
 	lapsedAt core.Time
-	// doubtedAt is since when the replica may have left although it is listed, 0 where it has not.
-	doubtedAt core.Time
-	// coldUntil is until when the replica is cold by its own report; cold counts what it gets.
+	// suspectedAt is since when a listed replica is suspected to have left, 0 if it is not suspected.
+	suspectedAt core.Time
+	// coldUntil is until when the replica is cold by its own report; cold counts its requests while it is cold.
 	coldUntil core.Time
 	cold      coldstart.Window
-	// pauses is when the replica stands still.
+	// pauses records the phase of the replica's regular pauses.
 	pauses pauses.Clock
 }
 
 func (s *state) slownessNow(now core.Time) float64 {
-	return 1 + (s.slowness-1)*halved(now-s.slownessAt, slownessLife)
+	return 1 + (s.slowness-1)*decay(now-s.slownessAt, slownessHalfLife)
 }
 
 func (s *state) failuresNow(now core.Time) float64 {
-	return s.failures * halved(now-s.failuresAt, failureLife)
+	return s.failures * decay(now-s.failuresAt, failureHalfLife)
 }
 
 func (s *state) refusalsNow(now core.Time) float64 {
-	return s.refusals * halved(now-s.refusalsAt, refusalLife)
+	return s.refusals * decay(now-s.refusalsAt, refusalHalfLife)
 }
 
-func halved(age, half time.Duration) float64 {
+func decay(age, half time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(half))
 }
 
 func (s *state) overdue(now core.Time) bool {
-	return s.overdueAt > 0 && now-s.overdueAt < overdueLife
+	return s.overdueAt > 0 && now-s.overdueAt < overdueTTL
 }
 
 func (s *state) unreachable(now core.Time) bool {
-	return s.unreachedAt > 0 && now-s.unreachedAt < unreachedLife
+	return s.unreachedAt > 0 && now-s.unreachedAt < unreachedTTL
 }
 
 func (s *state) refused(now core.Time) bool {
-	return s.refusedAt > 0 && now-s.refusedAt < refusedLife
+	return s.refusedAt > 0 && now-s.refusedAt < refusedTTL
 }
 
-func (s *state) doubtful(now core.Time) bool {
+func (s *state) degraded(now core.Time) bool {
 	const manyFailures = 0.5
 	return s.overdue(now) || s.refused(now) || s.failuresNow(now) > manyFailures
 }
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -41,7 +41,7 @@
 	{"requests run twice", "internal/core/outlook/plan.go", "MinParts: 1, Idempotent: route.Idempotent", "MinParts: 1, Idempotent: true"},
 	{"drains are passed over", "internal/edge/registry.go", "		listing = book.Put(listed)\n", "		listed.Draining = false\n		listing = book.Put(listed)\n"},
 	{"evacuations are passed over", "internal/edge/registry.go", "book.SetEvacuated(dataCentre, !item.Removed, now)", "book.SetEvacuated(dataCentre, false, now)"},
-	{"helpers send into an evacuated data centre", "internal/core/replica/place.go", "s.doubtedAt == 0 && !b.empties(s.DataCentre)", "s.doubtedAt == 0 && (b.dataCentre == s.DataCentre || !b.empties(s.DataCentre))"},
+	{"helpers send into an evacuated data centre", "internal/core/replica/place.go", "s.suspectedAt == 0 && !t.isEvacuated(s.DataCentre)", "s.suspectedAt == 0 && (t.dataCentre == s.DataCentre || !t.isEvacuated(s.DataCentre))"},
 	{"the first configuration stays", "internal/edge/registry.go", "	r.beliefs.config.Store(config)\n", "	if r.beliefs.config.Load() == nil {\n		r.beliefs.config.Store(config)\n	}\n"},
 	{"a stop cuts what is in work", "internal/edge/listen.go", "server.Shutdown(ctx)", "server.Close()"},
 	{"no bound on extra sends", "internal/core/extra/extra.go", "if float64(extras+1) > ", "if false && float64(extras+1) > "},
