--- a/internal/core/outlook/outlook.go
+++ b/internal/core/outlook/outlook.go
@@ -63,7 +63,7 @@
 
 // Pick implements scatter.Chooser.
 func (c chooser) Pick(service string, tried []string, now core.Time) (replica.Choice, bool) {
-	return c.outlook.Book.Pick(replica.Criteria{Service: service, Tried: tried, Regions: c.regions, Typical: c.usual}, now)
+	return c.outlook.Book.Pick(replica.Criteria{Service: service, Tried: tried, Regions: c.regions, TypicalLatency: c.usual}, now)
 }
 
 // TakeExtra implements scatter.Chooser.
--- a/internal/core/replica/choice.go
+++ b/internal/core/replica/choice.go
@@ -33,8 +33,8 @@
 	Tried []string
 	// Regions names the allowed regions; empty allows all.
 	Regions []string
-	// Typical is the route's typical latency, 0 if unknown.
-	Typical time.Duration
+	// TypicalLatency is the route's typical latency, 0 if unknown.
+	TypicalLatency time.Duration
 }
 
 // Choice is the replica chosen for a request.
@@ -61,7 +61,7 @@
 		if !t.usable(one) || slices.Contains(criteria.Tried, one.ID) || !t.inRegions(one, criteria.Regions) || !t.hasColdCapacity(one, now) {
 			continue
 		}
-		if cost := t.cost(one, criteria.Typical, now); cost < bestCost {
+		if cost := t.cost(one, criteria.TypicalLatency, now); cost < bestCost {
 			best, bestCost = one, cost
 		}
 	}
@@ -69,7 +69,7 @@
 		return Choice{}, false
 	}
 	t.countCold(best, now)
-	return Choice{Replica: best.Replica, Degraded: best.degraded(now) || t.expectsPause(best, criteria.Typical, now), Remote: best.DataCentre != t.dataCentre, ExpectedLatency: best.expectedLatency(criteria.Typical, now), Busy: best.inFlight > 0, Unreachable: best.unreachable(now)}, true
+	return Choice{Replica: best.Replica, Degraded: best.degraded(now) || t.expectsPause(best, criteria.TypicalLatency, now), Remote: best.DataCentre != t.dataCentre, ExpectedLatency: best.expectedLatency(criteria.TypicalLatency, now), Busy: best.inFlight > 0, Unreachable: best.unreachable(now)}, true
 }
 
 // cost estimates how long a request would take at a replica, in units of the typical latency.
--- a/internal/core/replica/place_test.go
+++ b/internal/core/replica/place_test.go
@@ -16,7 +16,7 @@
 func TestAnEvacuatedDataCentreIsNotChosen(t *testing.T) {
 	table := tableOfTwo()
 	require.True(t, table.SetEvacuated("east", true, time.Second))
-	require.False(t, table.SetEvacuated("east", true, time.Second), "unchanged")
+	require.False(t, table.SetEvacuated("east", true, time.Second), "already evacuated")
 	require.Equal(t, "far", pick(t, table, time.Second).ID)
 	_, ok := table.Pick(Criteria{Service: "s", Tried: []string{"far"}}, time.Second)
 	require.False(t, ok, "even if no other replica is left")
@@ -77,7 +77,7 @@
 func simulate(tables []*Table, from, until core.Time) (sent []core.Time) {
 	const step = time.Second / 1200
 	for i, now := 0, from; now < until; i, now = i+1, now+step {
-		choice, ok := tables[i%len(tables)].Pick(Criteria{Service: "s", Typical: typical}, now)
+		choice, ok := tables[i%len(tables)].Pick(Criteria{Service: "s", TypicalLatency: typical}, now)
 		if ok && choice.ID == "near" {
 			sent = append(sent, now)
 		}
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -22,7 +22,7 @@
 
 func pick(t *testing.T, table *Table, now core.Time, tried ...string) Choice {
 	t.Helper()
-	choice, ok := table.Pick(Criteria{Service: "s", Tried: tried, Typical: typical}, now)
+	choice, ok := table.Pick(Criteria{Service: "s", Tried: tried, TypicalLatency: typical}, now)
 	require.True(t, ok)
 	return choice
 }
@@ -95,10 +95,10 @@
 	table := tableOfTwo()
 	table.Misdirected(near)
 	require.Equal(t, "far", pick(t, table, time.Minute).ID)
-	_, ok := table.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: typical}, time.Minute)
+	_, ok := table.Pick(Criteria{Service: "s", Tried: []string{"far"}, TypicalLatency: typical}, time.Minute)
 	require.False(t, ok)
 	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2})
-	_, ok = table.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: typical}, time.Minute)
+	_, ok = table.Pick(Criteria{Service: "s", Tried: []string{"far"}, TypicalLatency: typical}, time.Minute)
 	require.False(t, ok, "the same entry at the same address changes nothing")
 	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2, Address: "elsewhere"})
 	require.Equal(t, "near", pick(t, table, time.Minute).ID)
@@ -109,7 +109,7 @@
 	table.Put(Replica{ID: "near", Service: "s", DataCentre: "east", Slots: 2, Draining: true})
 	require.Equal(t, "far", pick(t, table, 0).ID)
 	require.Equal(t, 1, table.CountUsable("s"))
-	_, ok := table.Pick(Criteria{Service: "s", Tried: []string{"far"}, Typical: typical}, 0)
+	_, ok := table.Pick(Criteria{Service: "s", Tried: []string{"far"}, TypicalLatency: typical}, 0)
 	require.False(t, ok)
 }
 
@@ -124,7 +124,7 @@
 	require.Equal(t, []string{"far"}, table.Expire(2*time.Second, 3*time.Second))
 	require.Equal(t, "near", pick(t, table, 0).ID)
 	table.Remove("near")
-	_, ok := table.Pick(Criteria{Service: "s", Typical: typical}, 0)
+	_, ok := table.Pick(Criteria{Service: "s", TypicalLatency: typical}, 0)
 	require.False(t, ok)
 }
 
--- a/internal/core/scatter/further.go
+++ b/internal/core/scatter/further.go
@@ -30,7 +30,7 @@
 		s.held = s.inFlight == 0
 		return
 	}
-	if m.shardSuspect(i) && (s.inFlight > 0 || s.closedAlone) {
+	if m.shardSuspect(i) && (s.inFlight > 0 || s.brokenAlone) {
 		m.withhold(i, Retry, MayEndReplicas)
 		s.failed = s.inFlight == 0
 		return
--- a/internal/core/scatter/scatter.go
+++ b/internal/core/scatter/scatter.go
@@ -81,9 +81,9 @@
 	inFlight int
 	part     int
 	failed   bool
-	// connectionClosed is set once a replica of the shard has closed the connection instead of answering,
-	// closedAlone once that has happened to a send with shardAlone set.
-	connectionClosed, closedAlone bool
+	// broken is set once a replica of the shard has closed the connection instead of answering,
+	// brokenAlone once that has happened to a send with shardAlone set.
+	broken, brokenAlone bool
 	// held is set while the next send to the shard waits for the first answer to the request.
 	held bool
 	// overdueCount counts how often sends of the service were found overdue.
@@ -104,13 +104,13 @@
 	sends    []send
 	result   Result
 	finished bool
-	// connectionClosed is set once a replica has closed the connection instead of answering, answered once one
-	// has answered, and closedAlone once the connection of a send with alone set was closed.
-	connectionClosed bool
-	answered         bool
-	closedAlone      bool
-	now              core.Time
-	actions          []Action
+	// broken is set once a replica has closed the connection instead of answering, answered once one
+	// has answered, and brokenAlone once the connection of a send with alone set was closed.
+	broken      bool
+	answered    bool
+	brokenAlone bool
+	now         core.Time
+	actions     []Action
 }
 
 // New returns the machine of one request.
--- a/internal/core/scatter/unproven.go
+++ b/internal/core/scatter/unproven.go
@@ -10,7 +10,7 @@
 // request has one within an answer time, usually from another shard; a harmful one crashes the replicas of its first
 // sends and one more.
 func (m *Machine) oneAtATime() bool {
-	return (m.plan.Suspect || m.connectionClosed) && !m.answered
+	return (m.plan.Suspect || m.broken) && !m.answered
 }
 
 // shardSuspect reports whether the request may crash the replicas of one shard: some of them have closed the connection
@@ -19,9 +19,7 @@
 //
 // This guards against retries and hedges crashing all replicas of one shard: oneAtATime does not limit the request once
 // another shard has answered it.
-func (m *Machine) shardSuspect(i int) bool {
-	return m.plan.SuspectShards[i] || m.services[i].connectionClosed
-}
+func (m *Machine) shardSuspect(i int) bool { return m.plan.SuspectShards[i] || m.services[i].broken }
 
 // mayEndAll reports whether a request over several shards has been answered by none of them yet. Its hedges wait for
 // the first answer: the hedges of a request that crashes replicas would crash the second replica of each shard before
@@ -35,11 +33,11 @@
 	case e.Verdict == Succeeded:
 		m.answered = true
 	case e.Verdict == Failed && e.Broken:
-		m.connectionClosed = true
+		m.broken = true
 		s := &m.services[one.service]
-		s.connectionClosed = true
-		s.closedAlone = s.closedAlone || one.shardAlone
-		m.closedAlone = m.closedAlone || one.alone
+		s.broken = true
+		s.brokenAlone = s.brokenAlone || one.shardAlone
+		m.brokenAlone = m.brokenAlone || one.alone
 	}
 }
 
@@ -53,7 +51,7 @@
 // sendHeld makes the held sends: all of them once the request has been answered, one when none is in flight.
 func (m *Machine) sendHeld() {
 	switch {
-	case m.closedAlone && !m.answered:
+	case m.brokenAlone && !m.answered:
 		m.dropHeld()
 	case !m.oneAtATime():
 		for i := range m.services {
--- a/internal/core/scatter/unproven_test.go
+++ b/internal/core/scatter/unproven_test.go
@@ -6,9 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func connectionClosed(send int) SendEnded {
-	return SendEnded{Send: send, Verdict: Failed, Broken: true}
-}
+func broken(send int) SendEnded { return SendEnded{Send: send, Verdict: Failed, Broken: true} }
 
 // A query crashes each replica that begins to run it. The first sends crash one replica of each shard and the next
 // send one more; the others survive.
@@ -17,12 +15,12 @@
 	m := New(gatherPlan(), chooser)
 	require.Len(t, sends(m.Step(0, Begin{})), 4)
 	for i := range 3 {
-		require.Empty(t, sends(m.Step(5*ms, connectionClosed(i))), "other sends are still in flight")
+		require.Empty(t, sends(m.Step(5*ms, broken(i))), "other sends are still in flight")
 	}
-	further := sends(m.Step(6*ms, connectionClosed(3)))
+	further := sends(m.Step(6*ms, broken(3)))
 	require.Len(t, further, 1)
 	require.True(t, further[0].Alone)
-	actions := m.Step(9*ms, connectionClosed(4))
+	actions := m.Step(9*ms, broken(4))
 	require.Empty(t, sends(actions))
 	result := finishResult(actions)
 	require.NotNil(t, result, "the request ends, since no further send is made")
@@ -33,12 +31,12 @@
 func TestACrashUnderAQueryThatOtherShardsAnswerIsRetried(t *testing.T) {
 	m := New(gatherPlan(), &fakeChooser{replicas: 2, budget: 9})
 	m.Step(0, Begin{})
-	require.Empty(t, sends(m.Step(5*ms, connectionClosed(0))))
+	require.Empty(t, sends(m.Step(5*ms, broken(0))))
 	further := sends(m.Step(6*ms, succeeded(1)))
 	require.Len(t, further, 1)
 	require.Equal(t, "a", m.plan.Services[further[0].Service])
 	require.False(t, further[0].Alone)
-	require.Len(t, sends(m.Step(7*ms, connectionClosed(2))), 1, "later crashes are retried immediately")
+	require.Len(t, sends(m.Step(7*ms, broken(2))), 1, "later crashes are retried immediately")
 }
 
 // All replicas of a query's first sends crash for an unrelated reason, such as the loss of their data centre. One
@@ -47,7 +45,7 @@
 	m := New(gatherPlan(), &fakeChooser{replicas: 2, budget: 9})
 	m.Step(0, Begin{})
 	for i := range 4 {
-		m.Step(5*ms, connectionClosed(i))
+		m.Step(5*ms, broken(i))
 	}
 	require.Len(t, sends(m.Step(9*ms, succeeded(4))), 3)
 }
@@ -97,8 +95,8 @@
 	plan.MaxReplicas = 5
 	m := New(plan, &fakeChooser{replicas: 5, budget: 9})
 	m.Step(0, Begin{})
-	require.Len(t, sends(m.Step(5*ms, connectionClosed(0))), 1)
-	actions := m.Step(9*ms, connectionClosed(1))
+	require.Len(t, sends(m.Step(5*ms, broken(0))), 1)
+	actions := m.Step(9*ms, broken(1))
 	require.Empty(t, sends(actions))
 	require.NotNil(t, finishResult(actions))
 }
@@ -108,11 +106,11 @@
 func TestARequestThatEndsTheReplicasOfOneShardIsAnsweredWithoutIt(t *testing.T) {
 	m := New(gatherPlan(), &fakeChooser{replicas: 3, budget: 9})
 	m.Step(0, Begin{})
-	m.Step(5*ms, connectionClosed(0))
+	m.Step(5*ms, broken(0))
 	further := sends(m.Step(6*ms, succeeded(1)))
 	require.Len(t, further, 1)
 	require.True(t, further[0].ShardAlone)
-	require.Empty(t, sends(m.Step(7*ms, connectionClosed(4))), "the only send in flight at the shard failed")
+	require.Empty(t, sends(m.Step(7*ms, broken(4))), "the only send in flight at the shard failed")
 	m.Step(8*ms, succeeded(2))
 	result := finishResult(m.Step(8*ms, succeeded(3)))
 	require.NotNil(t, result)
@@ -136,7 +134,7 @@
 			require.NotZero(t, one.Service, "the suspect shard is not hedged")
 		}
 	}
-	require.Empty(t, sends(m.Step(400*ms, connectionClosed(0))))
+	require.Empty(t, sends(m.Step(400*ms, broken(0))))
 }
 
 // Guards against sending a request to a shard where it is set aside.
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -59,7 +59,7 @@
 	{"the era is not passed to other nodes", "internal/mirror/peers.go", "Delta{Era: reply.GetEra(), ", "Delta{"},
 	{"deadly requests are not told to other nodes", "internal/quarantine/share.go", "if record, ok := decode(one, now); ok {", "if record, ok := decode(one, now); ok && false {"},
 	{"deadly requests are known by their ids", "internal/edge/quarantine.go", "Host: q.template.Host, Path: path, ", "Host: q.template.Host + q.id, Path: path + q.id, "},
-	{"deadly requests are known by each send", "internal/core/scatter/unproven.go", "return (m.plan.Suspect || m.connectionClosed) && !m.answered", "return m.connectionClosed && !m.answered && false"},
+	{"deadly requests are known by each send", "internal/core/scatter/unproven.go", "return (m.plan.Suspect || m.broken) && !m.answered", "return m.broken && !m.answered && false"},
 	{"bodies do not tell requests apart", "internal/core/quarantine/key.go", "	digest.Write(body)\n", "	digest.Write(body[:0])\n"},
 	{"an outage of the store takes the configuration away", "internal/edge/registry.go", "	r.log.Life(\"dependency_lost\"", "	r.beliefs.config.Store(nil)\n	r.log.Life(\"dependency_lost\""},
 }
