--- a/internal/core/outlook/outlook.go
+++ b/internal/core/outlook/outlook.go
@@ -15,7 +15,7 @@
 
 // Outlook holds the expectations of one node. It is not safe for concurrent use.
 type Outlook struct {
-	Book     *replica.Table
+	Replicas *replica.Table
 	Budget   *extra.Budget
 	splitter *policy.Splitter
 	routes   map[string]*routeTimes
@@ -25,7 +25,7 @@
 // between replicas.
 func New(dataCentre string, regions map[string]string, bound extra.Bound, random func() float64) *Outlook {
 	return &Outlook{
-		Book:     replica.NewTable(dataCentre, regions, random),
+		Replicas: replica.NewTable(dataCentre, regions, random),
 		Budget:   extra.New(bound),
 		splitter: policy.NewSplitter(),
 		routes:   map[string]*routeTimes{},
@@ -63,7 +63,7 @@
 
 // Pick implements scatter.Chooser.
 func (c chooser) Pick(service string, tried []string, now core.Time) (replica.Choice, bool) {
-	return c.outlook.Book.Pick(replica.Criteria{Service: service, Tried: tried, Regions: c.regions, TypicalLatency: c.usual}, now)
+	return c.outlook.Replicas.Pick(replica.Criteria{Service: service, Tried: tried, Regions: c.regions, TypicalLatency: c.usual}, now)
 }
 
 // TakeExtra implements scatter.Chooser.
@@ -85,12 +85,12 @@
 	times := o.times(route)
 	usual, _ := times.answers.Quantile(usualQuantile)
 	times.answers.Record(took)
-	o.Book.Answered(life, took, usual, now)
+	o.Replicas.Answered(life, took, usual, now)
 }
 
 // AnsweredLate learns from an answer that nobody waited for any more. It says how fast the
 // replica is, but not how long answers take that are waited for.
 func (o *Outlook) AnsweredLate(route *policy.Route, life replica.Incarnation, took time.Duration, now core.Time) {
 	usual, _ := o.times(route).answers.Quantile(usualQuantile)
-	o.Book.Answered(life, took, usual, now)
+	o.Replicas.Answered(life, took, usual, now)
 }
--- a/internal/core/outlook/outlook_test.go
+++ b/internal/core/outlook/outlook_test.go
@@ -15,9 +15,9 @@
 
 const ms = time.Millisecond
 
-func gathered(aim time.Duration) Ask {
+func gathered(aim time.Duration) Request {
 	route := &policy.Route{Name: "all", Idempotent: true, Aim: aim, MaxReplicas: 2, Gather: &policy.Gather{Shards: []string{"a", "b"}, LeastCoverage: 0.5}}
-	return Ask{Route: route, Services: route.Gather.Shards, Wait: time.Second, Way: 9 * ms}
+	return Request{Route: route, Services: route.Gather.Shards, MaxWait: time.Second, TransitTime: 9 * ms}
 }
 
 func learnt(route *policy.Route, took time.Duration) *Outlook {
@@ -42,9 +42,9 @@
 func TestTheTimeThatEarlierTriesTookCounts(t *testing.T) {
 	ask := gathered(60 * ms)
 	o := learnt(ask.Route, 10*ms)
-	ask.Left = 300 * ms
+	ask.RemainingTime = 300 * ms
 	require.Equal(t, 51*ms, o.Plan(ask).PartialAt)
-	ask.Left = 280 * ms
+	ask.RemainingTime = 280 * ms
 	require.Equal(t, 31*ms, o.Plan(ask).PartialAt)
 }
 
@@ -52,7 +52,7 @@
 	ask := gathered(60 * ms)
 	o := learnt(ask.Route, 10*ms)
 	require.Equal(t, 2, o.ExcerptParts(ask.Route, 0))
-	o.Skewed(ask.Route, time.Second)
+	o.RecordSkew(ask.Route, time.Second)
 	require.Zero(t, o.ExcerptParts(ask.Route, 2*time.Second))
 	require.Equal(t, 2, o.ExcerptParts(ask.Route, time.Second+skewLife))
 }
@@ -69,7 +69,7 @@
 				name := strconv.Itoa(shard)
 				ask.Route.Gather.Shards = append(ask.Route.Gather.Shards, name)
 				for _, dataCentre := range []string{"east", "west", "south"} {
-					o.Book.Put(replica.Replica{ID: name + dataCentre, Service: name, DataCentre: dataCentre, Slots: 2})
+					o.Replicas.Put(replica.Replica{ID: name + dataCentre, Service: name, DataCentre: dataCentre, Slots: 2})
 				}
 			}
 			ask.Services = ask.Route.Gather.Shards
--- a/internal/core/outlook/plan.go
+++ b/internal/core/outlook/plan.go
@@ -53,8 +53,8 @@
 	return len(route.Gather.Shards)
 }
 
-// Skewed notes that a shortened excerpt lacked records.
-func (o *Outlook) Skewed(route *policy.Route, now core.Time) {
+// RecordSkew notes that a shortened excerpt lacked records.
+func (o *Outlook) RecordSkew(route *policy.Route, now core.Time) {
 	o.times(route).skewedUntil = now + skewLife
 }
 
@@ -70,25 +70,25 @@
 	return known
 }
 
-// Ask is a request that is to be planned.
-type Ask struct {
+// Request is a request that is to be planned.
+type Request struct {
 	Route    *policy.Route
 	Services []string
 	Arrived  core.Time
-	// Wait is how long the caller is kept waiting at most.
-	Wait time.Duration
-	// Left is how long the caller will wait, 0 where it does not say.
-	Left time.Duration
-	// Way is how long the answer takes to the caller and the request took from there.
-	Way time.Duration
+	// MaxWait is how long the caller is kept waiting at most.
+	MaxWait time.Duration
+	// RemainingTime is how long the caller will wait, 0 where it does not say.
+	RemainingTime time.Duration
+	// TransitTime is how long the answer takes to the caller and the request took from there.
+	TransitTime time.Duration
 }
 
 // Plan says what a request needs, and when to do what about it.
-func (o *Outlook) Plan(ask Ask) scatter.Plan {
+func (o *Outlook) Plan(ask Request) scatter.Plan {
 	route := ask.Route
 	plan := scatter.Plan{
 		Services: ask.Services, MinParts: 1, Idempotent: route.Idempotent, MaxReplicas: route.MaxReplicas,
-		Deadline: ask.Arrived + ask.Wait,
+		Deadline: ask.Arrived + ask.MaxWait,
 	}
 	times := o.times(route)
 	usual, known := times.answers.Quantile(usualQuantile)
@@ -98,7 +98,7 @@
 	}
 	if route.Gather != nil {
 		plan.MinParts = route.Gather.Least()
-		plan.TargetLatency = attainable(route.Aim-ask.Way, usual, known)
+		plan.TargetLatency = attainable(route.Aim-ask.TransitTime, usual, known)
 		plan.PartialAt = ask.Arrived + o.partialAfter(ask)
 	}
 	return plan
@@ -138,20 +138,20 @@
 // partialAfter is when the least coverage is enough: just in time for the answer to
 // reach the caller within the route's aim. A part that is missing costs the caller
 // less than an answer that comes late.
-func (o *Outlook) partialAfter(ask Ask) time.Duration {
+func (o *Outlook) partialAfter(ask Request) time.Duration {
 	if ask.Route.Aim <= 0 {
-		return ask.Wait
+		return ask.MaxWait
 	}
-	return max(ask.Route.Aim-ask.Way-o.spent(ask), 0)
+	return max(ask.Route.Aim-ask.TransitTime-o.spent(ask), 0)
 }
 
 // spent estimates how long a caller has been waiting, over all its tries, from the
 // time that it has left: a first try has the most.
-func (o *Outlook) spent(ask Ask) time.Duration {
-	if ask.Left <= 0 {
+func (o *Outlook) spent(ask Request) time.Duration {
+	if ask.RemainingTime <= 0 {
 		return 0
 	}
 	times := o.times(ask.Route)
-	times.longest = max(times.longest, ask.Left)
-	return times.longest - ask.Left
+	times.longest = max(times.longest, ask.RemainingTime)
+	return times.longest - ask.RemainingTime
 }
--- a/internal/edge/beliefs.go
+++ b/internal/edge/beliefs.go
@@ -29,7 +29,7 @@
 }
 
 // plan names the services of a request and plans it; no service is an empty list.
-func (b *beliefs) plan(ask outlook.Ask) scatter.Plan {
+func (b *beliefs) plan(ask outlook.Request) scatter.Plan {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	ask.Services = b.outlook.Services(ask.Route, ask.Arrived)
@@ -93,19 +93,19 @@
 func (b *beliefs) skewed(route *policy.Route) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.outlook.Skewed(route, b.now())
+	b.outlook.RecordSkew(route, b.now())
 }
 
 // pauseAge tells how long ago a pause of a replica ended that this node knows of.
 func (b *beliefs) pauseAge(life replica.Incarnation) (time.Duration, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.outlook.Book.PauseAge(life, b.now())
+	return b.outlook.Replicas.PauseAge(life, b.now())
 }
 
 // note changes the book under the mutex.
 func (b *beliefs) note(change func(book *replica.Table, now core.Time)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	change(b.outlook.Book, b.now())
+	change(b.outlook.Replicas, b.now())
 }
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -165,7 +165,7 @@
 	counts := map[string]int{}
 	n.beliefs.mutex.Lock()
 	defer n.beliefs.mutex.Unlock()
-	n.beliefs.outlook.Book.Each(func(one replica.Replica) {
+	n.beliefs.outlook.Replicas.Each(func(one replica.Replica) {
 		if gathered[one.Service] && !one.Draining {
 			counts[one.DataCentre]++
 		}
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -150,7 +150,7 @@
 	if firstOnConnection(r.Context()) {
 		way = firstOnTheWay
 	}
-	q.plan = n.beliefs.plan(outlook.Ask{Route: route, Arrived: q.arrived, Wait: n.patience(r, route), Left: left, Way: way})
+	q.plan = n.beliefs.plan(outlook.Request{Route: route, Arrived: q.arrived, MaxWait: n.patience(r, route), RemainingTime: left, TransitTime: way})
 	q.services = q.plan.Services
 	q.names = sync.OnceValue(func() quarantine.Names { return q.identity().Names() })
 	q.assess()
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -300,8 +300,8 @@
 	}
 	n.beliefs.mutex.Lock()
 	defer n.beliefs.mutex.Unlock()
-	n.beliefs.outlook.Book.SetColdBounds(bounds)
-	n.beliefs.outlook.Budget.Forget(func(service string) bool { return n.beliefs.outlook.Book.CountUsable(service) > 0 }, n.now())
+	n.beliefs.outlook.Replicas.SetColdBounds(bounds)
+	n.beliefs.outlook.Budget.Forget(func(service string) bool { return n.beliefs.outlook.Replicas.CountUsable(service) > 0 }, n.now())
 }
 
 // housekeeping is how often beliefs that age are looked at.
@@ -332,7 +332,7 @@
 	n.replicas.Forget(func(life replica.Incarnation) bool {
 		n.beliefs.mutex.Lock()
 		defer n.beliefs.mutex.Unlock()
-		return n.beliefs.outlook.Book.IsUsable(life)
+		return n.beliefs.outlook.Replicas.IsUsable(life)
 	})
 }
 
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -50,9 +50,9 @@
 		bound.Ratio, bound.Allowance = 1000, 1000
 	}
 	n := &node{world: w, place: place, outlook: outlook.New(place.Name, nil, bound, w.random.Float64), pools: map[*upstream]*pool{}}
-	n.outlook.Book.Pauses.Off = w.options.without(Pauses)
+	n.outlook.Replicas.Pauses.Off = w.options.without(Pauses)
 	for _, u := range w.upstreams {
-		n.outlook.Book.Put(u.entry)
+		n.outlook.Replicas.Put(u.entry)
 		n.pools[u] = &pool{free: w.connections(place.Name, u.entry.DataCentre)}
 	}
 	return n
@@ -89,7 +89,7 @@
 func (n *node) ask(kind Kind, left time.Duration, done func(scatter.Result)) {
 	route := n.world.route(kind)
 	now := n.world.clock.now
-	plan := n.outlook.Plan(outlook.Ask{Route: route, Services: n.outlook.Services(route, now), Arrived: now, Wait: left, Left: left, Way: onTheWay})
+	plan := n.outlook.Plan(outlook.Request{Route: route, Services: n.outlook.Services(route, now), Arrived: now, MaxWait: left, RemainingTime: left, TransitTime: onTheWay})
 	n.world.options.change(&plan)
 	q := &request{node: n, kind: kind, route: route, plan: plan, done: done}
 	var chooser scatter.Chooser = unexpecting{Chooser: n.outlook.Chooser(route), early: n.world.options.without(Early), reach: n.world.options.without(Reach)}
@@ -114,7 +114,7 @@
 		case scatter.SendOverdue:
 			one := q.transfers[a.Send]
 			if !w.options.without(Overdue) {
-				q.node.outlook.Book.Overdue(one.send.Replica.Incarnation(), w.clock.now)
+				q.node.outlook.Replicas.Overdue(one.send.Replica.Incarnation(), w.clock.now)
 			}
 		case scatter.Wake:
 			q.ticks++
@@ -161,7 +161,7 @@
 			one.via = helper
 		}
 	}
-	n.outlook.Book.Sent(a.Replica.Incarnation(), n.world.clock.now)
+	n.outlook.Replicas.Sent(a.Replica.Incarnation(), n.world.clock.now)
 	p := one.via.pools[one.to]
 	if p.free > 0 {
 		p.free--
@@ -205,7 +205,7 @@
 		}
 		return
 	}
-	book := q.node.outlook.Book
+	book := q.node.outlook.Replicas
 	book.Ended(life)
 	switch verdict {
 	case scatter.Succeeded:
@@ -236,8 +236,8 @@
 	if verdict == scatter.Succeeded {
 		t.via.outlook.AnsweredLate(q.route, life, took-2*(farWay-nearWay), now)
 	}
-	if age, known := t.via.outlook.Book.PauseAge(life, now); known {
-		q.node.outlook.Book.ReceivePause(life, age, now)
+	if age, known := t.via.outlook.Replicas.PauseAge(life, now); known {
+		q.node.outlook.Replicas.ReceivePause(life, age, now)
 	}
 }
 
@@ -249,7 +249,7 @@
 	}
 	t.withdrawn = true
 	n := t.request.node
-	n.outlook.Book.Ended(t.send.Replica.Incarnation())
+	n.outlook.Replicas.Ended(t.send.Replica.Incarnation())
 	p := t.via.pools[t.to]
 	if i := slices.Index(p.waiting, t); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -148,7 +148,7 @@
 			near = one.Nodes
 		}
 	}
-	return outlook.Connections(w.pattern.Connections, w.nodeCount(), near, place == of)
+	return outlook.MaxConnections(w.pattern.Connections, w.nodeCount(), near, place == of)
 }
 
 // helper takes the nodes of a data centre in turn.
@@ -195,7 +195,7 @@
 		w.clock.after(forgottenAfter, func() {
 			for _, n := range w.nodes {
 				if u.down {
-					n.outlook.Book.Remove(u.entry.ID)
+					n.outlook.Replicas.Remove(u.entry.ID)
 				}
 			}
 		})
@@ -215,7 +215,7 @@
 		u.slow *= restartSlow
 		w.clock.after(restartFor, func() { u.slow /= restartSlow })
 		for _, n := range w.nodes {
-			n.outlook.Book.Put(u.entry)
+			n.outlook.Replicas.Put(u.entry)
 		}
 	}
 }
