--- a/internal/core/pauses/pauses.go
+++ b/internal/core/pauses/pauses.go
@@ -46,12 +46,12 @@
 	mostLength = 4
 )
 
-// Rhythm is what the pauses of all replicas have in common. The zero value knows nothing. It is not
+// Estimator is what the pauses of all replicas have in common. The zero value knows nothing. It is not
 // safe for concurrent use.
-type Rhythm struct {
-	// Off expects nothing, to compare with.
-	Off    bool
-	counts [buckets]uint16
+type Estimator struct {
+	// Disabled expects nothing, to compare with.
+	Disabled bool
+	counts   [buckets]uint16
 	// offsets are how far into their buckets the counted intervals lie, added up.
 	offsets [buckets]time.Duration
 	total   int
@@ -60,14 +60,14 @@
 	lasts   time.Duration
 }
 
-// Clock is when one replica pauses. The zero value knows nothing.
-type Clock struct {
+// Phase is when one replica pauses. The zero value knows nothing.
+type Phase struct {
 	// end is when a pause ended, stray when one ended that does not fit it; 0 is not known.
 	end, stray core.Time
 }
 
-// Seen notes a request that stood for a time until the replica's pause ended.
-func (r *Rhythm) Seen(c *Clock, end core.Time, stood time.Duration) {
+// Observe notes a request that stood for a time until the replica's pause ended.
+func (r *Estimator) Observe(c *Phase, end core.Time, stood time.Duration) {
 	if c.end > 0 && end-c.end < sameWithin {
 		// The first answer after a pause tells its end best: others queue behind it.
 		if c.end-end < sameWithin {
@@ -88,7 +88,7 @@
 
 // take moves a clock to a pause that was seen. One that does not fit the former is believed when it is
 // seen a second time: a single long answer may have another cause.
-func (c *Clock) take(end core.Time, every time.Duration) {
+func (c *Phase) take(end core.Time, every time.Duration) {
 	switch {
 	case every == 0 || c.end == 0 || fits(end-c.end, every) || end-c.end > lastsFor*every:
 		c.end, c.stray = end, 0
@@ -105,7 +105,7 @@
 	return min(off, every-off) <= 2*margin
 }
 
-func (r *Rhythm) count(gap time.Duration) {
+func (r *Estimator) count(gap time.Duration) {
 	if gap < leastInterval || gap >= mostInterval {
 		return
 	}
@@ -126,7 +126,7 @@
 }
 
 // look finds the interval that stands out, the shortest where several do alike.
-func (r *Rhythm) look() {
+func (r *Estimator) look() {
 	best, most := -1, 0
 	for i := spread; i < buckets-spread; i++ {
 		near := 0
@@ -151,7 +151,7 @@
 
 // middle is the mean interval of the buckets around one. It is exact: eight intervals on, an expectation
 // is off by eight times its error.
-func (r *Rhythm) middle(best int) time.Duration {
+func (r *Estimator) middle(best int) time.Duration {
 	sum, count := time.Duration(0), time.Duration(0)
 	for j := best - spread; j <= best+spread; j++ {
 		sum += time.Duration(r.counts[j])*(leastInterval+time.Duration(j)*bucket) + r.offsets[j]
@@ -161,11 +161,11 @@
 }
 
 // Interval is the time from one pause to the next and how long one lasts; 0 while none stands out.
-func (r *Rhythm) Interval() (every, lasts time.Duration) { return r.every, r.lasts }
+func (r *Estimator) Interval() (every, lasts time.Duration) { return r.every, r.lasts }
 
-// Pausing reports whether work of a length that comes to a replica now would probably meet its pause.
-func (r *Rhythm) Pausing(c *Clock, work time.Duration, now core.Time) bool {
-	if r.Off || r.every == 0 || c.end == 0 || now-c.end > lastsFor*r.every {
+// ExpectsPause reports whether work of a length that comes to a replica now would probably meet its pause.
+func (r *Estimator) ExpectsPause(c *Phase, work time.Duration, now core.Time) bool {
+	if r.Disabled || r.every == 0 || c.end == 0 || now-c.end > lastsFor*r.every {
 		return false
 	}
 	since := (now - c.end) % r.every
@@ -173,10 +173,10 @@
 }
 
 // Age is how long ago a pause of a replica ended; false where none is known.
-func (c *Clock) Age(now core.Time) (time.Duration, bool) { return now - c.end, c.end > 0 }
+func (c *Phase) Age(now core.Time) (time.Duration, bool) { return now - c.end, c.end > 0 }
 
-// Heard takes the age of a pause that another node saw, unless a later one is known here.
-func (r *Rhythm) Heard(c *Clock, age time.Duration, now core.Time) {
+// ObserveRemote takes the age of a pause that another node saw, unless a later one is known here.
+func (r *Estimator) ObserveRemote(c *Phase, age time.Duration, now core.Time) {
 	end := now - age
 	if end <= c.end+sameWithin {
 		return
--- a/internal/core/pauses/pauses_test.go
+++ b/internal/core/pauses/pauses_test.go
@@ -19,7 +19,7 @@
 // machine is a replica that pauses at its own phase.
 type machine struct {
 	phase time.Duration
-	clock Clock
+	clock Phase
 	// waiting are the requests that stand until the pause is over.
 	waiting []seen
 }
@@ -31,9 +31,9 @@
 }
 
 // tell lets the requests that stood end.
-func (m *machine) tell(r *Rhythm, now core.Time) {
+func (m *machine) tell(r *Estimator, now core.Time) {
 	for len(m.waiting) > 0 && m.waiting[0].end <= now {
-		r.Seen(&m.clock, m.waiting[0].end, m.waiting[0].stood)
+		r.Observe(&m.clock, m.waiting[0].end, m.waiting[0].stood)
 		m.waiting = m.waiting[1:]
 	}
 }
@@ -45,7 +45,7 @@
 
 // watch lets requests come to machines at random, so many a second to each, and tells the rhythm those
 // that stood. It returns how many came into a pause, and how many of them were expected to.
-func watch(r *Rhythm, machines []*machine, random *rand.Rand, from, until core.Time, perSecond float64) (met, expected int) {
+func watch(r *Estimator, machines []*machine, random *rand.Rand, from, until core.Time, perSecond float64) (met, expected int) {
 	const step = 5 * time.Millisecond
 	for now := from; now < until; now += step {
 		for _, m := range machines {
@@ -56,7 +56,7 @@
 			stood := m.paused(now)
 			if stood > 0 {
 				met++
-				if r.Pausing(&m.clock, work, now) {
+				if r.ExpectsPause(&m.clock, work, now) {
 					expected++
 				}
 			}
@@ -78,10 +78,10 @@
 }
 
 // learnt is a rhythm after half a minute of regular pauses, and the interval that it found.
-func learnt(t testing.TB, seed uint64) (*Rhythm, time.Duration) {
+func learnt(t testing.TB, seed uint64) (*Estimator, time.Duration) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, seed))
-	var r Rhythm
+	var r Estimator
 	watch(&r, machines(random, 90), random, 0, 30*time.Second, 2)
 	interval, _ := r.Interval()
 	require.NotZero(t, interval)
@@ -94,7 +94,7 @@
 // Pattern: regular pauses under a light load of each replica.
 func TestRegularPausesAreExpected(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	var r Rhythm
+	var r Estimator
 	all := machines(random, 90)
 	watch(&r, all, random, 0, 15*time.Second, 2)
 	got, lasts := r.Interval()
@@ -106,7 +106,7 @@
 
 func TestAWorkingReplicaIsSeldomExpectedToPause(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
-	var r Rhythm
+	var r Estimator
 	all := machines(random, 90)
 	watch(&r, all, random, 0, 20*time.Second, 2)
 	wrong, asked := 0, 0
@@ -114,7 +114,7 @@
 		for _, m := range all {
 			if m.paused(now) == 0 && m.paused(now+work) == 0 {
 				asked++
-				if r.Pausing(&m.clock, work, now) {
+				if r.ExpectsPause(&m.clock, work, now) {
 					wrong++
 				}
 			}
@@ -127,12 +127,12 @@
 // them would send requests away from replicas that work.
 func TestNothingIsExpectedOfRandomDelays(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
-	var r Rhythm
-	clocks := make([]Clock, 90)
+	var r Estimator
+	clocks := make([]Phase, 90)
 	for now := core.Time(0); now < 120*time.Second; now += 10 * time.Millisecond {
 		for i := range clocks {
 			if random.Float64() < 0.004 {
-				r.Seen(&clocks[i], now, time.Duration(50+random.IntN(200))*time.Millisecond)
+				r.Observe(&clocks[i], now, time.Duration(50+random.IntN(200))*time.Millisecond)
 			}
 		}
 		got, _ := r.Interval()
@@ -145,10 +145,10 @@
 func TestHangingRequestsDoNotStretchThePauses(t *testing.T) {
 	random := rand.New(rand.NewPCG(8, 8))
 	r, _ := learnt(t, 8)
-	clocks := make([]Clock, 90)
+	clocks := make([]Phase, 90)
 	for i := range 180 {
 		end := 31*time.Second + time.Duration(i/90*9000+random.IntN(8000))*time.Millisecond
-		r.Seen(&clocks[i%90], end, 900*time.Millisecond)
+		r.Observe(&clocks[i%90], end, 900*time.Millisecond)
 	}
 	_, lasts := r.Interval()
 	require.Less(t, lasts, 2*length)
@@ -158,57 +158,57 @@
 // cause must not move the expectation, a second one at the same phase must.
 func TestAMovedPauseIsBelievedWhenItIsSeenAgain(t *testing.T) {
 	r, interval := learnt(t, 4)
-	var c Clock
+	var c Phase
 	first := 31 * time.Second
-	r.Seen(&c, first, length)
+	r.Observe(&c, first, length)
 	at := func(end core.Time) core.Time { return end + interval - length/2 }
-	require.True(t, r.Pausing(&c, work, at(first)))
+	require.True(t, r.ExpectsPause(&c, work, at(first)))
 	stray := first + 2*time.Second
-	r.Seen(&c, stray, length)
-	require.True(t, r.Pausing(&c, work, at(first)))
-	require.False(t, r.Pausing(&c, work, at(stray)))
-	r.Seen(&c, stray+interval, length)
-	require.True(t, r.Pausing(&c, work, at(stray+interval)))
-	require.False(t, r.Pausing(&c, work, first+2*interval-length/2))
+	r.Observe(&c, stray, length)
+	require.True(t, r.ExpectsPause(&c, work, at(first)))
+	require.False(t, r.ExpectsPause(&c, work, at(stray)))
+	r.Observe(&c, stray+interval, length)
+	require.True(t, r.ExpectsPause(&c, work, at(stray+interval)))
+	require.False(t, r.ExpectsPause(&c, work, first+2*interval-length/2))
 }
 
 func TestAnExpectationEndsWhenItIsNotSeenAgain(t *testing.T) {
 	r, interval := learnt(t, 5)
-	var c Clock
-	r.Seen(&c, 31*time.Second, length)
-	require.True(t, r.Pausing(&c, work, 31*time.Second+lastsFor*interval-length/2))
-	require.False(t, r.Pausing(&c, work, 31*time.Second+(lastsFor+1)*interval-length/2))
+	var c Phase
+	r.Observe(&c, 31*time.Second, length)
+	require.True(t, r.ExpectsPause(&c, work, 31*time.Second+lastsFor*interval-length/2))
+	require.False(t, r.ExpectsPause(&c, work, 31*time.Second+(lastsFor+1)*interval-length/2))
 }
 
 // A node that has just started knows no pause of a replica; the node next to it does.
 func TestAPauseThatAnotherNodeSawIsTakenOver(t *testing.T) {
 	r, interval := learnt(t, 6)
-	var c Clock
+	var c Phase
 	now := 31 * time.Second
-	r.Heard(&c, time.Second, now)
-	require.True(t, r.Pausing(&c, work, now-time.Second+interval-length/2))
+	r.ObserveRemote(&c, time.Second, now)
+	require.True(t, r.ExpectsPause(&c, work, now-time.Second+interval-length/2))
 	age, known := c.Age(now)
 	require.True(t, known)
 	require.Equal(t, time.Second, age)
-	r.Heard(&c, 3*time.Second, now)
+	r.ObserveRemote(&c, 3*time.Second, now)
 	age, _ = c.Age(now)
 	require.Equal(t, time.Second, age, "an older one is no news")
 }
 
 func BenchmarkSeen(b *testing.B) {
-	var r Rhythm
-	var c Clock
+	var r Estimator
+	var c Phase
 	now := core.Time(0)
 	for b.Loop() {
 		now += every
-		r.Seen(&c, now, length)
+		r.Observe(&c, now, length)
 	}
 }
 
 func BenchmarkPausing(b *testing.B) {
 	r, _ := learnt(b, 7)
-	c := Clock{end: 29 * time.Second}
+	c := Phase{end: 29 * time.Second}
 	for b.Loop() {
-		r.Pausing(&c, work, 31*time.Second)
+		r.ExpectsPause(&c, work, 31*time.Second)
 	}
 }
--- a/internal/core/replica/pause.go
+++ b/internal/core/replica/pause.go
@@ -15,13 +15,13 @@
 func (t *Table) recordPause(s *state, took, typical time.Duration, now core.Time) {
 	own := time.Duration(float64(typical) * s.slownessNow(now))
 	if paused := took - own; paused >= minPauseRatio*own {
-		t.Pauses.Seen(&s.pauses, now-own, paused)
+		t.Pauses.Observe(&s.pauses, now-own, paused)
 	}
 }
 
 // expectsPause reports whether a request of typical latency sent now would probably meet a pause.
 func (t *Table) expectsPause(s *state, typical time.Duration, now core.Time) bool {
-	return t.Pauses.Pausing(&s.pauses, typical, now)
+	return t.Pauses.ExpectsPause(&s.pauses, typical, now)
 }
 
 // PauseAge returns how long ago the last known pause of a replica ended, false if none is known.
@@ -35,6 +35,6 @@
 // ReceivePause records the age of a pause that another node observed.
 func (t *Table) ReceivePause(incarnation Incarnation, age time.Duration, now core.Time) {
 	if known := t.find(incarnation); known != nil {
-		t.Pauses.Heard(&known.pauses, age, now)
+		t.Pauses.ObserveRemote(&known.pauses, age, now)
 	}
 }
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -63,7 +63,7 @@
 	self       core.NodeID
 	senders    []core.NodeID
 	// Pauses estimates the interval and duration of the replicas' pauses.
-	Pauses pauses.Rhythm
+	Pauses pauses.Estimator
 }
 
 // lastReport identifies the last accepted report of a replica.
--- a/internal/core/replica/state.go
+++ b/internal/core/replica/state.go
@@ -59,7 +59,7 @@
 	coldUntil core.Time
 	cold      coldstart.Window
 	// pauses records the phase of the replica's regular pauses.
-	pauses pauses.Clock
+	pauses pauses.Phase
 }
 
 func (s *state) slownessNow(now core.Time) float64 {
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -50,7 +50,7 @@
 		bound.Ratio, bound.Allowance = 1000, 1000
 	}
 	n := &node{world: w, place: place, outlook: outlook.New(place.Name, nil, bound, w.random.Float64), pools: map[*upstream]*pool{}}
-	n.outlook.Replicas.Pauses.Off = w.options.without(Pauses)
+	n.outlook.Replicas.Pauses.Disabled = w.options.without(Pauses)
 	for _, u := range w.upstreams {
 		n.outlook.Replicas.Put(u.entry)
 		n.pools[u] = &pool{free: w.connections(place.Name, u.entry.DataCentre)}
