--- a/internal/core/outlook/outlook_test.go
+++ b/internal/core/outlook/outlook_test.go
@@ -16,7 +16,7 @@
 const ms = time.Millisecond
 
 func gathered(aim time.Duration) Request {
-	route := &policy.Route{Name: "all", Idempotent: true, Aim: aim, MaxReplicas: 2, Gather: &policy.Gather{Shards: []string{"a", "b"}, LeastCoverage: 0.5}}
+	route := &policy.Route{Name: "all", Idempotent: true, TargetLatency: aim, MaxReplicas: 2, Gather: &policy.Gather{Shards: []string{"a", "b"}, MinCoverage: 0.5}}
 	return Request{Route: route, Services: route.Gather.Shards, MaxWait: time.Second, TransitTime: 9 * ms}
 }
 
--- a/internal/core/outlook/plan.go
+++ b/internal/core/outlook/plan.go
@@ -93,12 +93,12 @@
 	times := o.times(route)
 	usual, known := times.answers.Quantile(usualQuantile)
 	if route.Idempotent {
-		plan.HedgeAfter = times.hedgeAfter(route.Aim, usual, known)
+		plan.HedgeAfter = times.hedgeAfter(route.TargetLatency, usual, known)
 		plan.RemoteHedgeExtra = farExtra
 	}
 	if route.Gather != nil {
-		plan.MinParts = route.Gather.Least()
-		plan.TargetLatency = attainable(route.Aim-ask.TransitTime, usual, known)
+		plan.MinParts = route.Gather.MinParts()
+		plan.TargetLatency = attainable(route.TargetLatency-ask.TransitTime, usual, known)
 		plan.PartialAt = ask.Arrived + o.partialAfter(ask)
 	}
 	return plan
@@ -139,10 +139,10 @@
 // reach the caller within the route's aim. A part that is missing costs the caller
 // less than an answer that comes late.
 func (o *Outlook) partialAfter(ask Request) time.Duration {
-	if ask.Route.Aim <= 0 {
+	if ask.Route.TargetLatency <= 0 {
 		return ask.MaxWait
 	}
-	return max(ask.Route.Aim-ask.TransitTime-o.spent(ask), 0)
+	return max(ask.Route.TargetLatency-ask.TransitTime-o.spent(ask), 0)
 }
 
 // spent estimates how long a caller has been waiting, over all its tries, from the
--- a/internal/core/policy/policy.go
+++ b/internal/core/policy/policy.go
@@ -36,8 +36,8 @@
 	Idempotent bool
 	// Timeout is the longest that a caller is kept waiting.
 	Timeout time.Duration
-	// Aim is the time within which an answer has its full worth to the caller.
-	Aim time.Duration
+	// TargetLatency is the time within which an answer has its full worth to the caller.
+	TargetLatency time.Duration
 	// MaxReplicas bounds the replicas of one service that one request is sent to.
 	MaxReplicas int
 	// Priority is the rank of the route; 0 comes first.
@@ -63,17 +63,17 @@
 	Shards []string
 	// TopK is the number of records of an answer.
 	TopK int
-	// LeastCoverage is the share of shards, 0 to 1, below which an answer is a
+	// MinCoverage is the share of shards, 0 to 1, below which an answer is a
 	// failure.
-	LeastCoverage float64
+	MinCoverage float64
 }
 
-// Least is the number of parts that an answer needs at least. A share above 1 asks for all
+// MinParts is the number of parts that an answer needs at least. A share above 1 asks for all
 // of them: as it stands, no answer could ever have enough.
-func (g *Gather) Least() int {
+func (g *Gather) MinParts() int {
 	// A tiny subtraction keeps 0.75 of 20 at 15 despite binary fractions.
 	const roundingSlack = 1e-9
-	exact := g.LeastCoverage * float64(len(g.Shards))
+	exact := g.MinCoverage * float64(len(g.Shards))
 	least := int(exact)
 	if exact-float64(least) > roundingSlack {
 		least++
--- a/internal/core/policy/policy_test.go
+++ b/internal/core/policy/policy_test.go
@@ -24,11 +24,11 @@
 
 func TestLeastRoundsUpButNotForBinaryFractions(t *testing.T) {
 	shards := make([]string, 20)
-	require.Equal(t, 15, (&Gather{Shards: shards, LeastCoverage: 0.75}).Least())
-	require.Equal(t, 18, (&Gather{Shards: shards, LeastCoverage: 0.89}).Least())
-	require.Equal(t, 18, (&Gather{Shards: shards, LeastCoverage: 0.9}).Least())
-	require.Equal(t, 1, (&Gather{Shards: shards}).Least())
-	require.Equal(t, 20, (&Gather{Shards: shards, LeastCoverage: 1.5}).Least())
+	require.Equal(t, 15, (&Gather{Shards: shards, MinCoverage: 0.75}).MinParts())
+	require.Equal(t, 18, (&Gather{Shards: shards, MinCoverage: 0.89}).MinParts())
+	require.Equal(t, 18, (&Gather{Shards: shards, MinCoverage: 0.9}).MinParts())
+	require.Equal(t, 1, (&Gather{Shards: shards}).MinParts())
+	require.Equal(t, 20, (&Gather{Shards: shards, MinCoverage: 1.5}).MinParts())
 }
 
 // An operator moves a tenth of a quiet route to a new service and watches the
--- a/internal/edge/merge_test.go
+++ b/internal/edge/merge_test.go
@@ -49,7 +49,7 @@
 // and the next ones ask for it in full.
 func TestAMergeLeavesOutAnExcerptThatIsTooShort(t *testing.T) {
 	n := newNode(&settings.Edge{DataCentre: "east"}, io.Discard)
-	route := &policy.Route{Name: "deep", Gather: &policy.Gather{Shards: []string{"s1", "s2", "s3"}, TopK: 50, LeastCoverage: 0.6}}
+	route := &policy.Route{Name: "deep", Gather: &policy.Gather{Shards: []string{"s1", "s2", "s3"}, TopK: 50, MinCoverage: 0.6}}
 	result := scatter.Result{Parts: []int{0, 1, 2}, Received: 3, Enough: true}
 
 	q := merged(n, route, topk.NewSender(50, n.beliefs.excerptParts(route)))
--- a/internal/edge/trail.go
+++ b/internal/edge/trail.go
@@ -48,7 +48,7 @@
 	if result.Rejected {
 		q.node.metrics.rejectedEarly()
 	}
-	late := q.route.Aim > 0 && took > q.route.Aim
+	late := q.route.TargetLatency > 0 && took > q.route.TargetLatency
 	if outcome == outcomeWhole && !late {
 		q.node.log.Calm()
 		return
@@ -61,7 +61,7 @@
 	}
 	fields := decisionlog.Fields{
 		"request": q.id, "route": q.route.Name, "config_version": q.config.Version, "outcome": outcome, "status": status,
-		"took_ms": took.Milliseconds(), "aim_ms": q.route.Aim.Milliseconds(), "sends": len(q.sends),
+		"took_ms": took.Milliseconds(), "aim_ms": q.route.TargetLatency.Milliseconds(), "sends": len(q.sends),
 		"parts": result.Received, "of": len(q.services), "may_have_run": result.MayHaveRun, "budget_spent": result.BudgetSpent, "no_replica": result.NoReplica, "rejected_early": result.Rejected, "retry_after_ms": result.RetryAfter.Milliseconds(),
 		"waits_ms": (q.plan.Deadline - q.arrived).Milliseconds(), "may_repeat": q.route.Idempotent,
 	}
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -122,8 +122,8 @@
 	}
 	for _, kind := range w.pattern.Kinds {
 		w.routes[kind.Name] = &policy.Route{
-			Name: kind.Name, Idempotent: true, Timeout: kind.Deadline, Aim: kind.Aim, MaxReplicas: maxReplicas,
-			Gather: &policy.Gather{Shards: shards, LeastCoverage: kind.Least},
+			Name: kind.Name, Idempotent: true, Timeout: kind.Deadline, TargetLatency: kind.Aim, MaxReplicas: maxReplicas,
+			Gather: &policy.Gather{Shards: shards, MinCoverage: kind.Least},
 		}
 	}
 }
