--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -88,10 +88,10 @@
 	return v.nodes[v.nth(seed, others, rank-len(local))], true
 }
 
-// Place counts the nodes that precede the given one in the bundle's order. The
+// RankOf counts the nodes that precede the given one in the bundle's order. The
 // node itself need not be in the view: one that is leaving still finds out
 // whether it is the owner by the views of those that have not heard of it.
-func (v *View) Place(bundle core.BundleID, dataCentre string, node Node) int {
+func (v *View) RankOf(bundle core.BundleID, dataCentre string, node Node) int {
 	seed := core.Mix64(uint64(bundle))
 	own := nodeWeight(node, bundle)
 	local := node.DataCentre == dataCentre
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -31,7 +31,7 @@
 				require.Equal(t, former, First(node, former, bundle, "dc2"))
 			}
 			require.Equal(t, node, view.Order(bundle, "dc2")[rank])
-			require.Equal(t, rank, view.Place(bundle, "dc2", node))
+			require.Equal(t, rank, view.RankOf(bundle, "dc2", node))
 		}
 		require.Len(t, seen, 16)
 		_, ok := view.Rank(bundle, "dc2", 16)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -131,7 +131,7 @@
 	if text.Policy.Routing == catalog.RoutingDirect {
 		return true
 	}
-	place := o.options.Belief.View().Place(bundle.ID, bundle.DataCentre, o.options.Belief.Self())
+	place := o.options.Belief.View().RankOf(bundle.ID, bundle.DataCentre, o.options.Belief.Self())
 	return place <= max(rank, successorPlace)
 }
 
