--- a/internal/core/outlook/connections.go
+++ b/internal/core/outlook/connections.go
@@ -6,10 +6,10 @@
 // can connect at once.
 const UsableConnectionShare = 0.45
 
-// MaxConnections is how many connections a node may hold to a replica that takes so many of all
+// ConnectionsPerNode is how many connections a node may hold to a replica that takes so many of all
 // callers, where so many nodes send to it and some of them are next to it. These carry the
 // requests of the others too; those further away retry.
-func MaxConnections(limit, nodes, near int, isNear bool) int {
+func ConnectionsPerNode(limit, nodes, near int, isNear bool) int {
 	usable := int(UsableConnectionShare * float64(limit))
 	far := max(usable/(2*max(nodes, 1)), 1)
 	if !isNear || near == 0 {
--- a/internal/edge/copies_test.go
+++ b/internal/edge/copies_test.go
@@ -87,7 +87,7 @@
 // were these more than half of the limit, the new ones would be reset for many seconds.
 func TestConnectionsOfAllNodesLeaveRoomForTheirSuccessors(t *testing.T) {
 	for _, one := range []struct{ limit, nodes, near int }{{26, 7, 2}, {26, 8, 3}, {26, 7, 1}, {60, 8, 2}, {100, 7, 2}, {520, 8, 2}} {
-		sum := one.near*outlook.MaxConnections(one.limit, one.nodes, one.near, true) + (one.nodes-one.near)*outlook.MaxConnections(one.limit, one.nodes, one.near, false)
+		sum := one.near*outlook.ConnectionsPerNode(one.limit, one.nodes, one.near, true) + (one.nodes-one.near)*outlook.ConnectionsPerNode(one.limit, one.nodes, one.near, false)
 		require.LessOrEqual(t, 2*sum, one.limit, "%+v", one)
 	}
 }
--- a/internal/edge/shares.go
+++ b/internal/edge/shares.go
@@ -42,5 +42,5 @@
 			near++
 		}
 	}
-	return outlook.MaxConnections(limit, len(chosen), near, n.settings.Load().DataCentre == to.DataCentre)
+	return outlook.ConnectionsPerNode(limit, len(chosen), near, n.settings.Load().DataCentre == to.DataCentre)
 }
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -148,7 +148,7 @@
 			near = one.Nodes
 		}
 	}
-	return outlook.MaxConnections(w.pattern.Connections, w.nodeCount(), near, place == of)
+	return outlook.ConnectionsPerNode(w.pattern.Connections, w.nodeCount(), near, place == of)
 }
 
 // helper takes the nodes of a data centre in turn.
