--- a/internal/core/outlook/outlook.go
+++ b/internal/core/outlook/outlook.go
@@ -1,6 +1,6 @@
-// Package outlook is what a node expects: of each route, how long its answers take; of each
-// replica, how it answers; of each service, how many further arrivals its bound allows. From it
-// come the plan of a request and the replicas that it is sent to.
+// Package outlook holds a node's expectations: the latency of each route, the behaviour of each replica and the
+// remaining budget for extra sends of each service. It plans requests and chooses the replicas that they are
+// sent to.
 package outlook
 
 import (
@@ -18,22 +18,22 @@
 	Replicas *replica.Table
 	Budget   *extra.Budget
 	splitter *policy.Splitter
-	routes   map[string]*routeTimes
+	routes   map[string]*routeLatency
 }
 
-// New makes an outlook of a node in a data centre. The random source, 0 to 1, breaks ties
+// New returns the outlook of a node in a data centre. The random source, which returns 0 to 1, breaks ties
 // between replicas.
 func New(dataCentre string, regions map[string]string, bound extra.Bound, random func() float64) *Outlook {
 	return &Outlook{
 		Replicas: replica.NewTable(dataCentre, regions, random),
 		Budget:   extra.New(bound),
 		splitter: policy.NewSplitter(),
-		routes:   map[string]*routeTimes{},
+		routes:   map[string]*routeLatency{},
 	}
 }
 
-// Services names the services that a request on a route goes to, and counts it at each of them.
-// It is empty where the route has no service with a weight.
+// Services returns the services that a request on a route goes to, and counts the request towards the budget
+// of each. It is empty if no service of the route has a positive weight.
 func (o *Outlook) Services(route *policy.Route, now core.Time) []string {
 	if route.Gather != nil {
 		for _, shard := range route.Gather.Shards {
@@ -49,21 +49,21 @@
 	return []string{service}
 }
 
-// Chooser chooses replicas for the requests of one route.
+// Chooser returns a chooser of replicas for the requests of one route.
 func (o *Outlook) Chooser(route *policy.Route) scatter.Chooser {
-	usual, _ := o.times(route).answers.Quantile(usualQuantile)
-	return chooser{outlook: o, usual: usual, regions: route.Regions}
+	typical, _ := o.routeLatency(route).latencies.Quantile(typicalQuantile)
+	return chooser{outlook: o, typical: typical, regions: route.Regions}
 }
 
 type chooser struct {
 	outlook *Outlook
-	usual   time.Duration
+	typical time.Duration
 	regions []string
 }
 
 // Pick implements scatter.Chooser.
 func (c chooser) Pick(service string, tried []string, now core.Time) (replica.Choice, bool) {
-	return c.outlook.Replicas.Pick(replica.Criteria{Service: service, Tried: tried, Regions: c.regions, TypicalLatency: c.usual}, now)
+	return c.outlook.Replicas.Pick(replica.Criteria{Service: service, Tried: tried, Regions: c.regions, TypicalLatency: c.typical}, now)
 }
 
 // TakeExtra implements scatter.Chooser.
@@ -71,26 +71,26 @@
 	return c.outlook.Budget.Take(service, now)
 }
 
-// scarceFrom is the part of the bound on extra arrivals from which on they are scarce. Calm days
-// spend a quarter of the bound, overloaded ones more than half.
-const scarceFrom = 0.5
+// scarceShare is the used share of the budget above which extra sends are scarce. Days of normal load use a
+// quarter of the budget, overloaded ones more than half.
+const scarceShare = 0.5
 
 // ExtraScarce implements scatter.Chooser.
 func (c chooser) ExtraScarce(service string, now core.Time) bool {
-	return c.outlook.Budget.Used(service, now) > scarceFrom
+	return c.outlook.Budget.Used(service, now) > scarceShare
 }
 
-// Answered learns from a whole answer that was waited for.
-func (o *Outlook) Answered(route *policy.Route, life replica.Incarnation, took time.Duration, now core.Time) {
-	times := o.times(route)
-	usual, _ := times.answers.Quantile(usualQuantile)
-	times.answers.Record(took)
-	o.Replicas.Answered(life, took, usual, now)
+// Answered records a complete answer that the request was waiting for.
+func (o *Outlook) Answered(route *policy.Route, incarnation replica.Incarnation, took time.Duration, now core.Time) {
+	observed := o.routeLatency(route)
+	typical, _ := observed.latencies.Quantile(typicalQuantile)
+	observed.latencies.Record(took)
+	o.Replicas.Answered(incarnation, took, typical, now)
 }
 
-// AnsweredLate learns from an answer that nobody waited for any more. It says how fast the
-// replica is, but not how long answers take that are waited for.
-func (o *Outlook) AnsweredLate(route *policy.Route, life replica.Incarnation, took time.Duration, now core.Time) {
-	usual, _ := o.times(route).answers.Quantile(usualQuantile)
-	o.Replicas.Answered(life, took, usual, now)
+// AnsweredLate records an answer that arrived after it was no longer needed. It counts towards the latency of
+// the replica, but not of the route.
+func (o *Outlook) AnsweredLate(route *policy.Route, incarnation replica.Incarnation, took time.Duration, now core.Time) {
+	typical, _ := o.routeLatency(route).latencies.Quantile(typicalQuantile)
+	o.Replicas.Answered(incarnation, took, typical, now)
 }
--- a/internal/core/outlook/plan.go
+++ b/internal/core/outlook/plan.go
@@ -10,148 +10,147 @@
 )
 
 const (
-	// maxRoutes bounds the routes whose answer times are remembered.
+	// maxRoutes bounds the number of routes whose latencies are kept.
 	maxRoutes = 4096
-	// hedgeQuantile is the quantile of a route's answer times after which another
-	// replica is asked. At 0.95 hedges take at most a quarter of the bound on extra
-	// arrivals when nothing is wrong.
+	// hedgeQuantile is the quantile of a route's latencies after which a send is hedged.
+	// At 0.95 hedges use at most a quarter of the budget for extra sends in normal
+	// operation.
 	hedgeQuantile = 0.95
-	// hedgeTimes usual answer times and hedgeSpare is later than nearly all answers of replicas that
-	// work, and sooner than those of a replica in a pause. Where a twentieth of all answers meet
-	// a pause, the quantile is as long as the pause.
-	hedgeTimes = 2
-	hedgeSpare = 3 * time.Millisecond
-	// usualQuantile gives the usual answer time that replicas are compared by.
-	usualQuantile = 0.5
-	// farExtra is how much longer a send to another data centre may take before it is
-	// hedged: a round trip between data centres and the pause of a node there between
+	// maxHedgeLatencyFactor times the typical latency plus hedgeMargin bounds the hedge delay: nearly
+	// all answers of replicas that are not paused arrive sooner, those of paused replicas later. If one
+	// in twenty answers meets a pause, the quantile alone would be as long as the pause.
+	maxHedgeLatencyFactor = 2
+	hedgeMargin           = 3 * time.Millisecond
+	// typicalQuantile gives the typical latency of a route, to which replicas are compared.
+	typicalQuantile = 0.5
+	// remoteHedgeExtra is added to the hedge delay of a send to another data centre: the
+	// round trip between data centres and the interval at which a node there sends its
 	// replies.
-	farExtra = 6 * time.Millisecond
+	remoteHedgeExtra = 6 * time.Millisecond
 )
 
-// routeTimes is what was seen of one route's requests.
-type routeTimes struct {
-	answers latency.Histogram
-	// longest is the longest time that a caller was ready to wait: what a first
-	// try has left.
-	longest time.Duration
-	// skewedUntil is until when excerpts of its parts are asked for in full.
-	skewedUntil core.Time
+// routeLatency holds the observed latencies of one route.
+type routeLatency struct {
+	latencies latency.Histogram
+	// longestRemaining is the longest remaining time of any caller's request, which is
+	// taken for that of a first attempt.
+	longestRemaining time.Duration
+	// fullExcerptsUntil is until when other nodes must not shorten excerpts of the route's parts.
+	fullExcerptsUntil core.Time
 }
 
-// skewLife is how long excerpts are asked for in full after one lacked records: where most of the
-// greatest records lie in few shards, every short one is useless. A minute keeps the parts
-// that are lost to trying again under one in some thousand.
-const skewLife = time.Minute
+// fullExcerptsFor is how long excerpts are requested in full after one lacked records: if most top records are in
+// few shards, no shortened excerpt is usable. With a minute, fewer than one in some thousand parts are lost to
+// retrying shortened excerpts.
+const fullExcerptsFor = time.Minute
 
-// ExcerptParts is the number of parts by which another node may shorten its excerpts, 0 for not
-// at all.
+// ExcerptParts returns the number of parts of an answer, from which another node derives how far it may shorten its
+// excerpts; 0 forbids shortening.
 func (o *Outlook) ExcerptParts(route *policy.Route, now core.Time) int {
-	if route.Gather == nil || now < o.times(route).skewedUntil {
+	if route.Gather == nil || now < o.routeLatency(route).fullExcerptsUntil {
 		return 0
 	}
 	return len(route.Gather.Shards)
 }
 
-// RecordSkew notes that a shortened excerpt lacked records.
+// RecordSkew records that a shortened excerpt lacked records.
 func (o *Outlook) RecordSkew(route *policy.Route, now core.Time) {
-	o.times(route).skewedUntil = now + skewLife
+	o.routeLatency(route).fullExcerptsUntil = now + fullExcerptsFor
 }
 
-func (o *Outlook) times(route *policy.Route) *routeTimes {
+func (o *Outlook) routeLatency(route *policy.Route) *routeLatency {
 	known := o.routes[route.Name]
 	if known == nil {
 		if len(o.routes) >= maxRoutes {
 			clear(o.routes)
 		}
-		known = &routeTimes{}
+		known = &routeLatency{}
 		o.routes[route.Name] = known
 	}
 	return known
 }
 
-// Request is a request that is to be planned.
+// Request is a request to plan.
 type Request struct {
 	Route    *policy.Route
 	Services []string
 	Arrived  core.Time
-	// MaxWait is how long the caller is kept waiting at most.
+	// MaxWait is the longest time that the caller is kept waiting.
 	MaxWait time.Duration
-	// RemainingTime is how long the caller will wait, 0 where it does not say.
+	// RemainingTime is how long the caller will wait, 0 if it does not state it.
 	RemainingTime time.Duration
-	// TransitTime is how long the answer takes to the caller and the request took from there.
+	// TransitTime is the time of the request from the caller plus that of the answer to the caller.
 	TransitTime time.Duration
 }
 
-// Plan says what a request needs, and when to do what about it.
-func (o *Outlook) Plan(ask Request) scatter.Plan {
-	route := ask.Route
+// Plan returns the plan of a request: the parts that it needs, and when to hedge and to answer.
+func (o *Outlook) Plan(request Request) scatter.Plan {
+	route := request.Route
 	plan := scatter.Plan{
-		Services: ask.Services, MinParts: 1, Idempotent: route.Idempotent, MaxReplicas: route.MaxReplicas,
-		Deadline: ask.Arrived + ask.MaxWait,
+		Services: request.Services, MinParts: 1, Idempotent: route.Idempotent, MaxReplicas: route.MaxReplicas,
+		Deadline: request.Arrived + request.MaxWait,
 	}
-	times := o.times(route)
-	usual, known := times.answers.Quantile(usualQuantile)
+	observed := o.routeLatency(route)
+	typical, known := observed.latencies.Quantile(typicalQuantile)
 	if route.Idempotent {
-		plan.HedgeAfter = times.hedgeAfter(route.TargetLatency, usual, known)
-		plan.RemoteHedgeExtra = farExtra
+		plan.HedgeAfter = observed.hedgeAfter(route.TargetLatency, typical, known)
+		plan.RemoteHedgeExtra = remoteHedgeExtra
 	}
 	if route.Gather != nil {
 		plan.MinParts = route.Gather.MinParts()
-		plan.TargetLatency = attainable(route.TargetLatency-ask.TransitTime, usual, known)
-		plan.PartialAt = ask.Arrived + o.partialAfter(ask)
+		plan.TargetLatency = attainableTarget(route.TargetLatency-request.TransitTime, typical, known)
+		plan.PartialAt = request.Arrived + o.partialAfter(request)
 	}
 	return plan
 }
 
-// attainableTimes is how many usual answer times an aim must hold to decide on early rejections.
-const attainableTimes = 2
+// minTargetLatencyFactor is the least target latency, in typical latencies of the route, that decides on early
+// rejections.
+const minTargetLatencyFactor = 2
 
-// attainable is the time within which answers have their full worth, 0 where the route's own
-// answers usually come later: judged by an aim that nobody keeps, every request would be rejected.
-func attainable(aim, usual time.Duration, known bool) time.Duration {
-	if !known || aim < attainableTimes*usual {
+// attainableTarget returns the target latency, or 0 if the route's typical latency is unknown or too long for it. A
+// target that no replica meets would cause the rejection of every request.
+func attainableTarget(target, typical time.Duration, known bool) time.Duration {
+	if !known || target < minTargetLatencyFactor*typical {
 		return 0
 	}
-	return aim
+	return target
 }
 
-// hedgeAfter is how long an answer on a route may take before another replica is
-// asked. It never exceeds a third of the route's aim, since a hedge needs time to
-// be answered before it, and is a fifth of it before enough is learnt.
-func (t *routeTimes) hedgeAfter(aim, usual time.Duration, known bool) time.Duration {
+// hedgeAfter returns the hedge delay of a route. It never exceeds a third of the target latency, so that
+// the hedge can be answered within it, and is a fifth of it until enough latencies are known.
+func (t *routeLatency) hedgeAfter(target, typical time.Duration, known bool) time.Duration {
 	const (
-		most    = 3
-		unknown = 5
-		least   = 4 * time.Millisecond
+		maxTargetDivisor     = 3
+		unknownTargetDivisor = 5
+		minHedgeAfter        = 4 * time.Millisecond
 	)
-	after := aim / unknown
-	if late, enough := t.answers.Quantile(hedgeQuantile); known && enough {
-		after = min(late, hedgeTimes*usual+hedgeSpare)
+	after := target / unknownTargetDivisor
+	if late, enough := t.latencies.Quantile(hedgeQuantile); known && enough {
+		after = min(late, maxHedgeLatencyFactor*typical+hedgeMargin)
 	}
-	if aim > 0 {
-		after = min(after, aim/most)
+	if target > 0 {
+		after = min(after, target/maxTargetDivisor)
 	}
-	return max(after, least)
+	return max(after, minHedgeAfter)
 }
 
-// partialAfter is when the least coverage is enough: just in time for the answer to
-// reach the caller within the route's aim. A part that is missing costs the caller
-// less than an answer that comes late.
-func (o *Outlook) partialAfter(ask Request) time.Duration {
-	if ask.Route.TargetLatency <= 0 {
-		return ask.MaxWait
+// partialAfter returns the time after arrival from which an answer with the least coverage is sent: just in
+// time to reach the caller within the target latency. A missing part costs the caller less than a late answer.
+func (o *Outlook) partialAfter(request Request) time.Duration {
+	if request.Route.TargetLatency <= 0 {
+		return request.MaxWait
 	}
-	return max(ask.Route.TargetLatency-ask.TransitTime-o.spent(ask), 0)
+	return max(request.Route.TargetLatency-request.TransitTime-o.elapsed(request), 0)
 }
 
-// spent estimates how long a caller has been waiting, over all its tries, from the
-// time that it has left: a first try has the most.
-func (o *Outlook) spent(ask Request) time.Duration {
-	if ask.RemainingTime <= 0 {
+// elapsed estimates how long a caller has been waiting over all its attempts, from its remaining time: a
+// first attempt has the most.
+func (o *Outlook) elapsed(request Request) time.Duration {
+	if request.RemainingTime <= 0 {
 		return 0
 	}
-	times := o.times(ask.Route)
-	times.longest = max(times.longest, ask.RemainingTime)
-	return times.longest - ask.RemainingTime
+	observed := o.routeLatency(request.Route)
+	observed.longestRemaining = max(observed.longestRemaining, request.RemainingTime)
+	return observed.longestRemaining - request.RemainingTime
 }
--- a/internal/core/pauses/pauses.go
+++ b/internal/core/pauses/pauses.go
@@ -1,12 +1,11 @@
-// Package pauses learns when replicas stand still that do so at regular intervals, as for a
-// collection of garbage or a checkpoint.
+// Package pauses predicts the pauses of replicas that pause at regular intervals, for example for garbage
+// collection or a checkpoint.
 //
-// A question over ninety shards meets several replicas that stand still. Each is found out by being
-// late, and where the second one asked stands still too, the answer lacks a part. A pause
-// is seen by the request that waited through it: its end is known to within an answer time. All replicas
-// together tell the interval, so that one sight of a replica's pause tells its next ones, and first sends
-// and hedges go elsewhere meanwhile. Where pauses are not regular no interval stands out, and
-// nothing is expected.
+// A query over ninety shards meets several paused replicas. Each is detected only when it is overdue, and if the
+// hedge goes to a paused replica too, the answer lacks a part. A request that waited through a pause shows its
+// end to within an answer time. The observations of all replicas together give the interval, so that one
+// observed pause of a replica predicts its next ones, and first sends and hedges go to other replicas
+// meanwhile. If pauses are not regular, no interval has a clear peak and no pauses are predicted.
 package pauses
 
 import (
@@ -17,173 +16,177 @@
 )
 
 const (
-	// leastInterval and mostInterval bound the intervals that are looked for. Shorter ones are
-	// slowness, longer ones cost little.
-	leastInterval = time.Second
-	mostInterval  = 10 * time.Second
-	// bucket is the width in which intervals are counted, spread that of a peak: ends are
-	// known to within an answer time and the way of the answer.
-	bucket  = 20 * time.Millisecond
-	spread  = 1
-	buckets = int((mostInterval - leastInterval) / bucket)
-	// leastSeen and leastShare say when an interval stands out: so many of all sights. Random
-	// intervals put about one in a hundred into the width of a peak.
-	leastSeen  = 8
-	leastShare = 0.1
-	// window is the number of sights at which all counts are halved.
-	window = 1024
-	// sameWithin separates the sights of one pause by several requests from those of two.
-	sameWithin = 400 * time.Millisecond
-	// margin is how much earlier and later than expected a pause may come.
+	// minInterval and maxInterval bound the intervals that are detected. Pauses at shorter
+	// intervals count as slowness, pauses at longer ones cost little.
+	minInterval = time.Second
+	maxInterval = 10 * time.Second
+	// bucketWidth is the width of a histogram bucket of intervals; a peak includes peakRadius
+	// buckets on each side, since the end of a pause is known to within an answer time and the
+	// answer's network time.
+	bucketWidth = 20 * time.Millisecond
+	peakRadius  = 1
+	bucketCount = int((maxInterval - minInterval) / bucketWidth)
+	// minPeakCount and minPeakShare are the least count of a peak and its least share of all
+	// counted intervals. Of random intervals about 1 % fall into the width of a peak.
+	minPeakCount = 8
+	minPeakShare = 0.1
+	// halveAt is the number of counted intervals at which all counts are halved.
+	halveAt = 1024
+	// samePauseWithin is the time within which observations are of the same pause.
+	samePauseWithin = 400 * time.Millisecond
+	// margin is how much earlier or later than predicted a pause may occur.
 	margin = 25 * time.Millisecond
-	// lastsFor is how many intervals an expectation lasts without being seen again. While a replica is
-	// left alone in its pauses, only requests that cannot go elsewhere see them.
-	lastsFor = 8
-	// lengthQuantile of the times that requests stood is taken for a pause's length: a request
-	// comes at any moment of it, so that the longest of them are as long.
-	lengthQuantile = 0.9
-	// mostLength is the part of an interval, one in so many, that a pause may last.
-	mostLength = 4
+	// expiryIntervals is the number of intervals after which a prediction expires unless a pause
+	// is observed again. While requests avoid a replica's pauses, only those that cannot go
+	// elsewhere observe them.
+	expiryIntervals = 8
+	// durationQuantile is the quantile of the requests' waits that estimates the duration of a
+	// pause: requests arrive at any moment of it, so that only the longest waits last for all of it.
+	durationQuantile = 0.9
+	// minIntervalRatio is the least ratio of the interval to the duration of a pause.
+	minIntervalRatio = 4
 )
 
-// Estimator is what the pauses of all replicas have in common. The zero value knows nothing. It is not
-// safe for concurrent use.
+// Estimator estimates the interval and duration of pauses, which all replicas have in common. The zero value
+// predicts no pauses. It is not safe for concurrent use.
 type Estimator struct {
-	// Disabled expects nothing, to compare with.
+	// Disabled turns predictions off, for comparison runs.
 	Disabled bool
-	counts   [buckets]uint16
-	// offsets are how far into their buckets the counted intervals lie, added up.
-	offsets [buckets]time.Duration
-	total   int
-	lengths latency.Histogram
-	every   time.Duration
-	lasts   time.Duration
+	counts   [bucketCount]uint16
+	// offsets holds, by bucket, the sum of the counted intervals' offsets from the bucket's lower end.
+	offsets   [bucketCount]time.Duration
+	total     int
+	durations latency.Histogram
+	interval  time.Duration
+	duration  time.Duration
 }
 
-// Phase is when one replica pauses. The zero value knows nothing.
+// Phase holds when one replica was last observed to pause. The zero value means never.
 type Phase struct {
-	// end is when a pause ended, stray when one ended that does not fit it; 0 is not known.
-	end, stray core.Time
+	// lastEnd is when the last accepted pause ended, outlierEnd when a pause ended that does not fit it; 0 is
+	// unknown.
+	lastEnd, outlierEnd core.Time
 }
 
-// Observe notes a request that stood for a time until the replica's pause ended.
-func (r *Estimator) Observe(c *Phase, end core.Time, stood time.Duration) {
-	if c.end > 0 && end-c.end < sameWithin {
-		// The first answer after a pause tells its end best: others queue behind it.
-		if c.end-end < sameWithin {
-			c.end = min(c.end, end)
+// Observe records a request that waited for the given time until the replica's pause ended.
+func (e *Estimator) Observe(p *Phase, end core.Time, waited time.Duration) {
+	if p.lastEnd > 0 && end-p.lastEnd < samePauseWithin {
+		// The first answer after a pause shows its end best, since the others queue behind it.
+		if p.lastEnd-end < samePauseWithin {
+			p.lastEnd = min(p.lastEnd, end)
 		}
 		return
 	}
-	// What does not fit the rhythm stood for another reason, and may have stood much longer.
-	if r.every == 0 || c.end > 0 && fits(end-c.end, r.every) {
-		r.lengths.Record(stood)
+	// A wait that does not fit the interval has another cause and may be much longer than a pause.
+	if e.interval == 0 || p.lastEnd > 0 && isMultiple(end-p.lastEnd, e.interval) {
+		e.durations.Record(waited)
 	}
-	if c.end > 0 {
-		r.count(end - c.end)
+	if p.lastEnd > 0 {
+		e.addInterval(end - p.lastEnd)
 	}
-	r.look()
-	c.take(end, r.every)
+	e.findInterval()
+	p.update(end, e.interval)
 }
 
-// take moves a clock to a pause that was seen. One that does not fit the former is believed when it is
-// seen a second time: a single long answer may have another cause.
-func (c *Phase) take(end core.Time, every time.Duration) {
+// update moves the phase to an observed pause. A pause that does not fit the previous one is accepted only when
+// it is observed a second time, since a single long answer may have another cause.
+func (p *Phase) update(end core.Time, interval time.Duration) {
 	switch {
-	case every == 0 || c.end == 0 || fits(end-c.end, every) || end-c.end > lastsFor*every:
-		c.end, c.stray = end, 0
-	case c.stray > 0 && end-c.stray >= sameWithin && fits(end-c.stray, every):
-		c.end, c.stray = end, 0
+	case interval == 0 || p.lastEnd == 0 || isMultiple(end-p.lastEnd, interval) || end-p.lastEnd > expiryIntervals*interval:
+		p.lastEnd, p.outlierEnd = end, 0
+	case p.outlierEnd > 0 && end-p.outlierEnd >= samePauseWithin && isMultiple(end-p.outlierEnd, interval):
+		p.lastEnd, p.outlierEnd = end, 0
 	default:
-		c.stray = end
+		p.outlierEnd = end
 	}
 }
 
-// fits reports whether a time is close to a multiple of an interval.
-func fits(gap, every time.Duration) bool {
-	off := gap % every
-	return min(off, every-off) <= 2*margin
+// isMultiple reports whether a time is close to a multiple of an interval.
+func isMultiple(gap, interval time.Duration) bool {
+	offset := gap % interval
+	return min(offset, interval-offset) <= 2*margin
 }
 
-func (r *Estimator) count(gap time.Duration) {
-	if gap < leastInterval || gap >= mostInterval {
+func (e *Estimator) addInterval(gap time.Duration) {
+	if gap < minInterval || gap >= maxInterval {
 		return
 	}
-	at := int((gap - leastInterval) / bucket)
-	r.counts[at]++
-	r.offsets[at] += (gap - leastInterval) % bucket
-	r.total++
-	if r.total < window {
+	at := int((gap - minInterval) / bucketWidth)
+	e.counts[at]++
+	e.offsets[at] += (gap - minInterval) % bucketWidth
+	e.total++
+	if e.total < halveAt {
 		return
 	}
-	r.total = 0
-	for i := range r.counts {
-		left := r.counts[i] / 2
-		r.offsets[i] = r.offsets[i] * time.Duration(left) / time.Duration(max(r.counts[i], 1))
-		r.counts[i] = left
-		r.total += int(r.counts[i])
+	e.total = 0
+	for i := range e.counts {
+		halved := e.counts[i] / 2
+		e.offsets[i] = e.offsets[i] * time.Duration(halved) / time.Duration(max(e.counts[i], 1))
+		e.counts[i] = halved
+		e.total += int(e.counts[i])
 	}
 }
 
-// look finds the interval that stands out, the shortest where several do alike.
-func (r *Estimator) look() {
-	best, most := -1, 0
-	for i := spread; i < buckets-spread; i++ {
-		near := 0
-		for j := i - spread; j <= i+spread; j++ {
-			near += int(r.counts[j])
+// findInterval sets the interval to that of the highest peak, the shortest among equal ones, or to 0 if there is
+// no sufficient peak.
+func (e *Estimator) findInterval() {
+	best, bestCount := -1, 0
+	for i := peakRadius; i < bucketCount-peakRadius; i++ {
+		count := 0
+		for j := i - peakRadius; j <= i+peakRadius; j++ {
+			count += int(e.counts[j])
 		}
-		if near > most {
-			best, most = i, near
+		if count > bestCount {
+			best, bestCount = i, count
 		}
 	}
-	r.every, r.lasts = 0, 0
-	if most < leastSeen || float64(most) < leastShare*float64(r.total) {
+	e.interval, e.duration = 0, 0
+	if bestCount < minPeakCount || float64(bestCount) < minPeakShare*float64(e.total) {
 		return
 	}
-	length, known := r.lengths.Quantile(lengthQuantile)
-	every := r.middle(best)
-	if !known || length > every/mostLength {
+	duration, known := e.durations.Quantile(durationQuantile)
+	interval := e.meanInterval(best)
+	if !known || duration > interval/minIntervalRatio {
 		return
 	}
-	r.every, r.lasts = every, length
+	e.interval, e.duration = interval, duration
 }
 
-// middle is the mean interval of the buckets around one. It is exact: eight intervals on, an expectation
-// is off by eight times its error.
-func (r *Estimator) middle(best int) time.Duration {
+// meanInterval returns the mean of the intervals counted around a bucket. It uses the exact offsets because a
+// prediction eight intervals ahead is off by eight times the error of the interval.
+func (e *Estimator) meanInterval(best int) time.Duration {
 	sum, count := time.Duration(0), time.Duration(0)
-	for j := best - spread; j <= best+spread; j++ {
-		sum += time.Duration(r.counts[j])*(leastInterval+time.Duration(j)*bucket) + r.offsets[j]
-		count += time.Duration(r.counts[j])
+	for j := best - peakRadius; j <= best+peakRadius; j++ {
+		sum += time.Duration(e.counts[j])*(minInterval+time.Duration(j)*bucketWidth) + e.offsets[j]
+		count += time.Duration(e.counts[j])
 	}
 	return sum / count
 }
 
-// Interval is the time from one pause to the next and how long one lasts; 0 while none stands out.
-func (r *Estimator) Interval() (every, lasts time.Duration) { return r.every, r.lasts }
+// Interval returns the time from one pause to the next and the duration of a pause, 0 while they are unknown.
+func (e *Estimator) Interval() (interval, duration time.Duration) { return e.interval, e.duration }
 
-// ExpectsPause reports whether work of a length that comes to a replica now would probably meet its pause.
-func (r *Estimator) ExpectsPause(c *Phase, work time.Duration, now core.Time) bool {
-	if r.Disabled || r.every == 0 || c.end == 0 || now-c.end > lastsFor*r.every {
+// ExpectsPause reports whether work of the given duration sent to a replica now would probably meet its pause.
+func (e *Estimator) ExpectsPause(p *Phase, work time.Duration, now core.Time) bool {
+	if e.Disabled || e.interval == 0 || p.lastEnd == 0 || now-p.lastEnd > expiryIntervals*e.interval {
 		return false
 	}
-	since := (now - c.end) % r.every
-	return now-c.end >= r.every-r.lasts-margin-work && (since < margin || since > r.every-r.lasts-margin-work)
+	since := (now - p.lastEnd) % e.interval
+	return now-p.lastEnd >= e.interval-e.duration-margin-work && (since < margin || since > e.interval-e.duration-margin-work)
 }
 
-// Age is how long ago a pause of a replica ended; false where none is known.
-func (c *Phase) Age(now core.Time) (time.Duration, bool) { return now - c.end, c.end > 0 }
+// Age returns how long ago the replica's last known pause ended, false if none is known.
+func (p *Phase) Age(now core.Time) (time.Duration, bool) { return now - p.lastEnd, p.lastEnd > 0 }
 
-// ObserveRemote takes the age of a pause that another node saw, unless a later one is known here.
-func (r *Estimator) ObserveRemote(c *Phase, age time.Duration, now core.Time) {
+// ObserveRemote records the age of a pause that another node observed, unless a later one is known here.
+func (e *Estimator) ObserveRemote(p *Phase, age time.Duration, now core.Time) {
 	end := now - age
-	if end <= c.end+sameWithin {
+	if end <= p.lastEnd+samePauseWithin {
 		return
 	}
-	if c.end > 0 {
-		r.count(end - c.end)
-		r.look()
+	if p.lastEnd > 0 {
+		e.addInterval(end - p.lastEnd)
+		e.findInterval()
 	}
-	c.take(end, r.every)
+	p.update(end, e.interval)
 }
