--- a/internal/core/policy/policy.go
+++ b/internal/core/policy/policy.go
@@ -1,6 +1,5 @@
-// Package policy is one version of the operator's configuration of the
-// forwarding tier: which request goes to which services, how long it may take
-// and what callers may send.
+// Package policy defines a version of the operator's configuration of the forwarding tier: which requests
+// go to which services, how long they may take and what callers may send.
 package policy
 
 import (
@@ -12,66 +11,63 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/coldstart"
 )
 
-// Config is one version of the configuration. It is immutable once Index was
-// called.
+// Config is one version of the configuration. It is immutable after Index has been called.
 type Config struct {
-	// Version is the operator's own number; versions rise in uneven steps.
+	// Version is the operator's version number; it increases, but not always by one.
 	Version  uint64
 	Routes   []*Route
 	Services map[string]Service
 	Limits   Limits
-	// Unreadable names the routes and services that could not be read and are left out.
+	// Unreadable names the routes and services that could not be decoded and were left out.
 	Unreadable []string
 
 	byHost map[string][]*Route
 }
 
-// Route says what is done with the requests of one host below one path prefix.
+// Route defines how the requests to one host below one path prefix are handled.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Idempotent requests may run more than once; others run at most once.
+	// Idempotent requests may run more than once; all others run at most once.
 	Idempotent bool
-	// Timeout is the longest that a caller is kept waiting.
+	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer has its full worth to the caller.
+	// TargetLatency is the time within which an answer has its full value to the caller.
 	TargetLatency time.Duration
-	// MaxReplicas bounds the replicas of one service that one request is sent to.
+	// MaxReplicas bounds the number of replicas of one service that a request is sent to.
 	MaxReplicas int
-	// Priority is the rank of the route; 0 comes first.
+	// Priority ranks the route; 0 is the highest priority.
 	Priority int
-	// Shares are the services that take the requests, each its part of them.
-	// They are empty on a route that gathers.
+	// Shares lists the services with their weights. It is empty for a route with Gather set.
 	Shares []Share
-	// Regions are those whose replicas may see the requests; none is all.
+	// Regions names the regions whose replicas may get the requests; empty allows all.
 	Regions []string
-	// Gather is set when a request goes to one replica of each shard.
+	// Gather is set if a request goes to one replica of each shard.
 	Gather *Gather
 }
 
-// Share is a service's part of a route's requests.
+// Share is a service's share of a route's requests, by weight.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Gather says how the parts of all shards become one answer.
+// Gather defines how the parts of all shards are combined into one answer.
 type Gather struct {
-	// Shards are services; each holds one part of the index.
+	// Shards names the services that each hold one part of the index.
 	Shards []string
-	// TopK is the number of records of an answer.
+	// TopK is the number of records in an answer.
 	TopK int
-	// MinCoverage is the share of shards, 0 to 1, below which an answer is a
-	// failure.
+	// MinCoverage is the share of shards, 0 to 1, below which a request fails.
 	MinCoverage float64
 }
 
-// MinParts is the number of parts that an answer needs at least. A share above 1 asks for all
-// of them: as it stands, no answer could ever have enough.
+// MinParts returns the least number of parts of an answer. A MinCoverage above 1 requires all parts; taken
+// literally, no answer could have enough.
 func (g *Gather) MinParts() int {
-	// A tiny subtraction keeps 0.75 of 20 at 15 despite binary fractions.
+	// The slack keeps 0.75 of 20 at 15 despite the rounding errors of binary fractions.
 	const roundingSlack = 1e-9
 	exact := g.MinCoverage * float64(len(g.Shards))
 	least := int(exact)
@@ -81,16 +77,16 @@
 	return max(min(least, len(g.Shards)), 1)
 }
 
-// Service is what is known of a service besides its replicas.
+// Service holds the settings of a service.
 type Service struct {
 	Name string
-	// MaxConnections is what one replica accepts from all its callers together.
+	// MaxConnections is the number of connections that a replica accepts from all its callers together.
 	MaxConnections int
-	// Cold is what a replica bears while it is cold.
+	// Cold bounds the request rate of a cold replica.
 	Cold coldstart.Bound
 }
 
-// Limits bound what a caller may send and how slowly.
+// Limits bounds the size of callers' requests and the time to receive them.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -98,7 +94,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Index prepares the configuration for Find.
+// Index builds the index that Find uses.
 func (c *Config) Index() {
 	c.byHost = make(map[string][]*Route)
 	for _, route := range c.Routes {
@@ -110,8 +106,7 @@
 	}
 }
 
-// Find returns the route with the longest prefix of the path among those of the
-// host, or nil. A port in host is ignored.
+// Find returns the host's route with the longest prefix of the path, or nil. A port in host is ignored.
 func (c *Config) Find(host, path string) *Route {
 	for _, route := range c.byHost[strings.ToLower(withoutPort(host))] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -121,8 +116,8 @@
 	return nil
 }
 
-// withoutPort cuts the port off a Host header's value; the colons of an IPv6 number lie
-// within brackets.
+// withoutPort removes the port from the value of a Host header. An IPv6 address is in brackets, so that its
+// colons are not taken for the port's.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.HasSuffix(host, "]") {
@@ -131,7 +126,7 @@
 	return host[:colon]
 }
 
-// GatheredServices lists the services that are shards of any route.
+// GatheredServices returns the set of services that are shards of any route.
 func (c *Config) GatheredServices() map[string]bool {
 	shards := map[string]bool{}
 	for _, route := range c.Routes {
--- a/internal/core/policy/policy_test.go
+++ b/internal/core/policy/policy_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestFindReturnsTheLongestPrefixOfTheHost(t *testing.T) {
 	short := &Route{Name: "short", Host: "search.example", Prefix: "/a/"}
 	long := &Route{Name: "long", Host: "search.example", Prefix: "/a/b/"}
 	other := &Route{Name: "other", Host: "other.example", Prefix: "/a/b/c/"}
@@ -22,7 +22,7 @@
 	require.Nil(t, config.Find("nobody.example", "/a/b/"))
 }
 
-func TestLeastRoundsUpButNotForBinaryFractions(t *testing.T) {
+func TestMinPartsRoundsUpDespiteBinaryFractions(t *testing.T) {
 	shards := make([]string, 20)
 	require.Equal(t, 15, (&Gather{Shards: shards, MinCoverage: 0.75}).MinParts())
 	require.Equal(t, 18, (&Gather{Shards: shards, MinCoverage: 0.89}).MinParts())
@@ -31,8 +31,8 @@
 	require.Equal(t, 20, (&Gather{Shards: shards, MinCoverage: 1.5}).MinParts())
 }
 
-// An operator moves a tenth of a quiet route to a new service and watches the
-// counts: after 40 requests a random split may have sent it none or eight.
+// An operator moves a tenth of a route with little traffic to a new service and watches the counts. A random split may
+// have sent it none or eight of 40 requests.
 func TestSharesAreExactAtLowCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(1, 20), 2, 5).Draw(t, "weights")
@@ -49,13 +49,13 @@
 			got[splitter.Next(route)]++
 		}
 		for i, weight := range weights {
-			due := float64(count) * float64(weight) / float64(total)
-			require.InDelta(t, due, got[route.Shares[i].Service], float64(len(weights)))
+			expected := float64(count) * float64(weight) / float64(total)
+			require.InDelta(t, expected, got[route.Shares[i].Service], float64(len(weights)))
 		}
 	})
 }
 
-func TestAServiceWithoutWeightGetsNothing(t *testing.T) {
+func TestAServiceWithoutWeightGetsNoRequests(t *testing.T) {
 	route := &Route{Name: "r", Shares: []Share{{"old", 0}, {"new", 1}}}
 	splitter := NewSplitter()
 	for range 10 {
--- a/internal/core/policy/shares.go
+++ b/internal/core/policy/shares.go
@@ -2,70 +2,68 @@
 
 import "strings"
 
-// maxSplits bounds the routes whose turn is remembered. Configurations may bring
-// new route names for ever; a forgotten turn only begins anew.
-const maxSplits = 4096
+// maxStates bounds the number of routes whose state is kept, since configurations may add new route names
+// without limit. A dropped state only starts again from zero.
+const maxStates = 4096
 
-// Splitter deals the requests of routes with several services out by weight. It
-// gives each next request to the service that is furthest behind its share
-// (smooth weighted round robin), so that the shares are exact to within one
-// request at any count, where a random draw is off by several in a hundred. It
-// is not safe for concurrent use.
+// Splitter distributes the requests of routes with several services by weight. Each request goes to the
+// service with the largest deficit (smooth weighted round robin), so that the shares are exact to within one
+// request at any count; a random choice would be off by several per hundred. It is not safe for concurrent
+// use.
 type Splitter struct {
-	turns map[string]*turn
+	states map[string]*splitState
 }
 
-// turn is the state of one route's split.
-type turn struct {
-	shares string
-	behind []float64
+// splitState is the state of one route's split.
+type splitState struct {
+	services string
+	deficits []float64
 }
 
-// NewSplitter makes an empty splitter.
-func NewSplitter() *Splitter { return &Splitter{turns: map[string]*turn{}} }
+// NewSplitter returns an empty splitter.
+func NewSplitter() *Splitter { return &Splitter{states: map[string]*splitState{}} }
 
-// Next names the service for the route's next request; "" when the route has no
-// service with a weight.
+// Next returns the service for the route's next request, or "" if no service of the route has a positive weight.
 func (s *Splitter) Next(route *Route) string {
 	if len(route.Shares) == 1 {
 		return route.Shares[0].Service
 	}
-	state := s.turn(route)
+	state := s.state(route)
 	total, best := 0.0, -1
 	for i, share := range route.Shares {
 		if share.Weight <= 0 {
 			continue
 		}
 		total += share.Weight
-		state.behind[i] += share.Weight
-		if best < 0 || state.behind[i] > state.behind[best] {
+		state.deficits[i] += share.Weight
+		if best < 0 || state.deficits[i] > state.deficits[best] {
 			best = i
 		}
 	}
 	if best < 0 {
 		return ""
 	}
-	state.behind[best] -= total
+	state.deficits[best] -= total
 	return route.Shares[best].Service
 }
 
-func (s *Splitter) turn(route *Route) *turn {
-	shares := describe(route.Shares)
-	state := s.turns[route.Name]
-	if state != nil && state.shares == shares {
+func (s *Splitter) state(route *Route) *splitState {
+	services := servicesKey(route.Shares)
+	state := s.states[route.Name]
+	if state != nil && state.services == services {
 		return state
 	}
-	if len(s.turns) >= maxSplits {
-		clear(s.turns)
+	if len(s.states) >= maxStates {
+		clear(s.states)
 	}
-	state = &turn{shares: shares, behind: make([]float64, len(route.Shares))}
-	s.turns[route.Name] = state
+	state = &splitState{services: services, deficits: make([]float64, len(route.Shares))}
+	s.states[route.Name] = state
 	return state
 }
 
-// describe tells two lists of services apart. New weights of the same services
-// go on from where the former ones were.
-func describe(shares []Share) string {
+// servicesKey identifies a list of services. It leaves out the weights, so that a change of weights keeps the
+// deficits.
+func servicesKey(shares []Share) string {
 	var b strings.Builder
 	for _, share := range shares {
 		b.WriteString(share.Service)
--- a/internal/core/route/order.go
+++ b/internal/core/route/order.go
@@ -6,24 +6,24 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Order returns all nodes in the rendezvous order of a key, those of the data
-// centre first. The slice is the caller's.
+// Order returns all nodes in the rendezvous order of a key, those of the given data centre first. The caller owns
+// the slice.
 func (v *View) Order(key core.BundleID, dataCentre string) []Node {
 	seed := core.Mix64(uint64(key))
-	places := make([]int, len(v.nodes))
-	for i := range places {
-		places[i] = i
+	indexes := make([]int, len(v.nodes))
+	for i := range indexes {
+		indexes[i] = i
 	}
-	sort.Slice(places, func(i, j int) bool {
-		a, b := places[i], places[j]
+	sort.Slice(indexes, func(i, j int) bool {
+		a, b := indexes[i], indexes[j]
 		localA, localB := v.nodes[a].DataCentre == dataCentre, v.nodes[b].DataCentre == dataCentre
 		if localA != localB {
 			return localA
 		}
-		return before(core.Mix64(v.hashes[a]^seed), a, core.Mix64(v.hashes[b]^seed), b)
+		return precedes(core.Mix64(v.hashes[a]^seed), a, core.Mix64(v.hashes[b]^seed), b)
 	})
-	ordered := make([]Node, 0, len(places))
-	for _, i := range places {
+	ordered := make([]Node, 0, len(indexes))
+	for _, i := range indexes {
 		ordered = append(ordered, v.nodes[i])
 	}
 	return ordered
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -27,8 +27,8 @@
 			require.Equal(t, rank < 4, node.DataCentre == "dc2")
 			seen[node.ID] = true
 			if rank > 0 {
-				former, _ := view.Rank(bundle, "dc2", rank-1)
-				require.Equal(t, former, First(node, former, bundle, "dc2"))
+				previous, _ := view.Rank(bundle, "dc2", rank-1)
+				require.Equal(t, previous, First(node, previous, bundle, "dc2"))
 			}
 			require.Equal(t, node, view.Order(bundle, "dc2")[rank])
 			require.Equal(t, rank, view.RankOf(bundle, "dc2", node))
@@ -39,8 +39,7 @@
 	}
 }
 
-// When a node is lost, only the bundles that it owned may move, each to the node
-// that stood next in its order.
+// When a node is lost, only the bundles that it owned may move, each to the node that was next in its order.
 func TestALostNodeMovesOnlyItsOwnBundles(t *testing.T) {
 	before := testView(16)
 	lost := before.Nodes()[6].ID
