--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -92,10 +92,10 @@
 	}
 }
 
-// PutResult tells how a report of a replica was handled.
+// PutResult is the outcome of a report of a replica.
 type PutResult int
 
-// The results of Put and Suspect.
+// The values of PutResult.
 const (
 	// Added means that a replica is newly listed.
 	Added PutResult = iota
--- a/internal/core/replica/seen.go
+++ b/internal/core/replica/seen.go
@@ -36,7 +36,7 @@
 // half a minute after a stall of one second.
 const maxSlowness = 10
 
-// Answered records a complete answer. Typical is the route's typical latency, 0 while it is unknown.
+// Answered records a complete answer. The argument typical is the route's typical latency, 0 while it is unknown.
 func (t *Table) Answered(incarnation Incarnation, took, typical time.Duration, now core.Time) {
 	known := t.find(incarnation)
 	if known == nil {
--- a/internal/core/scatter/event.go
+++ b/internal/core/scatter/event.go
@@ -71,7 +71,7 @@
 	Unreachable     bool
 }
 
-// Reason tells why a send is withheld. Reasons are values of a metric label and of a log field.
+// Reason explains why a send is withheld. Reasons are values of a metric label and of a log field.
 type Reason string
 
 // The reasons of withheld sends.
@@ -109,7 +109,7 @@
 func (Wake) isAction()           {}
 func (Finish) isAction()         {}
 
-// Cause tells why a send was made.
+// Cause explains why a send was made.
 type Cause string
 
 // The causes of sends.
