--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -50,9 +50,9 @@
 		bound.Ratio, bound.Allowance = 1000, 1000
 	}
 	n := &node{world: w, place: place, outlook: outlook.New(place.Name, nil, bound, w.random.Float64), pools: map[*upstream]*pool{}}
-	n.outlook.Book.Pauses.Off = w.options.without(Pauses)
+	n.outlook.Replicas.Pauses.Disabled = w.options.without(Pauses)
 	for _, u := range w.upstreams {
-		n.outlook.Book.Put(u.entry)
+		n.outlook.Replicas.Put(u.entry)
 		n.pools[u] = &pool{free: w.connections(place.Name, u.entry.DataCentre)}
 	}
 	return n
@@ -89,7 +89,7 @@
 func (n *node) ask(kind Kind, left time.Duration, done func(scatter.Result)) {
 	route := n.world.route(kind)
 	now := n.world.clock.now
-	plan := n.outlook.Plan(outlook.Ask{Route: route, Services: n.outlook.Services(route, now), Arrived: now, Wait: left, Left: left, Way: onTheWay})
+	plan := n.outlook.Plan(outlook.Request{Route: route, Services: n.outlook.Services(route, now), Arrived: now, MaxWait: left, RemainingTime: left, TransitTime: onTheWay})
 	n.world.options.change(&plan)
 	q := &request{node: n, kind: kind, route: route, plan: plan, done: done}
 	var chooser scatter.Chooser = unexpecting{Chooser: n.outlook.Chooser(route), early: n.world.options.without(Early), reach: n.world.options.without(Reach)}
@@ -109,12 +109,12 @@
 		switch a := action.(type) {
 		case scatter.Send:
 			q.send(a)
-		case scatter.Withdraw:
+		case scatter.CancelSend:
 			q.transfers[a.ID].withdraw()
-		case scatter.Late:
+		case scatter.SendOverdue:
 			one := q.transfers[a.Send]
 			if !w.options.without(Overdue) {
-				q.node.outlook.Book.Overdue(one.send.Replica.Life(), w.clock.now)
+				q.node.outlook.Replicas.Overdue(one.send.Replica.Incarnation(), w.clock.now)
 			}
 		case scatter.Wake:
 			q.ticks++
@@ -141,11 +141,11 @@
 	w.report.Rejected++
 	inTime := 0
 	for _, service := range q.plan.Services {
-		if slices.ContainsFunc(w.byService[service], func(u *upstream) bool { return u.wait(w.clock.now, q.kind.Work) <= q.plan.Aim }) {
+		if slices.ContainsFunc(w.byService[service], func(u *upstream) bool { return u.wait(w.clock.now, q.kind.Work) <= q.plan.TargetLatency }) {
 			inTime++
 		}
 	}
-	if inTime >= q.plan.Least {
+	if inTime >= q.plan.MinParts {
 		w.report.WronglyRejected++
 	}
 }
@@ -155,13 +155,13 @@
 	n := q.node
 	one := &transfer{request: q, send: a, to: n.world.byID[a.Replica.ID], via: n, way: nearWay, began: n.world.clock.now}
 	q.transfers = append(q.transfers, one)
-	if a.Far {
+	if a.Remote {
 		one.way = farWay
 		if helper := n.world.helper(a.Replica.DataCentre); helper != nil && a.Cause == scatter.First {
 			one.via = helper
 		}
 	}
-	n.outlook.Book.Sent(a.Replica.Life(), n.world.clock.now)
+	n.outlook.Replicas.Sent(a.Replica.Incarnation(), n.world.clock.now)
 	p := one.via.pools[one.to]
 	if p.free > 0 {
 		p.free--
@@ -194,21 +194,21 @@
 	t.ended = true
 	t.release()
 	q, w := t.request, t.request.node.world
-	life, now := t.send.Replica.Life(), w.clock.now
+	life, now := t.send.Replica.Incarnation(), w.clock.now
 	took := now - t.began
 	if t.via != q.node {
 		t.tell(took, verdict)
 	}
 	if t.withdrawn {
-		if verdict == scatter.Whole {
+		if verdict == scatter.Succeeded {
 			q.node.outlook.AnsweredLate(q.route, life, took, now)
 		}
 		return
 	}
-	book := q.node.outlook.Book
+	book := q.node.outlook.Replicas
 	book.Ended(life)
 	switch verdict {
-	case scatter.Whole:
+	case scatter.Succeeded:
 		if w.options.without(Slowness) {
 			took = min(took, q.kind.Work)
 		}
@@ -226,18 +226,18 @@
 			book.Unreached(life, now)
 		}
 	}
-	q.step(scatter.Ended{Send: t.send.ID, Verdict: verdict})
+	q.step(scatter.SendEnded{Send: t.send.ID, Verdict: verdict})
 }
 
 // tell lets the node that sent learn from an answer, and the one that asked it from what that one
 // knows of the replica's pauses.
 func (t *transfer) tell(took time.Duration, verdict scatter.Verdict) {
-	q, life, now := t.request, t.send.Replica.Life(), t.request.node.world.clock.now
-	if verdict == scatter.Whole {
+	q, life, now := t.request, t.send.Replica.Incarnation(), t.request.node.world.clock.now
+	if verdict == scatter.Succeeded {
 		t.via.outlook.AnsweredLate(q.route, life, took-2*(farWay-nearWay), now)
 	}
-	if age, known := t.via.outlook.Book.PauseAge(life, now); known {
-		q.node.outlook.Book.PauseHeard(life, age, now)
+	if age, known := t.via.outlook.Replicas.PauseAge(life, now); known {
+		q.node.outlook.Replicas.ReceivePause(life, age, now)
 	}
 }
 
@@ -249,7 +249,7 @@
 	}
 	t.withdrawn = true
 	n := t.request.node
-	n.outlook.Book.Ended(t.send.Replica.Life())
+	n.outlook.Replicas.Ended(t.send.Replica.Incarnation())
 	p := t.via.pools[t.to]
 	if i := slices.Index(p.waiting, t); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
@@ -293,7 +293,7 @@
 		choice.Busy, choice.Unreachable = false, false
 	}
 	if u.reach && len(tried) > 0 {
-		choice.Expect = 0
+		choice.ExpectedLatency = 0
 	}
 	return choice, ok
 }
@@ -327,5 +327,5 @@
 	if best == nil {
 		return replica.Choice{}, false
 	}
-	return replica.Choice{Replica: best.entry, Far: best.entry.DataCentre != o.node.place.Name, Expect: bestWait, Busy: true}, true
+	return replica.Choice{Replica: best.entry, Remote: best.entry.DataCentre != o.node.place.Name, ExpectedLatency: bestWait, Busy: true}, true
 }
