--- a/internal/confservice/confservice.go
+++ b/internal/confservice/confservice.go
@@ -104,8 +104,8 @@
 
 // place puts a revision into its era; one that no place holds is an error.
 func place(told, revision uint64) (uint64, error) {
-	if revision > era.MostRevision {
-		return 0, platformFault(fmt.Sprintf("the platform's revision is %d, at most %d is possible", revision, uint64(era.MostRevision)), nil)
+	if revision > era.MaxRevision {
+		return 0, platformFault(fmt.Sprintf("the platform's revision is %d, at most %d is possible", revision, uint64(era.MaxRevision)), nil)
 	}
 	return era.Place(told, revision), nil
 }
@@ -126,7 +126,7 @@
 	known := c.era.Load()
 	told, err := strconv.ParseUint(header.Get(HeaderEra), decimal, 64)
 	switch {
-	case err != nil || told > era.Most:
+	case err != nil || told > era.Max:
 		return known, nil
 	case told < known:
 		return 0, platformFault(fmt.Sprintf("the platform answers from era %d, era %d is known already", told, known), nil)
--- a/internal/confwatch/asks.go
+++ b/internal/confwatch/asks.go
@@ -139,12 +139,12 @@
 	now := w.Now()
 	ok := reply != nil
 	if ok {
-		if !w.follower.Direct() {
+		if !w.follower.ReadsService() {
 			w.act(w.machine.Confirm(now))
 		}
 		ok = w.take(one, reply)
 	}
-	w.follow(w.follower.Polled(now, one.node.ID, ok))
+	w.follow(w.follower.PollEnded(now, one.node.ID, ok))
 }
 
 func markOf(reply *peerpb.ConfigReply) config.Mark {
@@ -160,7 +160,7 @@
 	whole := len(reply.GetText()) > 0
 	w.hearRefusal(reply)
 	if reply.GetUnchanged() || mark == w.machine.InForce() || !whole && one.have != w.machine.InForce() {
-		w.act(w.machine.Learn(w.Now(), one.node.ID, mark))
+		w.act(w.machine.PeerReported(w.Now(), one.node.ID, mark))
 		return true
 	}
 	text, err := w.textOf(reply)
@@ -182,7 +182,7 @@
 		return
 	}
 	mark := config.Mark{Revision: reply.GetRefusedRevision(), Digest: reply.GetRefusedDigest()}
-	w.act(w.machine.HearRefusal(w.Now(), config.Refusal{Mark: mark, Reason: reply.GetRefusedReason()}))
+	w.act(w.machine.PeerRefused(w.Now(), config.Refusal{Mark: mark, Reason: reply.GetRefusedReason()}))
 }
 
 func (w *Watcher) misfit(one *ask, mark config.Mark, whole bool) {
--- a/internal/confwatch/confwatch.go
+++ b/internal/confwatch/confwatch.go
@@ -144,7 +144,7 @@
 
 func (turn) apply(w *Watcher) {
 	w.gatherPeers()
-	w.follow(w.follower.Turn(w.Now(), w.Belief.View(), w.machine.InForce().Revision))
+	w.follow(w.follower.SetView(w.Now(), w.Belief.View(), w.machine.InForce().Revision))
 }
 
 type tick struct{}
@@ -154,7 +154,7 @@
 	paused := now-w.lastTick > pausedAfter
 	w.lastTick = now
 	if paused {
-		w.follow(w.follower.Woke(now))
+		w.follow(w.follower.Resume(now))
 	}
 	w.expireAsks(now)
 	w.expireParked(now)
@@ -172,7 +172,7 @@
 	if !w.machine.Gathering() || len(view.Nodes()) == 0 || now < w.nextGather {
 		return
 	}
-	w.nextGather = now + config.GatherEvery
+	w.nextGather = now + config.GatherRetryInterval
 	peers := config.StartPeers(view, w.Self)
 	w.act(w.machine.AskPeers(now, peers))
 	for _, node := range peers {
--- a/internal/confwatch/observe.go
+++ b/internal/confwatch/observe.go
@@ -44,7 +44,7 @@
 	observe.Gauge(w.Metrics, "config_revision").Update(int64(w.machine.InForce().Revision))
 	observe.Gauge(w.Metrics, "config_age_ms").Update(w.machine.Age(w.Now()).Milliseconds())
 	observe.Gauge(w.Metrics, "config_relay").Update(flag(w.follower.Relay()))
-	observe.Gauge(w.Metrics, "config_reads_service").Update(flag(w.follower.Direct()))
+	observe.Gauge(w.Metrics, "config_reads_service").Update(flag(w.follower.ReadsService()))
 	observe.Gauge(w.Metrics, "config_parked_polls").Update(int64(len(w.parked)))
 }
 
@@ -97,7 +97,7 @@
 		InForce:  w.machine.InForce(),
 		AgeMs:    w.machine.Age(w.Now()).Milliseconds(),
 		Relay:    w.follower.Relay(),
-		Direct:   w.follower.Direct(),
+		Direct:   w.follower.ReadsService(),
 		Watching: w.machine.WatchAfter(),
 		Targets:  append([]core.NodeID(nil), w.follower.Targets()...),
 		Asks:     len(w.asks),
--- a/internal/confwatch/paired_test.go
+++ b/internal/confwatch/paired_test.go
@@ -83,7 +83,7 @@
 		w.heal()
 		nearMark := config.Mark{Revision: 4, Digest: digest(near)}
 		farMark := config.Mark{Revision: farRevision, Digest: digest(far)}
-		if farMark.Above(nearMark) {
+		if farMark.Supersedes(nearMark) {
 			w.await("healed", everywhere(w.nodes, farRevision, far))
 		} else {
 			w.await("healed", everywhere(w.nodes, 4, near))
--- a/internal/confwatch/serve.go
+++ b/internal/confwatch/serve.go
@@ -51,7 +51,7 @@
 	if h.mark.Digest == 0 && h.mark.Revision <= current.Revision {
 		return
 	}
-	w.act(w.machine.Learn(w.Now(), h.node, h.mark))
+	w.act(w.machine.PeerReported(w.Now(), h.node, h.mark))
 }
 
 // request is a ConfigRequest of another node.
@@ -62,7 +62,7 @@
 	have := config.Mark{Revision: asked.GetHaveRevision(), Digest: asked.GetHaveDigest()}
 	if !asked.GetMarkOnly() && have.Revision != 0 && !w.machine.Gathering() {
 		// Whoever asks may be ahead, or have another text under this revision.
-		w.act(w.machine.Learn(w.Now(), r.inbound.From.Node, have))
+		w.act(w.machine.PeerReported(w.Now(), r.inbound.From.Node, have))
 	}
 	current := w.machine.InForce()
 	// A refusal below what the asker has in force is no news to it.
@@ -71,7 +71,7 @@
 	switch {
 	case asked.GetMarkOnly():
 		r.inbound.Reply(w.unchanged(), true)
-	case current.Above(have):
+	case current.Supersedes(have):
 		r.inbound.Reply(envelope(w.history.replyTo(have, w.Belief.Config())), true)
 	case w.knowsRefusalAbove(refused):
 		r.inbound.Reply(w.unchanged(), true)
@@ -88,7 +88,7 @@
 func (w *Watcher) answerParked() {
 	current := w.machine.InForce()
 	w.keepParked(func(p *parked) bool {
-		if !current.Above(p.have) {
+		if !current.Supersedes(p.have) {
 			return true
 		}
 		p.inbound.Reply(envelope(w.history.replyTo(p.have, w.Belief.Config())), true)
--- a/internal/confwatch/service.go
+++ b/internal/confwatch/service.go
@@ -91,7 +91,7 @@
 		w.readFailed = false
 		w.act(w.machine.Offer(now, r.reading))
 	}
-	w.follow(w.follower.Read(now, r.err == nil && !r.withdrawn))
+	w.follow(w.follower.ReadEnded(now, r.err == nil && !r.withdrawn))
 }
 
 // noteReadFailed logs the first failure of a row: a service that is down all
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -15,10 +15,10 @@
 	Digest   uint64 `json:"digest"`
 }
 
-// Above reports whether a valid text so marked replaces one marked other. Of
+// Supersedes reports whether a valid text so marked replaces one marked other. Of
 // two texts under one revision the greater digest wins: any order does, if all
 // nodes compute the same one, whichever text they saw first.
-func (m Mark) Above(other Mark) bool {
+func (m Mark) Supersedes(other Mark) bool {
 	if m.Revision != other.Revision {
 		return m.Revision > other.Revision
 	}
@@ -37,8 +37,8 @@
 const (
 	FromService Source = iota
 	FromPeer
-	// FromReport is a peer's word that it refused a text, without the text.
-	FromReport
+	// FromPeerRefusal is a peer's word that it refused a text, without the text.
+	FromPeerRefusal
 )
 
 // Reading is a text read from the service or received from a peer. Catalog is
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -110,9 +110,9 @@
 	nodes := fleet(2, 1)
 	m.AskPeers(0, nodes)
 	m.ServiceFailed(1)
-	actions := m.Learn(1, nodes[0].ID, Mark{7, 1})
+	actions := m.PeerReported(1, nodes[0].ID, Mark{7, 1})
 	assert.Equal(t, []Action{Fetch{nodes[0].ID}}, actions)
-	m.Learn(2, nodes[1].ID, Mark{9, 1})
+	m.PeerReported(2, nodes[1].ID, Mark{9, 1})
 	actions = m.Offer(3, reading(7, 1, FromPeer))
 	assert.Equal(t, []Action{Fetch{nodes[1].ID}}, actions, "a higher revision is claimed")
 	assert.True(t, m.Gathering())
@@ -166,7 +166,7 @@
 					t.Fatalf("adopted %v, in force %v", adopted.Reading.Mark, m.InForce())
 				}
 			}
-			if before.Above(m.InForce()) {
+			if before.Supersedes(m.InForce()) {
 				t.Fatalf("%v replaced %v", m.InForce(), before)
 			}
 			before = m.InForce()
@@ -191,7 +191,7 @@
 	case 3:
 		return m.AskPeers(now, nodes)
 	case 4:
-		return m.Learn(now, node, mark)
+		return m.PeerReported(now, node, mark)
 	case 5:
 		return m.PeerFailed(now, node)
 	default:
@@ -237,7 +237,7 @@
 		require.Len(t, relays, activeRelays)
 		for _, node := range relays {
 			turns[node.ID]++
-			targets, relay := Targets(view, node.ID, "dc1", revision)
+			targets, relay := PollTargets(view, node.ID, "dc1", revision)
 			assert.True(t, relay)
 			assert.Len(t, targets, 1+3)
 		}
@@ -246,7 +246,7 @@
 	for _, count := range turns {
 		assert.Equal(t, 10, count, "a quarter of the revisions")
 	}
-	assert.LessOrEqual(t, float64(780)/Gap(780).Seconds(), float64(directReads))
+	assert.LessOrEqual(t, float64(780)/MinReadInterval(780).Seconds(), float64(directReads))
 }
 
 // Both relays of a node die. It sees the links fail, reads the service itself
@@ -262,13 +262,13 @@
 		}
 	}
 	f := NewFollower(self, "dc0", func() float64 { return 0 })
-	assert.Equal(t, []FollowAction{Watch{}}, f.Turn(0, view, 0), "nothing in force")
-	f.Read(0, true)
-	assert.Equal(t, []FollowAction{Poll{relays[0], PollWait}, Poll{relays[1], PollWait / 2}}, f.Turn(1, view, 5))
-	assert.Empty(t, f.Polled(time.Second, relays[0].ID, false))
-	assert.Equal(t, []FollowAction{Watch{Wait: WatchWait}}, f.Polled(time.Second, relays[1].ID, false))
+	assert.Equal(t, []FollowAction{Watch{}}, f.SetView(0, view, 0), "nothing in force")
+	f.ReadEnded(0, true)
+	assert.Equal(t, []FollowAction{Poll{relays[0], PollWait}, Poll{relays[1], PollWait / 2}}, f.SetView(1, view, 5))
+	assert.Empty(t, f.PollEnded(time.Second, relays[0].ID, false))
+	assert.Equal(t, []FollowAction{Watch{Wait: WatchWait}}, f.PollEnded(time.Second, relays[1].ID, false))
 	f.Tick(3 * time.Second)
-	assert.Contains(t, f.Polled(3*time.Second, relays[1].ID, true), FollowAction(CancelWatch{}))
+	assert.Contains(t, f.PollEnded(3*time.Second, relays[1].ID, true), FollowAction(CancelWatch{}))
 	silent := f.Tick(3*time.Second + pollOverdue)
 	assert.Contains(t, silent, FollowAction(CancelPoll{relays[0].ID}))
 }
@@ -290,9 +290,9 @@
 		}
 		return started, cancelled
 	}
-	asked, _ := polls(f.Turn(0, view, 1))
+	asked, _ := polls(f.SetView(0, view, 1))
 	require.Positive(t, asked)
-	started, cancelled := polls(f.Woke(time.Minute))
+	started, cancelled := polls(f.Resume(time.Minute))
 	assert.Equal(t, [2]int{asked, asked}, [2]int{started, cancelled})
 }
 
--- a/internal/core/config/follow.go
+++ b/internal/core/config/follow.go
@@ -98,8 +98,8 @@
 // Relay reports whether this node is a relay at present.
 func (f *Follower) Relay() bool { return f.relay }
 
-// Direct reports whether this node reads the service.
-func (f *Follower) Direct() bool { return f.relay || !f.followed() }
+// ReadsService reports whether this node reads the service.
+func (f *Follower) ReadsService() bool { return f.relay || !f.followed() }
 
 // View returns the view that the relays were chosen from.
 func (f *Follower) View() *route.View { return f.view }
@@ -107,14 +107,14 @@
 // Targets lists the relays followed, in the order in which they are asked.
 func (f *Follower) Targets() []core.NodeID { return f.order }
 
-// Turn takes the present view and revision: both choose the relays. A node with
+// SetView takes the present view and revision: both choose the relays. A node with
 // nothing in force, revision 0, follows nobody and reads the service.
-func (f *Follower) Turn(now core.Time, view *route.View, revision uint64) []FollowAction {
+func (f *Follower) SetView(now core.Time, view *route.View, revision uint64) []FollowAction {
 	f.view = view
 	var nodes []route.Node
 	f.relay = false
 	if revision != 0 {
-		nodes, f.relay = Targets(view, f.self, f.dataCentre, revision)
+		nodes, f.relay = PollTargets(view, f.self, f.dataCentre, revision)
 	}
 	wanted := map[core.NodeID]bool{}
 	f.order = f.order[:0]
@@ -139,8 +139,8 @@
 	return append(actions, f.Tick(now)...)
 }
 
-// Polled records the end of a poll; ok is false when no answer came.
-func (f *Follower) Polled(now core.Time, node core.NodeID, ok bool) []FollowAction {
+// PollEnded records the end of a poll; ok is false when no answer came.
+func (f *Follower) PollEnded(now core.Time, node core.NodeID, ok bool) []FollowAction {
 	known := f.targets[node]
 	if known == nil || !known.polling {
 		return nil
@@ -155,16 +155,16 @@
 	return f.Tick(now)
 }
 
-// Read records the end of a service read; ok is false when it failed.
-func (f *Follower) Read(now core.Time, ok bool) []FollowAction {
+// ReadEnded records the end of a service read; ok is false when it failed.
+func (f *Follower) ReadEnded(now core.Time, ok bool) []FollowAction {
 	f.watching = false
 	f.shown = f.shown || ok
 	return f.Tick(now)
 }
 
-// Woke starts everything anew after the process was paused: the answers to what
+// Resume starts everything anew after the process was paused: the answers to what
 // was asked before the pause may have been lost with their connections.
-func (f *Follower) Woke(now core.Time) []FollowAction {
+func (f *Follower) Resume(now core.Time) []FollowAction {
 	var actions []FollowAction
 	f.heard = now
 	for _, id := range f.order {
@@ -239,7 +239,7 @@
 // follows none. The first read is a plain one, which also shows a text that is
 // older than, or differs from, what the peers have.
 func (f *Follower) watch(now core.Time) []FollowAction {
-	wanted := f.Direct() || !f.attempted
+	wanted := f.ReadsService() || !f.attempted
 	switch {
 	case f.watching && !wanted:
 		return []FollowAction{CancelWatch{}}
@@ -255,7 +255,7 @@
 }
 
 func (f *Follower) gap() time.Duration {
-	return time.Duration(f.share * float64(Gap(len(f.view.Nodes()))))
+	return time.Duration(f.share * float64(MinReadInterval(len(f.view.Nodes()))))
 }
 
 // followed reports whether a relay is believed to answer.
--- a/internal/core/config/gather.go
+++ b/internal/core/config/gather.go
@@ -47,8 +47,8 @@
 	return m.finish()
 }
 
-// Learn records that a peer has the marked text in force.
-func (m *Machine) Learn(now core.Time, peer core.NodeID, mark Mark) []Action {
+// PeerReported records that a peer has the marked text in force.
+func (m *Machine) PeerReported(now core.Time, peer core.NodeID, mark Mark) []Action {
 	m.begin(now)
 	if known := m.gather.peers[peer]; known != nil {
 		known.answer, known.claim = answered, mark
@@ -77,7 +77,7 @@
 	if mark.conflicts(current) {
 		m.noteConflict(mark)
 	}
-	if mark.Above(current) && mark != m.refused.Mark && mark != m.refusedPeer {
+	if mark.Supersedes(current) && mark != m.refused.Mark && mark != m.refusedPeer {
 		m.startFetch(peer)
 	}
 }
@@ -108,7 +108,7 @@
 		if peer.answer != answered || peer.claim == m.refused.Mark || peer.claim == m.refusedPeer {
 			continue
 		}
-		if peer.claim.Above(highest) || best != "" && peer.claim == highest && id < best {
+		if peer.claim.Supersedes(highest) || best != "" && peer.claim == highest && id < best {
 			best, highest = id, peer.claim
 		}
 	}
@@ -151,5 +151,5 @@
 	return len(open) == 0
 }
 
-// GatherEvery is how often a starting node without any text asks again.
-const GatherEvery = time.Second
+// GatherRetryInterval is how often a starting node without any text asks again.
+const GatherRetryInterval = time.Second
--- a/internal/core/config/lifecycle.go
+++ b/internal/core/config/lifecycle.go
@@ -47,7 +47,7 @@
 		return eventValidNewer
 	case mark.Revision > current.Revision:
 		return eventInvalidNewer
-	case valid && mark.Above(current):
+	case valid && mark.Supersedes(current):
 		return eventConflictWon
 	default:
 		return eventConflictLost
--- a/internal/core/config/machine.go
+++ b/internal/core/config/machine.go
@@ -87,7 +87,7 @@
 // program may have in force what this node refuses: polled above the text in
 // force here, it would deliver the refused one at once, again and again.
 func (m *Machine) PollAfter() Mark {
-	if m.refusedPeer.Above(m.InForce()) {
+	if m.refusedPeer.Supersedes(m.InForce()) {
 		return m.refusedPeer
 	}
 	return m.InForce()
--- a/internal/core/config/problems.go
+++ b/internal/core/config/problems.go
@@ -20,12 +20,12 @@
 	return m.refused, m.refusedIsNewer()
 }
 
-// HearRefusal records that a peer has refused a text.
-func (m *Machine) HearRefusal(now core.Time, refusal Refusal) []Action {
+// PeerRefused records that a peer has refused a text.
+func (m *Machine) PeerRefused(now core.Time, refusal Refusal) []Action {
 	if refusal.Mark.Revision <= max(m.refused.Mark.Revision, m.current.Mark.Revision) {
 		return nil
 	}
-	return m.Offer(now, &Reading{Mark: refusal.Mark, Source: FromReport, Fault: refusal.Reason})
+	return m.Offer(now, &Reading{Mark: refusal.Mark, Source: FromPeerRefusal, Fault: refusal.Reason})
 }
 
 // Tick renews what depends on time alone.
--- a/internal/core/config/relays.go
+++ b/internal/core/config/relays.go
@@ -56,12 +56,12 @@
 	return group
 }
 
-// Targets returns whom a node asks for newer revisions, and whether it is a
+// PollTargets returns whom a node asks for newer revisions, and whether it is a
 // relay itself. A node asks the relays of its data centre; a relay also asks
 // one of each other data centre, so that a data centre cut off from the service
 // learns from the others. A node whose data centre has no listed node follows
 // the relays of the first data centre that has.
-func Targets(view *route.View, self core.NodeID, dataCentre string, revision uint64) (targets []route.Node, relay bool) {
+func PollTargets(view *route.View, self core.NodeID, dataCentre string, revision uint64) (targets []route.Node, relay bool) {
 	for _, node := range Relays(view, dataCentre, revision) {
 		if node.ID == self {
 			relay = true
@@ -104,9 +104,9 @@
 	return core.BundleID(xxhash.Sum64String(string(self)))
 }
 
-// Gap is the least time between two service reads of one node, so that a fleet
+// MinReadInterval is the least time between two service reads of one node, so that a fleet
 // that is cut off from its peers stays within directReads.
-func Gap(nodes int) time.Duration {
+func MinReadInterval(nodes int) time.Duration {
 	if nodes == 0 {
 		nodes = unknownFleet
 	}
--- a/internal/core/config/restore.go
+++ b/internal/core/config/restore.go
@@ -16,7 +16,7 @@
 // noteSeen remembers an offered text.
 func (m *Machine) noteSeen(reading *Reading) {
 	one := seenText{era.Revision(reading.Mark.Revision), reading.Mark.Digest}
-	if reading.Source == FromReport || slices.Contains(m.seen, one) {
+	if reading.Source == FromPeerRefusal || slices.Contains(m.seen, one) {
 		return
 	}
 	m.seen = append(m.seen, one)
@@ -42,7 +42,7 @@
 // every node prefers it to that, and whatever is published next to both.
 func (m *Machine) keepOver(reading *Reading) {
 	kept := *m.current
-	kept.Mark.Revision = era.Kept(reading.Mark.Revision)
+	kept.Mark.Revision = era.CarriedOver(reading.Mark.Revision)
 	m.current = &kept
 	if !m.Gathering() {
 		m.emit(Adopt{m.current})
--- a/internal/core/config/restore_test.go
+++ b/internal/core/config/restore_test.go
@@ -17,7 +17,7 @@
 	m.Offer(0, reading(10, 100, FromService))
 	for restores := uint64(1); restores <= 2; restores++ {
 		actions := m.Offer(1, reading(era.Place(restores, 7), 70, FromService))
-		require.Equal(t, Mark{era.Kept(era.Place(restores, 7)), 100}, m.InForce())
+		require.Equal(t, Mark{era.CarriedOver(era.Place(restores, 7)), 100}, m.InForce())
 		raised, _ := problems(actions)
 		require.Equal(t, []Problem{ProblemOlder}, raised)
 		require.Equal(t, uint64(7), era.Revision(m.WatchAfter()))
--- a/internal/core/era/era.go
+++ b/internal/core/era/era.go
@@ -15,10 +15,10 @@
 	// and before what is written next.
 	keptBit  = 1
 	keptBits = 1
-	// Most is the greatest era, MostRevision the greatest revision, that a place holds. One beyond would
+	// Max is the greatest era, MostRevision the greatest revision, that a place holds. One beyond would
 	// look like another era.
-	Most         = 1<<(64-shift) - 1
-	MostRevision = 1<<(shift-keptBits) - 1
+	Max         = 1<<(64-shift) - 1
+	MaxRevision = 1<<(shift-keptBits) - 1
 )
 
 // Place is the place of a revision in an era. A service that tells no era, 0, has its revisions for places.
@@ -40,8 +40,8 @@
 	return place & (1<<shift - 1) >> keptBits
 }
 
-// Kept is the place of what stays although the service shows something older at a place.
-func Kept(place uint64) uint64 { return place | keptBit }
+// CarriedOver is the place of what stays although the service shows something older at a place.
+func CarriedOver(place uint64) uint64 { return place | keptBit }
 
 // String describes a place for people.
 func String(place uint64) string {
--- a/internal/core/member/config.go
+++ b/internal/core/member/config.go
@@ -14,18 +14,18 @@
 	// Neighbours is the number of rings; each neighbour gets one heartbeat a
 	// Period.
 	Neighbours int
-	// Crossing is the number of rings that run through all data centres. The others run
+	// CrossDataCentreRings is the number of rings that run through all data centres. The others run
 	// within one, so that most heartbeats and most news stay there.
-	Crossing int
-	Period   time.Duration
-	// ReplyWait is the time after which a heartbeat counts as unanswered.
-	ReplyWait time.Duration
-	// Round is the time between two tries to reach a doubted node, and Rounds
+	CrossDataCentreRings int
+	HeartbeatPeriod      time.Duration
+	// ReplyTimeout is the time after which a heartbeat counts as unanswered.
+	ReplyTimeout time.Duration
+	// CheckInterval is the time between two tries to reach a doubted node, and Rounds
 	// the number of failed ones that make this node a witness of its loss.
-	Round  time.Duration
-	Rounds int
-	// Helpers is how many other nodes are asked in each round.
-	Helpers int
+	CheckInterval time.Duration
+	CheckRounds   int
+	// IndirectProbes is how many other nodes are asked in each round.
+	IndirectProbes int
 	// MaxUpdates and MaxDrains bound the lists in one heartbeat.
 	MaxUpdates int
 	// MaxRepairs bounds the states that a heartbeat repeats while views differ. They differ
@@ -35,35 +35,35 @@
 	MaxDrains  int
 	// PauseLimit is how late a tick may come before beliefs count as expired.
 	PauseLimit time.Duration
-	// ConfirmWait bounds the confirmation after a pause: a node that reaches
+	// ConfirmTimeout bounds the confirmation after a pause: a node that reaches
 	// nobody serves on with what it has.
-	ConfirmWait time.Duration
-	// SplitWait is how long other views are seen before a problem is raised.
-	SplitWait time.Duration
-	// DrainLife is how long a drain mark holds without being seen again.
-	DrainLife time.Duration
-	// ForgetWait is how long a dead node that is not listed is remembered.
-	ForgetWait time.Duration
+	ConfirmTimeout time.Duration
+	// SplitViewDelay is how long other views are seen before a problem is raised.
+	SplitViewDelay time.Duration
+	// DrainTTL is how long a drain mark holds without being seen again.
+	DrainTTL time.Duration
+	// DeadRetention is how long a dead node that is not listed is remembered.
+	DeadRetention time.Duration
 }
 
 // Fill sets the default of every field that is zero.
 func (c *Config) Fill() {
 	c.Neighbours = cmp.Or(c.Neighbours, 4)
-	c.Crossing = cmp.Or(c.Crossing, 1)
-	c.Period = cmp.Or(c.Period, time.Second)
-	c.ReplyWait = cmp.Or(c.ReplyWait, 500*time.Millisecond)
-	c.Round = cmp.Or(c.Round, 500*time.Millisecond)
-	c.Rounds = cmp.Or(c.Rounds, 4)
-	c.Helpers = cmp.Or(c.Helpers, 3)
+	c.CrossDataCentreRings = cmp.Or(c.CrossDataCentreRings, 1)
+	c.HeartbeatPeriod = cmp.Or(c.HeartbeatPeriod, time.Second)
+	c.ReplyTimeout = cmp.Or(c.ReplyTimeout, 500*time.Millisecond)
+	c.CheckInterval = cmp.Or(c.CheckInterval, 500*time.Millisecond)
+	c.CheckRounds = cmp.Or(c.CheckRounds, 4)
+	c.IndirectProbes = cmp.Or(c.IndirectProbes, 3)
 	c.MaxUpdates = cmp.Or(c.MaxUpdates, 256)
 	c.MaxRepairs = cmp.Or(c.MaxRepairs, 3)
 	c.MaxDrains = cmp.Or(c.MaxDrains, 16)
 	c.PauseLimit = cmp.Or(c.PauseLimit, time.Second)
-	c.ConfirmWait = cmp.Or(c.ConfirmWait, 2*time.Second)
-	c.SplitWait = cmp.Or(c.SplitWait, 10*time.Second)
-	c.DrainLife = cmp.Or(c.DrainLife, 5*time.Minute)
-	c.ForgetWait = cmp.Or(c.ForgetWait, 2*time.Minute)
+	c.ConfirmTimeout = cmp.Or(c.ConfirmTimeout, 2*time.Second)
+	c.SplitViewDelay = cmp.Or(c.SplitViewDelay, 10*time.Second)
+	c.DrainTTL = cmp.Or(c.DrainTTL, 5*time.Minute)
+	c.DeadRetention = cmp.Or(c.DeadRetention, 2*time.Minute)
 }
 
-// TickEvery is how often a machine wants a Tick.
-const TickEvery = 100 * time.Millisecond
+// TickInterval is how often a machine wants a Tick.
+const TickInterval = 100 * time.Millisecond
--- a/internal/core/member/doubt.go
+++ b/internal/core/member/doubt.go
@@ -38,12 +38,12 @@
 	}
 	for _, p := range m.order {
 		d := m.doubts[p.node.ID]
-		if d == nil || m.now < d.roundAt+m.config.Round {
+		if d == nil || m.now < d.roundAt+m.config.CheckInterval {
 			continue
 		}
 		d.rounds++
 		d.roundAt = m.now
-		if d.rounds < m.config.Rounds {
+		if d.rounds < m.config.CheckRounds {
 			m.round(p)
 			continue
 		}
@@ -85,7 +85,7 @@
 		if candidate != p && candidate.is(stateLive) && m.doubts[candidate.node.ID] == nil {
 			chosen = append(chosen, candidate)
 		}
-		if len(chosen) == m.config.Helpers {
+		if len(chosen) == m.config.IndirectProbes {
 			break
 		}
 	}
@@ -111,8 +111,8 @@
 // lookAhead tries the nodes behind a lost neighbour.
 func (m *Machine) lookAhead(ring int) {
 	m.refresh()
-	for _, p := range m.successors(ring, aheadOfLoss, ring >= m.config.Crossing) {
-		if m.now-p.answeredAt > m.config.Period && m.doubts[p.node.ID] == nil {
+	for _, p := range m.successors(ring, aheadOfLoss, ring >= m.config.CrossDataCentreRings) {
+		if m.now-p.answeredAt > m.config.HeartbeatPeriod && m.doubts[p.node.ID] == nil {
 			m.probe(p, probe{target: p.node.ID})
 		}
 	}
--- a/internal/core/member/drain.go
+++ b/internal/core/member/drain.go
@@ -37,7 +37,7 @@
 	}
 	next := Drain{Address: e.Address, Version: 1, Draining: e.Draining}
 	if held != nil {
-		fresh := m.now-held.heardAt < m.config.DrainLife/renewAfter
+		fresh := m.now-held.heardAt < m.config.DrainTTL/renewAfter
 		if held.Draining == e.Draining && (fresh || !e.Draining) {
 			return
 		}
@@ -89,11 +89,11 @@
 func (m *Machine) expireDrains() {
 	for address, held := range m.drains {
 		age := m.now - held.heardAt
-		if age >= 2*m.config.DrainLife {
+		if age >= 2*m.config.DrainTTL {
 			delete(m.drains, address)
 			continue
 		}
-		if age >= m.config.DrainLife && held.Draining {
+		if age >= m.config.DrainTTL && held.Draining {
 			held.Draining = false
 			held.sends = 0
 			m.drainQueue = slices.DeleteFunc(m.drainQueue, func(queued string) bool { return queued == address })
--- a/internal/core/member/event.go
+++ b/internal/core/member/event.go
@@ -10,8 +10,8 @@
 // ProbeID names a heartbeat of this node that awaits its reply.
 type ProbeID uint64
 
-// Ticket names a received heartbeat that awaits this node's reply.
-type Ticket uint64
+// ReplyID names a received heartbeat that awaits this node's reply.
+type ReplyID uint64
 
 // Event is something that the machine is told.
 type Event interface{ isEvent() }
@@ -22,8 +22,8 @@
 	Digest   uint64
 }
 
-// Listed is a reading of the VM list. It is a hint only.
-type Listed struct{ Nodes []ListedNode }
+// VMList is a reading of the VM list. It is a hint only.
+type VMList struct{ Nodes []ListedNode }
 
 // ListedNode is one node of the VM list.
 type ListedNode struct {
@@ -31,26 +31,26 @@
 	Leaving bool
 }
 
-// Received is a peer's heartbeat, to be answered by a Reply with the ticket.
-type Received struct {
-	Ticket  Ticket
+// HeartbeatReceived is a peer's heartbeat, to be answered by a Reply with the ticket.
+type HeartbeatReceived struct {
+	ReplyID ReplyID
 	Message *Message
 }
 
-// Replied is the reply to a Send.
-type Replied struct {
+// ReplyReceived is the reply to a Send.
+type ReplyReceived struct {
 	Probe   ProbeID
 	Message *Message
 }
 
-// Failed says that a Send will have no reply.
-type Failed struct{ Probe ProbeID }
+// ProbeFailed says that a Send will have no reply.
+type ProbeFailed struct{ Probe ProbeID }
 
-// Answered is evidence from data traffic: the node answered a request.
-type Answered struct{ Node core.NodeID }
+// RequestAnswered is evidence from data traffic: the node answered a request.
+type RequestAnswered struct{ Node core.NodeID }
 
-// Unanswered is evidence from data traffic: requests to the node fail.
-type Unanswered struct{ Node core.NodeID }
+// RequestsFailed is evidence from data traffic: requests to the node fail.
+type RequestsFailed struct{ Node core.NodeID }
 
 // DrainSeen says that an upstream was seen draining, or no longer draining.
 type DrainSeen struct {
@@ -61,15 +61,15 @@
 // Leave says that this node will stop.
 type Leave struct{}
 
-func (Tick) isEvent()       {}
-func (Listed) isEvent()     {}
-func (Received) isEvent()   {}
-func (Replied) isEvent()    {}
-func (Failed) isEvent()     {}
-func (Answered) isEvent()   {}
-func (Unanswered) isEvent() {}
-func (DrainSeen) isEvent()  {}
-func (Leave) isEvent()      {}
+func (Tick) isEvent()              {}
+func (VMList) isEvent()            {}
+func (HeartbeatReceived) isEvent() {}
+func (ReplyReceived) isEvent()     {}
+func (ProbeFailed) isEvent()       {}
+func (RequestAnswered) isEvent()   {}
+func (RequestsFailed) isEvent()    {}
+func (DrainSeen) isEvent()         {}
+func (Leave) isEvent()             {}
 
 // Action is something that the machine wants done.
 type Action interface{ isAction() }
@@ -83,7 +83,7 @@
 
 // Reply answers a received heartbeat.
 type Reply struct {
-	Ticket  Ticket
+	ReplyID ReplyID
 	Message *Message
 }
 
@@ -101,8 +101,8 @@
 	Late time.Duration
 }
 
-// Split says whether other nodes are seen to route by another view for long.
-type Split struct {
+// SplitView says whether other nodes are seen to route by another view for long.
+type SplitView struct {
 	Present bool
 	// Unreached counts the nodes that the VM list shows live and that do not
 	// answer.
@@ -119,4 +119,4 @@
 func (Publish) isAction()       {}
 func (PublishDrains) isAction() {}
 func (SetPaused) isAction()     {}
-func (Split) isAction()         {}
+func (SplitView) isAction()     {}
--- a/internal/core/member/harness_test.go
+++ b/internal/core/member/harness_test.go
@@ -32,7 +32,7 @@
 	loss    float64
 	// messages and bytes count what was sent, over all nodes.
 	messages, bytes, crossing int
-	replies                   map[Ticket]func(*Message)
+	replies                   map[ReplyID]func(*Message)
 }
 
 type node struct {
@@ -70,7 +70,7 @@
 
 // emptyMesh has no machines yet.
 func emptyMesh(seed uint64) *mesh {
-	return &mesh{random: rand.New(rand.NewPCG(seed, 1)), byID: map[core.NodeID]*node{}, replies: map[Ticket]func(*Message){}}
+	return &mesh{random: rand.New(rand.NewPCG(seed, 1)), byID: map[core.NodeID]*node{}, replies: map[ReplyID]func(*Message){}}
 }
 
 func newMesh(seed uint64, count int) *mesh {
@@ -96,7 +96,7 @@
 	n.view = n.machine.View()
 	w.nodes = append(w.nodes, n)
 	w.byID[n.ID] = n
-	w.after(core.Time(w.random.Int64N(int64(TickEvery))), func() { w.tick(n) })
+	w.after(core.Time(w.random.Int64N(int64(TickInterval))), func() { w.tick(n) })
 	return n
 }
 
@@ -106,7 +106,7 @@
 		listed = append(listed, ListedNode{Node: n.Node})
 	}
 	for _, n := range w.nodes {
-		w.step(n, Listed{Nodes: listed})
+		w.step(n, VMList{Nodes: listed})
 	}
 }
 
@@ -122,7 +122,7 @@
 	if !n.paused {
 		w.step(n, Tick{Revision: n.revision})
 	}
-	w.after(TickEvery, func() { w.tick(n) })
+	w.after(TickInterval, func() { w.tick(n) })
 }
 
 func (w *mesh) run(d time.Duration) {
@@ -145,8 +145,8 @@
 		case Send:
 			w.send(n, a)
 		case Reply:
-			w.replies[a.Ticket](a.Message)
-			delete(w.replies, a.Ticket)
+			w.replies[a.ReplyID](a.Message)
+			delete(w.replies, a.ReplyID)
 		case Publish:
 			n.published++
 			n.view = a.View
@@ -154,7 +154,7 @@
 			n.drains = a.Addresses
 		case SetPaused:
 			n.confirming = a.Paused
-		case Split:
+		case SplitView:
 			n.split = a.Present
 		}
 	}
@@ -187,11 +187,11 @@
 		return
 	}
 	w.order++
-	ticket := Ticket(w.order)
+	ticket := ReplyID(w.order)
 	w.replies[ticket] = func(reply *Message) {
-		w.carry(to, from, reply, func(reply *Message) { w.step(from, Replied{Probe: probe, Message: reply}) })
+		w.carry(to, from, reply, func(reply *Message) { w.step(from, ReplyReceived{Probe: probe, Message: reply}) })
 	}
-	w.step(to, Received{Ticket: ticket, Message: message})
+	w.step(to, HeartbeatReceived{ReplyID: ticket, Message: message})
 }
 
 var sizes = flag.String("sizes", "8,64", "the fleet sizes to measure")
--- a/internal/core/member/large_test.go
+++ b/internal/core/member/large_test.go
@@ -48,7 +48,7 @@
 				seeds = append(seeds, ListedNode{Node: route.Node{ID: seed.ID, PeerAddress: seed.PeerAddress}})
 			}
 		}
-		w.step(n, Listed{Nodes: seeds})
+		w.step(n, VMList{Nodes: seeds})
 	}
 }
 
--- a/internal/core/member/listed.go
+++ b/internal/core/member/listed.go
@@ -2,7 +2,7 @@
 
 // listed takes over the VM list. A node that it no longer shows stays as long
 // as it answers.
-func (m *Machine) listed(e Listed) {
+func (m *Machine) listed(e VMList) {
 	first := !m.started
 	m.started = true
 	for _, p := range m.peers {
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -109,17 +109,17 @@
 	switch e := event.(type) {
 	case Tick:
 		m.ticked(e)
-	case Listed:
+	case VMList:
 		m.listed(e)
-	case Received:
+	case HeartbeatReceived:
 		m.received(e)
-	case Replied:
+	case ReplyReceived:
 		m.replied(e)
-	case Failed:
+	case ProbeFailed:
 		m.failed(e.Probe)
-	case Answered:
+	case RequestAnswered:
 		m.answered(m.peers[e.Node])
-	case Unanswered:
+	case RequestsFailed:
 		m.unanswered(m.peers[e.Node])
 	case DrainSeen:
 		m.drainSeen(e)
@@ -175,7 +175,7 @@
 // forget drops nodes that are dead or gone and no longer listed.
 func (m *Machine) forget() {
 	for id, p := range m.peers {
-		if p.listed || !p.is(stateDead, stateGone) || m.now-p.deadAt < m.config.ForgetWait {
+		if p.listed || !p.is(stateDead, stateGone) || m.now-p.deadAt < m.config.DeadRetention {
 			continue
 		}
 		delete(m.peers, id)
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -35,7 +35,7 @@
 func (w *mesh) runUntil(limit time.Duration, condition func() bool) time.Duration {
 	began := w.now
 	for w.now-began < limit && !condition() {
-		w.run(TickEvery)
+		w.run(TickInterval)
 	}
 	return w.now - began
 }
@@ -82,7 +82,7 @@
 	}
 	listed = append(listed, ListedNode{Node: place(99)})
 	for _, n := range w.nodes {
-		w.step(n, Listed{Nodes: listed})
+		w.step(n, VMList{Nodes: listed})
 	}
 	w.run(30 * time.Second)
 	require.Equal(t, 8, w.views(8, w.nodes...))
@@ -102,7 +102,7 @@
 		listed = append(listed, ListedNode{Node: n.Node, Leaving: i == 3})
 	}
 	for _, n := range w.nodes {
-		w.step(n, Listed{Nodes: listed})
+		w.step(n, VMList{Nodes: listed})
 	}
 	require.Equal(t, 8, w.views(7, w.nodes...))
 	w.run(30 * time.Second)
@@ -124,7 +124,7 @@
 	for _, n := range w.nodes[:8] {
 		listed = append(listed, ListedNode{Node: n.Node})
 	}
-	w.step(fresh, Listed{Nodes: listed})
+	w.step(fresh, VMList{Nodes: listed})
 	require.Less(t, w.runUntil(20*time.Second, w.all(9, w.nodes)), 10*time.Second)
 	got, _ := w.nodes[0].view.Node(fresh.ID)
 	require.Equal(t, fresh.Node, got)
@@ -213,7 +213,7 @@
 	}
 	before := sleeper.published
 	sleeper.paused = false
-	w.run(TickEvery)
+	w.run(TickInterval)
 	require.True(t, sleeper.confirming)
 	w.run(4 * time.Second)
 	require.True(t, sleeper.confirming, "it still runs by an older text than the others")
@@ -372,12 +372,12 @@
 			now := w.now
 			var answers []Event
 			for b.Loop() {
-				now += TickEvery
+				now += TickInterval
 				answers = answers[:0]
 				for _, action := range machine.Step(now, Tick{}) {
 					if send, ok := action.(Send); ok {
 						reply := &Message{From: send.To, Incarnation: 1_790_000_000_000_000_001, View: machine.View().ID()}
-						answers = append(answers, Replied{Probe: send.Probe, Message: reply})
+						answers = append(answers, ReplyReceived{Probe: send.Probe, Message: reply})
 					}
 				}
 				for _, answer := range answers {
@@ -401,7 +401,7 @@
 		runtime.ReadMemStats(&before)
 		for range machines {
 			machine := New(Config{Self: place(0), Incarnation: 1})
-			machine.Step(time.Second, Listed{Nodes: listed})
+			machine.Step(time.Second, VMList{Nodes: listed})
 			machine.Step(2*time.Second, Tick{})
 			kept = append(kept, machine)
 		}
@@ -429,7 +429,7 @@
 				encoded, _ := proto.Marshal(membership.Encode(message))
 				var in peerpb.Heartbeat
 				_ = proto.Unmarshal(encoded, &in)
-				machine.Step(w.now, Received{Ticket: 1, Message: membership.Decode(&in)})
+				machine.Step(w.now, HeartbeatReceived{ReplyID: 1, Message: membership.Decode(&in)})
 			}
 		})
 	}
--- a/internal/core/member/pause.go
+++ b/internal/core/member/pause.go
@@ -29,7 +29,7 @@
 // counts as paused before anything else happens, and every open check is
 // dropped, since it was this node that did not answer.
 func (m *Machine) checkPause() {
-	late := m.now - m.lastTick - TickEvery
+	late := m.now - m.lastTick - TickInterval
 	if m.lastTick == 0 || late < m.config.PauseLimit {
 		return
 	}
@@ -53,16 +53,16 @@
 		return
 	}
 	agreeing := 0
-	limit := m.config.ConfirmWait
+	limit := m.config.ConfirmTimeout
 	for _, reply := range m.pause.replies {
 		switch {
 		case reply.Revision > m.tick.Revision:
-			limit = newerTextWaits * m.config.ConfirmWait
+			limit = newerTextWaits * m.config.ConfirmTimeout
 		case reply.View == m.view.ID():
 			agreeing++
 		}
 	}
-	older := limit > m.config.ConfirmWait
+	older := limit > m.config.ConfirmTimeout
 	confirmed := agreeing >= min(confirmations, len(m.neighbours)) && !older
 	if !confirmed && m.now-m.pause.wokeAt < limit {
 		return
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -13,7 +13,7 @@
 	about core.NodeID
 	// ticket is the heartbeat of another node on whose behalf this one was
 	// sent.
-	ticket Ticket
+	ticket ReplyID
 	sentAt core.Time
 }
 
@@ -23,7 +23,7 @@
 	if m.now < m.nextBeat || len(m.neighbours) == 0 {
 		return
 	}
-	m.nextBeat = m.now + m.config.Period/core.Time(len(m.neighbours))
+	m.nextBeat = m.now + m.config.HeartbeatPeriod/core.Time(len(m.neighbours))
 	m.beat++
 	p := m.neighbours[m.beat%len(m.neighbours)]
 	if m.doubts[p.node.ID] == nil {
@@ -37,7 +37,7 @@
 	if m.now < m.nextRetry {
 		return
 	}
-	m.nextRetry = m.now + m.config.Period
+	m.nextRetry = m.now + m.config.HeartbeatPeriod
 	for range m.order {
 		m.retryAt = (m.retryAt + 1) % len(m.order)
 		p := m.order[m.retryAt]
@@ -65,7 +65,7 @@
 func (m *Machine) expireProbes() {
 	var late []ProbeID
 	for id, waiting := range m.probes {
-		limit := m.config.ReplyWait
+		limit := m.config.ReplyTimeout
 		if waiting.about != "" {
 			// The helper needs its own ReplyWait before it can answer.
 			limit *= 2
@@ -94,7 +94,7 @@
 	}
 }
 
-func (m *Machine) replied(e Replied) {
+func (m *Machine) replied(e ReplyReceived) {
 	waiting, ok := m.probes[e.Probe]
 	if !ok {
 		return
@@ -114,29 +114,29 @@
 // received answers a heartbeat. Hearing from a node does not prove that it can
 // be reached: with one-way loss its heartbeats arrive while nothing reaches it.
 // So a heartbeat from a lost node only leads to a probe of it.
-func (m *Machine) received(e Received) {
+func (m *Machine) received(e HeartbeatReceived) {
 	m.learn(e.Message)
 	from := m.peers[e.Message.From.ID]
 	if from != nil && from.is(stateUnknown, stateDead) && m.doubts[from.node.ID] == nil {
 		m.probe(from, probe{target: from.node.ID})
 	}
 	if e.Message.Exchange && from != nil {
-		m.act(Reply{Ticket: e.Ticket, Message: m.exchangeWith(from, false)})
+		m.act(Reply{ReplyID: e.ReplyID, Message: m.exchangeWith(from, false)})
 		return
 	}
 	about := m.peers[e.Message.Probe]
 	if about == nil {
-		m.reply(e.Ticket, from, "", false)
+		m.reply(e.ReplyID, from, "", false)
 		return
 	}
-	m.probe(about, probe{target: about.node.ID, ticket: e.Ticket})
+	m.probe(about, probe{target: about.node.ID, ticket: e.ReplyID})
 }
 
-func (m *Machine) reply(ticket Ticket, to *peer, about core.NodeID, reached bool) {
+func (m *Machine) reply(ticket ReplyID, to *peer, about core.NodeID, reached bool) {
 	message := m.message(to)
 	message.Probe = about
 	message.Reached = reached
-	m.act(Reply{Ticket: ticket, Message: message})
+	m.act(Reply{ReplyID: ticket, Message: message})
 }
 
 // answered takes up proof that a node answers, by whatever path.
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -48,7 +48,7 @@
 // watchers as there are rings. The rings behind the crossing ones run within the data centre, as far
 // as that has nodes enough.
 func (m *Machine) neighbour(ring int) *peer {
-	for _, inside := range []bool{ring >= m.config.Crossing, false} {
+	for _, inside := range []bool{ring >= m.config.CrossDataCentreRings, false} {
 		// The first few may be neighbours already.
 		for _, next := range m.successors(ring, m.config.Neighbours, inside) {
 			if !slices.Contains(m.neighbours, next) {
@@ -144,7 +144,7 @@
 // VM list shows several nodes live that do not answer: beyond a partition no
 // heartbeat comes that could show another view.
 func (m *Machine) checkSplit() {
-	if m.split.differsSince > 0 && m.now-m.split.lastDiffer > 2*m.config.Period {
+	if m.split.differsSince > 0 && m.now-m.split.lastDiffer > 2*m.config.HeartbeatPeriod {
 		m.split.differsSince = 0
 	}
 	m.tellUnreached()
@@ -157,14 +157,14 @@
 	}
 	present := m.longSince(m.split.differsSince) || m.longSince(m.split.lostSince)
 	if present != m.split.raised || present && unreached != m.split.unreached {
-		m.act(Split{Present: present, Unreached: unreached})
+		m.act(SplitView{Present: present, Unreached: unreached})
 	}
 	m.split.raised = present
 	m.split.unreached = unreached
 }
 
 func (m *Machine) longSince(at core.Time) bool {
-	return at > 0 && m.now-at >= m.config.SplitWait
+	return at > 0 && m.now-at >= m.config.SplitViewDelay
 }
 
 // tellUnreached tells which nodes are lost though the VM list shows them live,
--- a/internal/core/member/witness.go
+++ b/internal/core/member/witness.go
@@ -25,7 +25,7 @@
 	if !added {
 		return
 	}
-	if m.now-p.answeredAt < 2*m.config.Period && p.answeredAt > 0 {
+	if m.now-p.answeredAt < 2*m.config.HeartbeatPeriod && p.answeredAt > 0 {
 		// It answered just now: check it instead of believing the claim.
 		m.unanswered(p)
 		return
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -24,7 +24,7 @@
 	}
 	d.heard(message, heartbeat.GetQuarantine())
 	ticket := d.keep(inbound)
-	if !d.events.TryPut(member.Received{Ticket: ticket, Message: message}) {
+	if !d.events.TryPut(member.HeartbeatReceived{ReplyID: ticket, Message: message}) {
 		d.take(ticket)
 		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
 	}
@@ -50,7 +50,7 @@
 }
 
 // keep holds a heartbeat until the machine answers it by its ticket.
-func (d *Duty) keep(inbound *peer.Inbound) member.Ticket {
+func (d *Duty) keep(inbound *peer.Inbound) member.ReplyID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.ticket++
@@ -58,7 +58,7 @@
 	return d.ticket
 }
 
-func (d *Duty) take(ticket member.Ticket) *peer.Inbound {
+func (d *Duty) take(ticket member.ReplyID) *peer.Inbound {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	inbound := d.inbound[ticket]
@@ -72,18 +72,18 @@
 	target := peer.Target{Node: a.To.ID, Address: a.To.PeerAddress}
 	ticket := d.options.Peers.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		if failure != nil || reply.GetHeartbeat() == nil {
-			d.events.TryPut(member.Failed{Probe: a.Probe})
+			d.events.TryPut(member.ProbeFailed{Probe: a.Probe})
 			return
 		}
 		message := Decode(reply.GetHeartbeat())
 		d.heard(message, reply.GetHeartbeat().GetQuarantine())
-		d.events.TryPut(member.Replied{Probe: a.Probe, Message: message})
+		d.events.TryPut(member.ReplyReceived{Probe: a.Probe, Message: message})
 	})
 	d.asked[a.Probe] = asked{ticket: ticket, at: d.options.Now()}
 }
 
 func (d *Duty) reply(a member.Reply) {
-	inbound := d.take(a.Ticket)
+	inbound := d.take(a.ReplyID)
 	if inbound != nil {
 		inbound.Reply(d.heartbeat(a.Message), true)
 	}
--- a/internal/membership/marking_test.go
+++ b/internal/membership/marking_test.go
@@ -22,5 +22,5 @@
 	require.True(t, first.due(marking{list: &confservice.VMList{}, config: first.config}), "another list")
 	var config member.Config
 	config.Fill()
-	require.Less(t, 2*markAgain, config.DrainLife, "a mark is renewed before it ends, also when one sighting is taken for a repetition")
+	require.Less(t, 2*markAgain, config.DrainTTL, "a mark is renewed before it ends, also when one sighting is taken for a repetition")
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -66,8 +66,8 @@
 	list atomic.Pointer[confservice.VMList]
 
 	mutex   sync.Mutex
-	inbound map[member.Ticket]*peer.Inbound
-	ticket  member.Ticket
+	inbound map[member.ReplyID]*peer.Inbound
+	ticket  member.ReplyID
 
 	// asked is used by the duty's goroutine alone.
 	asked    map[member.ProbeID]asked
@@ -91,7 +91,7 @@
 		events:  ring.New[member.Event](ringDepth),
 		ctx:     ctx,
 		stop:    stop,
-		inbound: map[member.Ticket]*peer.Inbound{},
+		inbound: map[member.ReplyID]*peer.Inbound{},
 		asked:   map[member.ProbeID]asked{},
 	}
 	options.Belief.OnDrainSeen(func(address string) {
@@ -133,13 +133,13 @@
 func (d *Duty) Leave() { _ = d.events.Put(d.ctx, member.Leave{}) }
 
 // Lost takes the evidence that requests to a node fail.
-func (d *Duty) Lost(node core.NodeID) { d.events.TryPut(member.Unanswered{Node: node}) }
+func (d *Duty) Lost(node core.NodeID) { d.events.TryPut(member.RequestsFailed{Node: node}) }
 
 // Answered takes the evidence that a node answered a request.
-func (d *Duty) Answered(node core.NodeID) { d.events.TryPut(member.Answered{Node: node}) }
+func (d *Duty) Answered(node core.NodeID) { d.events.TryPut(member.RequestAnswered{Node: node}) }
 
 func (d *Duty) run() {
-	ticker := time.NewTicker(member.TickEvery)
+	ticker := time.NewTicker(member.TickInterval)
 	defer ticker.Stop()
 	d.step(d.tick())
 	for {
@@ -173,7 +173,7 @@
 }
 
 func (d *Duty) step(e member.Event) {
-	if replied, ok := e.(member.Replied); ok {
+	if replied, ok := e.(member.ReplyReceived); ok {
 		delete(d.asked, replied.Probe)
 	}
 	for _, action := range d.machine.Step(d.options.Now(), e) {
@@ -189,7 +189,7 @@
 			d.options.Belief.SetDrained(a.Addresses)
 		case member.SetPaused:
 			d.setPaused(a)
-		case member.Split:
+		case member.SplitView:
 			d.split(a)
 		case member.Unreached:
 			d.unreached(a)
--- a/internal/membership/problems.go
+++ b/internal/membership/problems.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func (d *Duty) split(a member.Split) {
+func (d *Duty) split(a member.SplitView) {
 	subject := string(d.options.Self.ID)
 	if !a.Present {
 		d.options.Problems.Clear(observe.KindSplitView, subject)
--- a/internal/membership/vmlist.go
+++ b/internal/membership/vmlist.go
@@ -104,8 +104,8 @@
 }
 
 // listedNodes picks the tier's own nodes: the VMs with a peer address.
-func listedNodes(list confservice.VMList) member.Listed {
-	var listed member.Listed
+func listedNodes(list confservice.VMList) member.VMList {
+	var listed member.VMList
 	for _, vm := range list.VMs {
 		if vm.PeerAddress == "" {
 			continue
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -231,7 +231,7 @@
 	for _, one := range []struct {
 		revision uint64
 		possible bool
-	}{{uint64(time.Now().UnixMicro()), true}, {era.MostRevision, true}, {era.MostRevision + 1, false}, {1 << 63, false}} {
+	}{{uint64(time.Now().UnixMicro()), true}, {era.MaxRevision, true}, {era.MaxRevision + 1, false}, {1 << 63, false}} {
 		p.SetConfig(confservice.Config{Revision: one.revision, Text: "text"})
 		got, _, err := client.ReadConfig(t.Context(), 0, 0)
 		require.Equal(t, one.possible, err == nil, "revision %d: %v", one.revision, err)
--- a/test/session/config.go
+++ b/test/session/config.go
@@ -87,7 +87,7 @@
 	case "peer_text":
 		return s.machine.Offer(now, reading(mark, config.FromPeer, fields.Valid)), true
 	case "peer_says":
-		return s.machine.Learn(now, peer, mark), true
+		return s.machine.PeerReported(now, peer, mark), true
 	case "peer_failed":
 		return s.machine.PeerFailed(now, peer), true
 	case "confirm":
