--- a/internal/core/member/config.go
+++ b/internal/core/member/config.go
@@ -7,42 +7,42 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// Config is a machine's identity and its times. Fill gives the defaults.
+// Config holds the identity and the timing parameters of a Machine. Fill sets the defaults.
 type Config struct {
 	Self        route.Node
 	Incarnation uint64
-	// Neighbours is the number of rings; each neighbour gets one heartbeat a
-	// Period.
+	// Neighbours is the number of heartbeat rings, each with one neighbour. Each neighbour gets one
+	// heartbeat per HeartbeatPeriod.
 	Neighbours int
-	// CrossDataCentreRings is the number of rings that run through all data centres. The others run
-	// within one, so that most heartbeats and most news stay there.
+	// CrossDataCentreRings is the number of rings that span all data centres. The other rings each
+	// stay within one data centre, which keeps most heartbeats and updates local.
 	CrossDataCentreRings int
 	HeartbeatPeriod      time.Duration
 	// ReplyTimeout is the time after which a heartbeat counts as unanswered.
 	ReplyTimeout time.Duration
-	// CheckInterval is the time between two tries to reach a doubted node, and Rounds
-	// the number of failed ones that make this node a witness of its loss.
+	// CheckInterval is the time between two rounds of probes of an unresponsive node. After
+	// CheckRounds failed rounds this node becomes a witness that the node is unreachable.
 	CheckInterval time.Duration
 	CheckRounds   int
-	// IndirectProbes is how many other nodes are asked in each round.
+	// IndirectProbes is the number of other nodes asked to probe the target in each round.
 	IndirectProbes int
 	// MaxUpdates and MaxDrains bound the lists in one heartbeat.
 	MaxUpdates int
-	// MaxRepairs bounds the states that a heartbeat repeats while views differ. They differ
-	// often while nodes are restarted in turn, and each state has its addresses: long lists would be
-	// most of what nodes send then.
+	// MaxRepairs bounds the states that a heartbeat repeats while views differ. Views differ often
+	// during a rolling restart, and each state carries addresses, so that long lists would dominate
+	// the traffic.
 	MaxRepairs int
 	MaxDrains  int
-	// PauseLimit is how late a tick may come before beliefs count as expired.
+	// PauseLimit is the delay of a tick above which this node treats its view as expired.
 	PauseLimit time.Duration
-	// ConfirmTimeout bounds the confirmation after a pause: a node that reaches
-	// nobody serves on with what it has.
+	// ConfirmTimeout bounds the confirmation after a pause. A node that reaches no other node then
+	// resumes with its current state.
 	ConfirmTimeout time.Duration
-	// SplitViewDelay is how long other views are seen before a problem is raised.
+	// SplitViewDelay is how long differing views are seen before a problem is raised.
 	SplitViewDelay time.Duration
-	// DrainTTL is how long a drain mark holds without being seen again.
+	// DrainTTL is how long a drain mark holds without being renewed.
 	DrainTTL time.Duration
-	// DeadRetention is how long a dead node that is not listed is remembered.
+	// DeadRetention is how long a dead node that is not in the VM list is remembered.
 	DeadRetention time.Duration
 }
 
@@ -65,5 +65,5 @@
 	c.DeadRetention = cmp.Or(c.DeadRetention, 2*time.Minute)
 }
 
-// TickInterval is how often a machine wants a Tick.
+// TickInterval is the interval at which a Machine expects a Tick.
 const TickInterval = 100 * time.Millisecond
--- a/internal/core/member/doubt.go
+++ b/internal/core/member/doubt.go
@@ -8,73 +8,74 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// doubt is a node that does not answer and is being checked.
-type doubt struct {
+// suspicionCheck is the running check of a node that does not answer.
+type suspicionCheck struct {
 	roundAt core.Time
 	rounds  int
 }
 
-// maxDoubts bounds the checks at one time, and so their bytes, when many nodes
-// are lost at once. Those not checked are reported again.
-const maxDoubts = 8
+// maxChecks bounds the concurrent checks, and so their traffic, when many nodes fail at once. Nodes
+// left unchecked are reported again.
+const maxChecks = 8
 
-// unanswered begins to check a node.
-func (m *Machine) unanswered(p *peer) {
-	if p == nil || p.is(stateDead, stateGone) || m.doubts[p.node.ID] != nil || m.pause.confirming {
+// startCheck starts checking an unresponsive node.
+func (m *Machine) startCheck(p *peer) {
+	if p == nil || p.is(stateDead, stateGone) || m.checks[p.node.ID] != nil || m.pause.confirming {
 		return
 	}
-	if len(m.doubts) >= maxDoubts {
+	if len(m.checks) >= maxChecks {
 		return
 	}
-	m.doubts[p.node.ID] = &doubt{roundAt: m.now}
-	m.round(p)
+	m.checks[p.node.ID] = &suspicionCheck{roundAt: m.now}
+	m.probeRound(p)
 }
 
-// stepDoubts begins the next round for each doubted node, and after the last
-// one becomes a witness of its loss.
-func (m *Machine) stepDoubts() {
-	if len(m.doubts) == 0 {
+// advanceChecks starts the next round of each running check. After the last failed round this node
+// becomes a witness.
+func (m *Machine) advanceChecks() {
+	if len(m.checks) == 0 {
 		return
 	}
 	for _, p := range m.order {
-		d := m.doubts[p.node.ID]
+		d := m.checks[p.node.ID]
 		if d == nil || m.now < d.roundAt+m.config.CheckInterval {
 			continue
 		}
 		d.rounds++
 		d.roundAt = m.now
 		if d.rounds < m.config.CheckRounds {
-			m.round(p)
+			m.probeRound(p)
 			continue
 		}
-		delete(m.doubts, p.node.ID)
-		m.testify(p)
+		delete(m.checks, p.node.ID)
+		m.becomeWitness(p)
 	}
 }
 
-// volunteer checks a node that has one witness, where this node is to and has room for it. While
-// many are lost at once their claims come when all checks are taken.
-func (m *Machine) volunteer() {
+// startAssignedChecks checks suspected nodes that this node is assigned to, as far as maxChecks
+// allows. A claim may have arrived while all checks were in use, as happens when many nodes fail at
+// once.
+func (m *Machine) startAssignedChecks() {
 	for _, p := range m.order {
-		if len(m.doubts) >= maxDoubts {
+		if len(m.checks) >= maxChecks {
 			return
 		}
-		if p.is(stateSuspect) && m.doubts[p.node.ID] == nil && m.volunteers(p) {
-			m.unanswered(p)
+		if p.is(stateSuspect) && m.checks[p.node.ID] == nil && m.assignedToCheck(p) {
+			m.startCheck(p)
 		}
 	}
 }
 
-// round tries to reach a node directly and through helpers.
-func (m *Machine) round(p *peer) {
+// probeRound probes a node directly and through other nodes.
+func (m *Machine) probeRound(p *peer) {
 	m.probe(p, probe{target: p.node.ID})
-	for _, helper := range m.helpers(p) {
-		m.probe(helper, probe{target: helper.node.ID, about: p.node.ID})
+	for _, prober := range m.indirectProbers(p) {
+		m.probe(prober, probe{target: prober.node.ID, indirectTarget: p.node.ID})
 	}
 }
 
-// helpers chooses other live nodes, other ones in each round.
-func (m *Machine) helpers(p *peer) []*peer {
+// indirectProbers selects live nodes to probe through; the selection varies from round to round.
+func (m *Machine) indirectProbers(p *peer) []*peer {
 	var chosen []*peer
 	if len(m.order) == 0 {
 		return nil
@@ -82,7 +83,7 @@
 	start := int(pairHash(p.node.ID, m.sequence) % uint64(len(m.order)))
 	for i := range m.order {
 		candidate := m.order[(start+i)%len(m.order)]
-		if candidate != p && candidate.is(stateLive) && m.doubts[candidate.node.ID] == nil {
+		if candidate != p && candidate.is(stateLive) && m.checks[candidate.node.ID] == nil {
 			chosen = append(chosen, candidate)
 		}
 		if len(chosen) == m.config.IndirectProbes {
@@ -92,27 +93,28 @@
 	return chosen
 }
 
-// testify makes this node a witness. It stops routing to the lost node at once:
-// it asked others to reach it and they could not either.
-func (m *Machine) testify(p *peer) {
+// becomeWitness makes this node a witness that p is unreachable. Routing to p stops here at once,
+// since indirect probes failed as well.
+func (m *Machine) becomeWitness(p *peer) {
 	ring := slices.Index(m.neighbours, p)
-	p.witnesses[0] = m.witness()
+	p.witnesses[0] = m.ownWitness()
 	m.fire(p, eventConfirmed)
 	if ring >= 0 {
-		m.lookAhead(ring)
+		m.probeSuccessors(ring)
 	}
 }
 
-// aheadOfLoss is how many nodes behind a lost neighbour are tried at once. Losses come together:
-// if a node turned to the next one only after the former was found lost, the loss of half of a fleet would be
-// seen by all after as many checks as nodes are lost in a row.
-const aheadOfLoss = 3
+// lossSuccessors is how many successors of a failed neighbour are probed at once. Failures are
+// often correlated: if each successor were probed only after its predecessor was confirmed dead,
+// detecting the loss of half of a fleet would take as many checks as there are consecutive dead
+// nodes.
+const lossSuccessors = 3
 
-// lookAhead tries the nodes behind a lost neighbour.
-func (m *Machine) lookAhead(ring int) {
-	m.refresh()
-	for _, p := range m.successors(ring, aheadOfLoss, ring >= m.config.CrossDataCentreRings) {
-		if m.now-p.answeredAt > m.config.HeartbeatPeriod && m.doubts[p.node.ID] == nil {
+// probeSuccessors probes the successors of a failed neighbour.
+func (m *Machine) probeSuccessors(ring int) {
+	m.updateNeighbours()
+	for _, p := range m.successors(ring, lossSuccessors, ring >= m.config.CrossDataCentreRings) {
+		if m.now-p.answeredAt > m.config.HeartbeatPeriod && m.checks[p.node.ID] == nil {
 			m.probe(p, probe{target: p.node.ID})
 		}
 	}
--- a/internal/core/member/drain.go
+++ b/internal/core/member/drain.go
@@ -6,29 +6,30 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// transmissions is how many of its messages a node lets carry one drain mark. Each node talks to 2 x
-// Neighbours others, so each edge carries it once and a little more.
-const transmissions = 10
+// drainTransmissions is how many messages of a node carry one drain mark. Each node exchanges
+// messages with 2 x Neighbours others, so that each link carries the mark slightly more than once.
+const drainTransmissions = 10
 
-// Drain is a mark that an upstream is leaving, or has stopped leaving.
+// Drain is a mark that an upstream is draining, or has stopped draining.
 type Drain struct {
 	Address string
-	// Version orders the marks of one address: each new sighting counts on
-	// from the highest one known, so that an old mark never returns.
+	// Version orders the marks of one address. A new observation increments the highest known
+	// version, so that an outdated mark cannot return.
 	Version  uint64
 	Draining bool
 }
 
-// drain is a mark as held. It ends by itself after Config.DrainLife: if the
-// upstream still drains, the next request sent to it says so again.
-type drain struct {
+// storedDrain is a drain mark with its local state. It expires after Config.DrainTTL; if the
+// upstream still drains, its reply to the next request renews the mark.
+type storedDrain struct {
 	Drain
-	heardAt core.Time
-	sends   int
+	updatedAt      core.Time
+	remainingSends int
 }
 
-// renewAfter keeps a sighting that only repeats a fresh mark from being spread.
-const renewAfter = 4
+// drainRenewDivisor sets the part of DrainTTL during which a repeated observation is not spread
+// again.
+const drainRenewDivisor = 4
 
 func (m *Machine) drainSeen(e DrainSeen) {
 	held := m.drains[e.Address]
@@ -37,33 +38,33 @@
 	}
 	next := Drain{Address: e.Address, Version: 1, Draining: e.Draining}
 	if held != nil {
-		fresh := m.now-held.heardAt < m.config.DrainTTL/renewAfter
+		fresh := m.now-held.updatedAt < m.config.DrainTTL/drainRenewDivisor
 		if held.Draining == e.Draining && (fresh || !e.Draining) {
 			return
 		}
 		next.Version = held.Version + 1
 	}
-	m.hold(next)
+	m.storeDrain(next)
 }
 
-func (m *Machine) learnDrain(mark Drain) {
+func (m *Machine) receiveDrain(mark Drain) {
 	held := m.drains[mark.Address]
 	if held != nil && mark.Version <= held.Version {
 		return
 	}
-	m.hold(mark)
+	m.storeDrain(mark)
 }
 
-func (m *Machine) hold(mark Drain) {
-	m.drains[mark.Address] = &drain{Drain: mark, heardAt: m.now, sends: transmissions}
+func (m *Machine) storeDrain(mark Drain) {
+	m.drains[mark.Address] = &storedDrain{Drain: mark, updatedAt: m.now, remainingSends: drainTransmissions}
 	if !slices.Contains(m.drainQueue, mark.Address) {
 		m.drainQueue = append(m.drainQueue, mark.Address)
 	}
-	m.drainsDirty = true
+	m.drainsChanged = true
 }
 
-// drainNews takes marks off the queue for one message.
-func (m *Machine) drainNews() []Drain {
+// nextDrains takes the marks for one message off the queue.
+func (m *Machine) nextDrains() []Drain {
 	var list []Drain
 	for range len(m.drainQueue) {
 		if len(list) >= m.config.MaxDrains {
@@ -75,8 +76,8 @@
 		if held == nil {
 			continue
 		}
-		held.sends--
-		if held.sends > 0 {
+		held.remainingSends--
+		if held.remainingSends > 0 {
 			m.drainQueue = append(m.drainQueue, address)
 		}
 		list = append(list, held.Drain)
@@ -84,29 +85,29 @@
 	return list
 }
 
-// expireDrains ends marks that were not renewed. The version is remembered for
-// as long again, so that copies still on their way do not bring the mark back.
+// expireDrains ends marks that were not renewed. The version is kept for another DrainTTL, so that
+// copies still in transit do not restore the mark.
 func (m *Machine) expireDrains() {
 	for address, held := range m.drains {
-		age := m.now - held.heardAt
+		age := m.now - held.updatedAt
 		if age >= 2*m.config.DrainTTL {
 			delete(m.drains, address)
 			continue
 		}
 		if age >= m.config.DrainTTL && held.Draining {
 			held.Draining = false
-			held.sends = 0
+			held.remainingSends = 0
 			m.drainQueue = slices.DeleteFunc(m.drainQueue, func(queued string) bool { return queued == address })
-			m.drainsDirty = true
+			m.drainsChanged = true
 		}
 	}
 }
 
 func (m *Machine) publishDrains() {
-	if !m.drainsDirty {
+	if !m.drainsChanged {
 		return
 	}
-	m.drainsDirty = false
+	m.drainsChanged = false
 	var addresses []string
 	for address, held := range m.drains {
 		if held.Draining {
@@ -114,21 +115,21 @@
 		}
 	}
 	slices.Sort(addresses)
-	m.act(PublishDrains{Addresses: addresses})
+	m.emit(PublishDrains{Addresses: addresses})
 }
 
-// repeatDrains spreads the marks again that hold. A node that joins after they
-// were spread would not know of them, and send new work to a leaving upstream.
-func (m *Machine) repeatDrains() {
-	var again []string
+// resendDrains queues all active marks again. A node that joined after they were spread would
+// otherwise send new work to a draining upstream.
+func (m *Machine) resendDrains() {
+	var active []string
 	for address, held := range m.drains {
 		if held.Draining {
-			held.sends = transmissions
-			again = append(again, address)
+			held.remainingSends = drainTransmissions
+			active = append(active, address)
 		}
 	}
-	slices.Sort(again)
-	for _, address := range again {
+	slices.Sort(active)
+	for _, address := range active {
 		if !slices.Contains(m.drainQueue, address) {
 			m.drainQueue = append(m.drainQueue, address)
 		}
--- a/internal/core/member/event.go
+++ b/internal/core/member/event.go
@@ -7,22 +7,22 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// ProbeID names a heartbeat of this node that awaits its reply.
+// ProbeID identifies a heartbeat of this node that awaits its reply.
 type ProbeID uint64
 
-// ReplyID names a received heartbeat that awaits this node's reply.
+// ReplyID identifies a received heartbeat that awaits this node's reply.
 type ReplyID uint64
 
-// Event is something that the machine is told.
+// Event is an input of the Machine.
 type Event interface{ isEvent() }
 
-// Tick passes the time and the configuration in force.
+// Tick advances the time and carries the configuration in force.
 type Tick struct {
 	Revision uint64
 	Digest   uint64
 }
 
-// VMList is a reading of the VM list. It is a hint only.
+// VMList is a reading of the VM list. The list is only a hint.
 type VMList struct{ Nodes []ListedNode }
 
 // ListedNode is one node of the VM list.
@@ -31,7 +31,7 @@
 	Leaving bool
 }
 
-// HeartbeatReceived is a peer's heartbeat, to be answered by a Reply with the ticket.
+// HeartbeatReceived is a peer's heartbeat, to be answered by a Reply with the same ReplyID.
 type HeartbeatReceived struct {
 	ReplyID ReplyID
 	Message *Message
@@ -43,7 +43,7 @@
 	Message *Message
 }
 
-// ProbeFailed says that a Send will have no reply.
+// ProbeFailed reports that a Send will get no reply.
 type ProbeFailed struct{ Probe ProbeID }
 
 // RequestAnswered is evidence from data traffic: the node answered a request.
@@ -52,13 +52,13 @@
 // RequestsFailed is evidence from data traffic: requests to the node fail.
 type RequestsFailed struct{ Node core.NodeID }
 
-// DrainSeen says that an upstream was seen draining, or no longer draining.
+// DrainSeen reports that an upstream was seen draining, or no longer draining.
 type DrainSeen struct {
 	Address  string
 	Draining bool
 }
 
-// Leave says that this node will stop.
+// Leave announces that this node will stop.
 type Leave struct{}
 
 func (Tick) isEvent()              {}
@@ -71,7 +71,7 @@
 func (DrainSeen) isEvent()         {}
 func (Leave) isEvent()             {}
 
-// Action is something that the machine wants done.
+// Action is an output of the Machine, for its caller to carry out.
 type Action interface{ isAction() }
 
 // Send sends a heartbeat and awaits the reply.
@@ -93,24 +93,23 @@
 // PublishDrains replaces the set of upstreams seen draining.
 type PublishDrains struct{ Addresses []string }
 
-// SetPaused says whether the node's beliefs may have expired. While they may, it
-// takes no new work and sends none.
+// SetPaused reports whether the node's view may have expired. Meanwhile the node accepts no new
+// work and sends none.
 type SetPaused struct {
 	Paused bool
-	// Late is how late the tick came that showed the pause.
+	// Late is the delay of the tick that revealed the pause.
 	Late time.Duration
 }
 
-// SplitView says whether other nodes are seen to route by another view for long.
+// SplitView reports whether other nodes have routed by a different view for longer than
+// SplitViewDelay.
 type SplitView struct {
 	Present bool
-	// Unreached counts the nodes that the VM list shows live and that do not
-	// answer.
+	// Unreached is the number of unresponsive nodes that the VM list shows live.
 	Unreached int
 }
 
-// Unreached replaces the set of nodes that are lost though the VM list shows them
-// live.
+// Unreached replaces the set of dead nodes that the VM list shows live.
 type Unreached struct{ Nodes []core.NodeID }
 
 func (Unreached) isAction()     {}
--- a/internal/core/member/exchange.go
+++ b/internal/core/member/exchange.go
@@ -7,121 +7,122 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// A node keeps its changes of belief in an order of its own, and tells each neighbour, on every
-// heartbeat and reply, those behind the place that the neighbour confirmed last. So a piece of
-// news crosses each link once, and what was lost with a message goes with the next one.
+// A node numbers its changes of state. Each heartbeat and reply to a neighbour carries the changes
+// above the number that the neighbour acknowledged last. So each update crosses each link once, and
+// updates of a lost message are sent again with the next one.
 //
-// The failure that this guards against: hundreds of nodes start at once. If each let a number of its messages carry
-// each piece of news, to whichever neighbours come next, some neighbours would have it several times and
-// others never, and the fleet would not agree on its nodes for a minute (TestALargeFleetFindsItselfSoon).
+// Failure that this prevents: hundreds of nodes start at once. If each update were sent with a
+// fixed number of messages, to whichever neighbours come next, some neighbours would get it several
+// times and others never, and the fleet would take a minute to agree on its nodes
+// (TestALargeFleetFindsItselfSoon).
 
-// exchange is how far this node and a neighbour have told each other what changed.
+// exchange is the progress of the exchange of changes with one neighbour.
 type exchange struct {
-	// acked is the place in this node's changes up to which the neighbour has them.
-	acked uint64
-	// heard is the place in the neighbour's changes up to which they were taken up here; they
-	// are those of its incarnation heardOf.
-	heard, heardOf uint64
-	// same holds the places of states that the neighbour told just as this node believes them.
-	// They need not be told back.
-	same map[core.NodeID]uint64
+	// ackedSeq is the number of this node's last change that the neighbour has acknowledged.
+	ackedSeq uint64
+	// receivedSeq is the number of the neighbour's last change applied here, as counted by the
+	// neighbour's incarnation receivedFrom.
+	receivedSeq, receivedFrom uint64
+	// knownByPeer holds, per node, the number of the change that the neighbour already reported
+	// identically. These changes need not be sent to it.
+	knownByPeer map[core.NodeID]uint64
 }
 
-// change is a place in a node's order of changes.
+// change is a numbered change of a node's state.
 type change struct {
-	at   uint64
+	seq  uint64
 	peer *peer
 }
 
-// tell notes that the state of a node changed, for all neighbours to hear.
-func (m *Machine) tell(p *peer) {
-	m.changedAt++
-	p.changedAt = m.changedAt
-	m.changes = append(m.changes, change{m.changedAt, p})
+// recordChange numbers a change of a node's state, to be sent to all neighbours.
+func (m *Machine) recordChange(p *peer) {
+	m.lastChangeSeq++
+	p.changeSeq = m.lastChangeSeq
+	m.changes = append(m.changes, change{m.lastChangeSeq, p})
 	const slack = 64
 	if len(m.changes) > 2*len(m.peers)+slack {
-		m.changes = slices.DeleteFunc(m.changes, func(c change) bool { return !m.current(c) })
+		m.changes = slices.DeleteFunc(m.changes, func(c change) bool { return !m.isCurrent(c) })
 	}
 }
 
-// current reports whether a change is the latest one of a node that is still known.
-func (m *Machine) current(c change) bool {
-	return c.at == c.peer.changedAt && m.peers[c.peer.node.ID] == c.peer
+// isCurrent reports whether a change is the latest one of a node that is still known.
+func (m *Machine) isCurrent(c change) bool {
+	return c.seq == c.peer.changeSeq && m.peers[c.peer.node.ID] == c.peer
 }
 
-// updates lists what a neighbour has not confirmed, and the place up to which it has everything
-// once it has taken the list up.
-func (m *Machine) updates(to *peer) (list []Update, mark uint64) {
+// unackedUpdates lists the changes that a neighbour has not acknowledged, and the change number
+// that it has reached once it has applied the list.
+func (m *Machine) unackedUpdates(to *peer) (list []Update, mark uint64) {
 	x := &to.exchange
-	mark = x.acked
-	first := sort.Search(len(m.changes), func(i int) bool { return m.changes[i].at > x.acked })
+	mark = x.ackedSeq
+	first := sort.Search(len(m.changes), func(i int) bool { return m.changes[i].seq > x.ackedSeq })
 	for _, c := range m.changes[first:] {
 		if len(list) >= m.config.MaxUpdates {
 			return list, mark
 		}
-		mark = c.at
-		if m.current(c) && c.peer != to && x.same[c.peer.node.ID] != c.at {
+		mark = c.seq
+		if m.isCurrent(c) && c.peer != to && x.knownByPeer[c.peer.node.ID] != c.seq {
 			list = append(list, m.update(c.peer))
 		}
 	}
-	return list, m.changedAt
+	return list, m.lastChangeSeq
 }
 
-// firstTold bounds what is told to a node of which it is not known what it knows. Its reply shows
-// whether it believes the same already, as it does where rings close up behind a lost node, or brings
-// what it believes, which then need not be told to it.
-const firstTold = 8
+// maxFirstUpdates bounds the updates sent to a neighbour whose state is unknown. Its reply shows
+// that its view is the same, as after a dead node between the two in a ring, or carries its own
+// updates, which then need not be sent to it.
+const maxFirstUpdates = 8
 
-// unmet reports whether nothing was exchanged with a node yet, and much would have to be told.
-func (m *Machine) unmet(to *peer) bool {
-	return to.exchange.acked == 0 && to.exchange.heard == 0 && len(m.changes) > firstTold
+// deferUpdates reports whether nothing was exchanged with a node yet and the list would be long.
+func (m *Machine) deferUpdates(to *peer) bool {
+	return to.exchange.ackedSeq == 0 && to.exchange.receivedSeq == 0 && len(m.changes) > maxFirstUpdates
 }
 
-// heardFrom takes up how far the sender of a message has come, and what it told.
-func (m *Machine) heardFrom(message *Message) {
+// receiveExchange applies the sender's change number, acknowledgement and updates.
+func (m *Machine) receiveExchange(message *Message) {
 	from := m.peers[message.From.ID]
 	if from == nil || !message.Exchange || from.incarnation != message.Incarnation {
 		return
 	}
 	x := &from.exchange
-	if x.heardOf != message.Incarnation {
-		x.heard, x.heardOf = 0, message.Incarnation
+	if x.receivedFrom != message.Incarnation {
+		x.receivedSeq, x.receivedFrom = 0, message.Incarnation
 	}
-	x.heard = max(x.heard, message.Mark)
-	m.confirmed(x, message)
+	x.receivedSeq = max(x.receivedSeq, message.Mark)
+	m.receiveAck(x, message)
 	for _, update := range message.Updates {
-		m.noteSame(x, update)
+		m.noteKnownByPeer(x, update)
 	}
 }
 
-// confirmed takes up what the sender confirms. One that confirms nothing yet and routes by the
-// same view has nothing to learn: rings close up behind every lost node, and each new
-// neighbour would be told everything.
-func (m *Machine) confirmed(x *exchange, message *Message) {
-	x.acked = 0
+// receiveAck applies the sender's acknowledgement. A sender without one that routes by the same
+// view needs no updates: rings close behind every dead node, and each new neighbour would otherwise
+// be sent the full state.
+func (m *Machine) receiveAck(x *exchange, message *Message) {
+	x.ackedSeq = 0
 	if message.SeenOf == m.config.Incarnation {
-		x.acked = min(message.Seen, m.changedAt)
+		x.ackedSeq = min(message.Seen, m.lastChangeSeq)
 	}
-	if x.acked == 0 && message.View == m.view.ID() {
-		x.acked = m.changedAt
+	if x.ackedSeq == 0 && message.View == m.view.ID() {
+		x.ackedSeq = m.lastChangeSeq
 	}
-	if x.acked == m.changedAt {
-		x.same = nil
+	if x.ackedSeq == m.lastChangeSeq {
+		x.knownByPeer = nil
 	}
 }
 
-// noteSame remembers a state that the sender told just as this node believes it.
-func (m *Machine) noteSame(x *exchange, told Update) {
-	p := m.peers[told.Node.ID]
-	if p == nil || p.changedAt <= x.acked {
+// noteKnownByPeer records a state that the sender reported identically to this node's.
+func (m *Machine) noteKnownByPeer(x *exchange, update Update) {
+	p := m.peers[update.Node.ID]
+	if p == nil || p.changeSeq <= x.ackedSeq {
 		return
 	}
-	mine := m.update(p)
-	if mine.Incarnation != told.Incarnation || mine.Version != told.Version || mine.Standing != told.Standing || mine.Witnesses != told.Witnesses {
+	own := m.update(p)
+	if own.Incarnation != update.Incarnation || own.Version != update.Version || own.Standing != update.Standing || own.Witnesses != update.Witnesses {
 		return
 	}
-	if x.same == nil {
-		x.same = map[core.NodeID]uint64{}
+	if x.knownByPeer == nil {
+		x.knownByPeer = map[core.NodeID]uint64{}
 	}
-	x.same[told.Node.ID] = p.changedAt
+	x.knownByPeer[update.Node.ID] = p.changeSeq
 }
--- a/internal/core/member/gossip.go
+++ b/internal/core/member/gossip.go
@@ -1,39 +1,39 @@
 package member
 
-// repair lists the states of some nodes in turn while views differ. Neighbours tell each other
-// every change, but a change that came before its node was known was passed over.
+// repair lists the states of some nodes in rotation while views differ. Neighbours send each other
+// every change, but a receiver ignores a change of a node that it does not know yet.
 func (m *Machine) repair() []Update {
 	if m.split.differsSince == 0 {
 		return nil
 	}
 	var list []Update
 	for range min(len(m.order), m.config.MaxRepairs) {
-		m.repairAt = (m.repairAt + 1) % len(m.order)
-		if p := m.order[m.repairAt]; !p.is(stateUnknown) {
+		m.repairIndex = (m.repairIndex + 1) % len(m.order)
+		if p := m.order[m.repairIndex]; !p.is(stateUnknown) {
 			list = append(list, m.update(p))
 		}
 	}
 	return list
 }
 
-// learn takes up what a message says.
-func (m *Machine) learn(message *Message) {
+// receiveMessage applies the contents of a message.
+func (m *Machine) receiveMessage(message *Message) {
 	from := Update{Node: message.From, Incarnation: message.Incarnation, Version: message.Version}
 	if message.Leaving {
 		from.Standing = StandingLeaving
 	}
-	m.heardClaim(from)
+	m.receiveUpdate(from)
 	for _, update := range message.Updates {
-		m.heardClaim(update)
+		m.receiveUpdate(update)
 	}
 	for _, mark := range message.Drains {
-		m.learnDrain(mark)
+		m.receiveDrain(mark)
 	}
-	m.heardFrom(message)
+	m.receiveExchange(message)
 	m.compareView(message)
 }
 
-func (m *Machine) heardClaim(u Update) {
+func (m *Machine) receiveUpdate(u Update) {
 	if u.Node.ID == m.config.Self.ID {
 		m.refute(u)
 		return
@@ -45,30 +45,30 @@
 		}
 		p = m.peer(u.Node)
 	}
-	m.place(p, u)
-	m.apply(p, u)
+	m.updateNode(p, u)
+	m.applyUpdate(p, u)
 }
 
-// place takes up a node's particulars. Those of the VM list go before what nodes say,
-// unless the list holds bare addresses only, as seeds do.
-func (m *Machine) place(p *peer, u Update) {
-	told := u.Node.PeerAddress != "" && u.Incarnation >= p.incarnation
-	if !told || p.listed && !p.bare || p.bare && u.Node.DataCentre == "" {
+// updateNode applies a node's addresses and data centre. The VM list takes precedence over updates,
+// unless its entries hold only addresses, as those of seeds do.
+func (m *Machine) updateNode(p *peer, u Update) {
+	usable := u.Node.PeerAddress != "" && u.Incarnation >= p.incarnation
+	if !usable || p.listed && !p.addressOnly || p.addressOnly && u.Node.DataCentre == "" {
 		return
 	}
 	if p.node != u.Node {
 		p.node = u.Node
 		m.changed = true
-		if p.changedAt > 0 {
-			m.tell(p)
+		if p.changeSeq > 0 {
+			m.recordChange(p)
 		}
 	}
 }
 
-// refute answers a claim that this node is lost: a higher version overrides it. A claim
-// about a higher incarnation than this one's is about a former process: incarnations are
-// made from the time of day, which may have stepped back in between. This process then
-// goes above it, since otherwise its heartbeats would count as the former one's.
+// refute overrides a claim that this node is dead by a higher version. A claim about an incarnation
+// above this one's concerns an earlier process: incarnations are derived from the time of day,
+// which may have been set back since. This process then takes a higher one, since its heartbeats
+// would otherwise be attributed to the earlier process.
 func (m *Machine) refute(u Update) {
 	if u.Incarnation > m.config.Incarnation {
 		m.config.Incarnation = u.Incarnation + 1
@@ -81,15 +81,15 @@
 	}
 }
 
-// apply takes up a claim unless a newer one is known. An older incarnation is a
+// applyUpdate applies an update unless a newer one is known. A lower incarnation belongs to a
 // process that no longer runs.
-func (m *Machine) apply(p *peer, u Update) {
+func (m *Machine) applyUpdate(p *peer, u Update) {
 	switch {
 	case u.Incarnation < p.incarnation:
 		return
 	case u.Incarnation > p.incarnation:
 		first := p.incarnation == 0
-		m.renewOrMeet(p, u, first)
+		m.setIncarnation(p, u, first)
 	case u.Version < p.version:
 		return
 	case u.Version > p.version:
@@ -97,24 +97,23 @@
 		p.witnesses = [witnessesNeeded]Witness{}
 		if u.Standing == StandingLive && p.is(stateSuspect, stateDead) {
 			m.fire(p, eventAnswered)
-		} else if p.changedAt > 0 {
-			m.tell(p)
+		} else if p.changeSeq > 0 {
+			m.recordChange(p)
 		}
 	}
 	switch u.Standing {
 	case StandingSuspect, StandingDead:
-		m.doubted(p, u)
+		m.receiveSuspicion(p, u)
 	case StandingLeaving:
 		m.fire(p, eventLeft)
 	}
 }
 
-// renewOrMeet takes up an incarnation. The first one that is heard of replaces
-// nothing: a node known from the VM list alone keeps its state until it
-// answers or is said to be live.
-func (m *Machine) renewOrMeet(p *peer, u Update, first bool) {
+// setIncarnation applies a higher incarnation. The first known incarnation replaces no earlier
+// process: a node known only from the VM list keeps its state until it answers or is reported live.
+func (m *Machine) setIncarnation(p *peer, u Update, first bool) {
 	if !first {
-		m.renew(p, u.Incarnation, u.Version)
+		m.replaceProcess(p, u.Incarnation, u.Version)
 		return
 	}
 	p.incarnation = u.Incarnation
--- a/internal/core/member/harness_test.go
+++ b/internal/core/member/harness_test.go
@@ -15,13 +15,12 @@
 	"github.com/pistachiopier/pistachiopier/internal/membership"
 )
 
-// overhead is what a QUIC packet adds to a heartbeat on IPv4, in bytes: IP 20,
-// UDP 8, QUIC and TLS 30, frame and envelope 10, and the bare acknowledgement
-// of every other packet.
+// overhead is what a QUIC packet adds to a heartbeat on IPv4, in bytes: IP 20, UDP 8, QUIC and TLS
+// 30, frame and envelope 10, and the bare acknowledgement of every other packet.
 const overhead = 20 + 8 + 30 + 10 + 35
 
-// mesh passes messages between machines in virtual time.
-type mesh struct {
+// network passes messages between machines in virtual time.
+type network struct {
 	random  *rand.Rand
 	now     core.Time
 	queue   deliveries
@@ -30,9 +29,10 @@
 	byID    map[core.NodeID]*node
 	blocked func(from, to *node) bool
 	loss    float64
-	// messages and bytes count what was sent, over all nodes.
-	messages, bytes, crossing int
-	replies                   map[ReplyID]func(*Message)
+	// messages and bytes count what all nodes sent; crossDataCentreBytes counts the bytes between
+	// data centres.
+	messages, bytes, crossDataCentreBytes int
+	replies                               map[ReplyID]func(*Message)
 }
 
 type node struct {
@@ -68,29 +68,29 @@
 	return last
 }
 
-// emptyMesh has no machines yet.
-func emptyMesh(seed uint64) *mesh {
-	return &mesh{random: rand.New(rand.NewPCG(seed, 1)), byID: map[core.NodeID]*node{}, replies: map[ReplyID]func(*Message){}}
+// emptyNetwork returns a network without machines.
+func emptyNetwork(seed uint64) *network {
+	return &network{random: rand.New(rand.NewPCG(seed, 1)), byID: map[core.NodeID]*node{}, replies: map[ReplyID]func(*Message){}}
 }
 
-func newMesh(seed uint64, count int) *mesh {
-	w := emptyMesh(seed)
+func newNetwork(seed uint64, count int) *network {
+	w := emptyNetwork(seed)
 	for i := range count {
 		w.add(i, 1)
 	}
-	w.list(w.nodes)
+	w.listAll(w.nodes)
 	return w
 }
 
-func place(i int) route.Node {
+func testNode(i int) route.Node {
 	return route.Node{ID: core.NodeID(fmt.Sprintf("vm-%03d", i)), DataCentre: fmt.Sprintf("dc%d", i%4+1), PeerAddress: fmt.Sprintf("10.1.%d.%d:7002", i/250, i%250), CallerAddress: fmt.Sprintf("10.1.%d.%d:7001", i/250, i%250)}
 }
 
-func (w *mesh) add(i int, incarnation uint64) *node {
-	return w.addWith(Config{Self: place(i), Incarnation: 1_790_000_000_000_000_000 + incarnation})
+func (w *network) add(i int, incarnation uint64) *node {
+	return w.addWith(Config{Self: testNode(i), Incarnation: 1_790_000_000_000_000_000 + incarnation})
 }
 
-func (w *mesh) addWith(config Config) *node {
+func (w *network) addWith(config Config) *node {
 	n := &node{Node: config.Self}
 	n.machine = New(config)
 	n.view = n.machine.View()
@@ -100,7 +100,7 @@
 	return n
 }
 
-func (w *mesh) list(nodes []*node) {
+func (w *network) listAll(nodes []*node) {
 	var listed []ListedNode
 	for _, n := range nodes {
 		listed = append(listed, ListedNode{Node: n.Node})
@@ -110,12 +110,12 @@
 	}
 }
 
-func (w *mesh) after(d time.Duration, run func()) {
+func (w *network) after(d time.Duration, run func()) {
 	w.order++
 	heap.Push(&w.queue, delivery{w.now + d, w.order, run})
 }
 
-func (w *mesh) tick(n *node) {
+func (w *network) tick(n *node) {
 	if n.stopped {
 		return
 	}
@@ -125,7 +125,7 @@
 	w.after(TickInterval, func() { w.tick(n) })
 }
 
-func (w *mesh) run(d time.Duration) {
+func (w *network) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		next := heap.Pop(&w.queue).(delivery)
@@ -135,7 +135,7 @@
 	w.now = end
 }
 
-func (w *mesh) step(n *node, event Event) {
+func (w *network) step(n *node, event Event) {
 	if n.stopped || n.paused {
 		return
 	}
@@ -160,20 +160,20 @@
 	}
 }
 
-// send carries a heartbeat and its reply through the codec; each is lost alone.
-func (w *mesh) send(from *node, a Send) {
+// send passes a heartbeat and its reply between nodes; each may be lost independently.
+func (w *network) send(from *node, a Send) {
 	to := w.byID[a.To.ID]
-	w.carry(from, to, a.Message, func(message *Message) {
-		w.handOver(from, to, a.Probe, message)
+	w.transmit(from, to, a.Message, func(message *Message) {
+		w.deliver(from, to, a.Probe, message)
 	})
 }
 
-func (w *mesh) carry(from, to *node, message *Message, arrive func(*Message)) {
+func (w *network) transmit(from, to *node, message *Message, arrive func(*Message)) {
 	encoded, _ := proto.Marshal(membership.Encode(message))
 	w.messages++
 	w.bytes += len(encoded) + overhead
 	if to == nil || from.DataCentre != to.DataCentre {
-		w.crossing += len(encoded) + overhead
+		w.crossDataCentreBytes += len(encoded) + overhead
 	}
 	if to == nil || w.blocked != nil && w.blocked(from, to) || w.random.Float64() < w.loss {
 		return
@@ -181,15 +181,15 @@
 	w.after(time.Millisecond+time.Duration(w.random.Int64N(int64(2*time.Millisecond))), func() { arrive(message) })
 }
 
-// handOver hands a heartbeat over and carries its reply back, also a late one.
-func (w *mesh) handOver(from, to *node, probe ProbeID, message *Message) {
+// deliver hands a heartbeat to its receiver and transmits the reply, even when it is late.
+func (w *network) deliver(from, to *node, probe ProbeID, message *Message) {
 	if to.stopped || to.paused {
 		return
 	}
 	w.order++
 	ticket := ReplyID(w.order)
 	w.replies[ticket] = func(reply *Message) {
-		w.carry(to, from, reply, func(reply *Message) { w.step(from, ReplyReceived{Probe: probe, Message: reply}) })
+		w.transmit(to, from, reply, func(reply *Message) { w.step(from, ReplyReceived{Probe: probe, Message: reply}) })
 	}
 	w.step(to, HeartbeatReceived{ReplyID: ticket, Message: message})
 }
--- a/internal/core/member/large_test.go
+++ b/internal/core/member/large_test.go
@@ -14,33 +14,34 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// largeSize is the fleet of the largest deployment served so far; 781 is the aim:
+// largeSize is the size of the largest deployment so far; the target is 781:
 //
 //	go test ./internal/core/member -run TestALargeFleet -v -large 781
-var largeSize = flag.Int("large", 295, "the size of the fleet in the tests of a large one")
+var largeSize = flag.Int("large", 295, "the fleet size of the large-fleet tests")
 
 const (
-	largeCentres = 6
-	firstStart   = 1_790_000_000_000_000_000
-	mega         = 1e6
+	largeDataCentres = 6
+	firstStart       = 1_790_000_000_000_000_000
+	bytesPerMB       = 1e6
 )
 
-// largeFleet is nodes in six data centres that start at once and know three bare seeds.
-func largeFleet() *mesh {
-	w := emptyMesh(5)
+// largeFleet returns nodes in six data centres that start at once and know the addresses of three
+// seeds.
+func largeFleet() *network {
+	w := emptyNetwork(5)
 	for i := range *largeSize {
-		ip := fmt.Sprintf("10.%d.%d.%d", i%largeCentres, i/250, i%250)
+		ip := fmt.Sprintf("10.%d.%d.%d", i%largeDataCentres, i/250, i%250)
 		w.addWith(Config{Incarnation: firstStart, Self: route.Node{
-			ID: core.NodeID(ip + ":7380"), DataCentre: fmt.Sprintf("hall-%c", 'a'+i%largeCentres),
+			ID: core.NodeID(ip + ":7380"), DataCentre: fmt.Sprintf("hall-%c", 'a'+i%largeDataCentres),
 			PeerAddress: ip + ":7380", CallerAddress: ip + ":8104", Weight: 192,
 		}})
 	}
-	w.seed(w.nodes)
+	w.listSeeds(w.nodes)
 	return w
 }
 
-// seed lists three seeds to nodes.
-func (w *mesh) seed(nodes []*node) {
+// listSeeds gives nodes the addresses of three seeds as their VM list.
+func (w *network) listSeeds(nodes []*node) {
 	for _, n := range nodes {
 		var seeds []ListedNode
 		for _, seed := range w.nodes[:3] {
@@ -52,59 +53,61 @@
 	}
 }
 
-// placed reports whether all nodes know all, with their data centres and addresses.
-func (w *mesh) placed() bool {
+// complete reports whether every node knows all nodes with their data centres and addresses.
+func (w *network) complete() bool {
 	for _, n := range w.nodes {
-		for _, one := range n.view.Nodes() {
-			if one.CallerAddress == "" || one.DataCentre == "" {
+		for _, known := range n.view.Nodes() {
+			if known.CallerAddress == "" || known.DataCentre == "" {
 				return false
 			}
 		}
 	}
-	return w.views(len(w.nodes), w.nodes...) == len(w.nodes)
+	return w.countViews(len(w.nodes), w.nodes...) == len(w.nodes)
 }
 
-// restart starts lost nodes again, as new processes at the same addresses.
-func (w *mesh) restart(lost []*node) {
+// restart starts stopped nodes as new processes at the same addresses.
+func (w *network) restart(lost []*node) {
 	w.nodes = slices.DeleteFunc(w.nodes, func(n *node) bool { return slices.Contains(lost, n) })
 	for _, n := range lost {
 		w.addWith(Config{Self: n.Node, Incarnation: firstStart + uint64(w.now)})
 	}
-	w.seed(w.nodes[len(w.nodes)-len(lost):])
+	w.listSeeds(w.nodes[len(w.nodes)-len(lost):])
 }
 
-// measure runs until a condition holds and tells how long that took and what it sent.
-func (w *mesh) measure(t *testing.T, what string, condition func() bool) (took time.Duration, crossing float64) {
-	bytes, before := w.bytes, w.crossing
+// measure runs until a condition holds and returns how long that took and the megabytes sent
+// between data centres.
+func (w *network) measure(t *testing.T, name string, condition func() bool) (took time.Duration, crossing float64) {
+	bytes, before := w.bytes, w.crossDataCentreBytes
 	took = w.runUntil(time.Minute, condition)
-	crossing = float64(w.crossing-before) / mega
-	t.Logf("%d nodes, %s: %v, %.1f MB sent, %.1f MB of them between data centres", len(w.nodes), what, took, float64(w.bytes-bytes)/mega, crossing)
+	crossing = float64(w.crossDataCentreBytes-before) / bytesPerMB
+	t.Logf("%d nodes, %s: %v, %.1f MB sent, %.1f MB between data centres", len(w.nodes), name, took, float64(w.bytes-bytes)/bytesPerMB, crossing)
 	return took, crossing
 }
 
-// Operators switch a fleet of hundreds on, with three seeds for a list. Until its nodes know each
-// other, callers are sent to a few of them and many nodes take themselves for readers of the store.
-// Then half of the nodes lose power, or a whole data centre, and come back as new processes. Each
-// time all must agree soon, at few bytes between data centres.
+// Hundreds of nodes start at once with three seeds as their VM list. Until they know each other,
+// callers are sent to few of them, and many nodes take themselves for readers of the store. Then
+// half of the nodes, or a whole data centre, fail and restart as new processes. Each time all nodes
+// must agree soon and send few bytes between data centres.
 //
-// Grounds: callers wait 14 s at the users' for a start; the bytes are a tenth of what ten
-// transmissions of each piece of news took (91 MB at the start, 46 and 70 MB for a lost half).
+// Reason for the limits: callers wait 14 s for a start at the users' sites; the bytes are a
+// tenth of those of ten transmissions per update (91 MB at the start, 46 and 70 MB for the loss of
+// half).
 func TestALargeFleetFindsItselfSoon(t *testing.T) {
 	w := largeFleet()
-	took, crossing := w.measure(t, "start", w.placed)
+	took, crossing := w.measure(t, "start", w.complete)
 	require.Less(t, took, 6*time.Second)
 	require.Less(t, crossing, 10.0*float64(*largeSize*(*largeSize))/(295*295))
 	w.run(settle)
-	bytes, before := w.bytes, w.crossing
+	bytes, before := w.bytes, w.crossDataCentreBytes
 	w.run(settle)
-	t.Logf("quiet: %.0f bytes/s a node, %.0f between data centres", float64(w.bytes-bytes)/settle.Seconds()/float64(*largeSize), float64(w.crossing-before)/settle.Seconds()/float64(*largeSize))
+	t.Logf("idle: %.0f bytes/s per node, %.0f between data centres", float64(w.bytes-bytes)/settle.Seconds()/float64(*largeSize), float64(w.crossDataCentreBytes-before)/settle.Seconds()/float64(*largeSize))
 	for _, loss := range []struct {
-		what string
-		lost func(i int, n *node) bool
-		most time.Duration
+		name  string
+		lost  func(i int, n *node) bool
+		limit time.Duration
 	}{
-		{"half lost", func(i int, _ *node) bool { return i%2 == 0 }, 25 * time.Second},
-		{"a data centre lost", func(_ int, n *node) bool { return n.DataCentre == "hall-b" }, 15 * time.Second},
+		{"half stopped", func(i int, _ *node) bool { return i%2 == 0 }, 25 * time.Second},
+		{"a data centre stopped", func(_ int, n *node) bool { return n.DataCentre == "hall-b" }, 15 * time.Second},
 	} {
 		var lost, rest []*node
 		for i, n := range w.nodes {
@@ -115,36 +118,36 @@
 			}
 			rest = append(rest, n)
 		}
-		took, _ = w.measure(t, loss.what, w.all(len(rest), rest))
-		require.Less(t, took, loss.most)
-		require.Equal(t, len(rest), w.views(len(rest), rest...), "nobody else is taken for lost")
+		took, _ = w.measure(t, loss.name, w.allViews(len(rest), rest))
+		require.Less(t, took, loss.limit)
+		require.Equal(t, len(rest), w.countViews(len(rest), rest...), "no other node is declared dead")
 		w.restart(lost)
-		took, _ = w.measure(t, "started again", w.placed)
+		took, _ = w.measure(t, "restarted all", w.complete)
 		require.Less(t, took, 10*time.Second)
 		w.run(settle)
 	}
 }
 
-// A node of a small fleet loses every second message on its way to it, and another comes back as a new
-// process with another address for callers. News is told behind the place that was confirmed last, so
-// that it arrives all the same.
+// Every second message to one node of a small fleet is lost while another node restarts with a new
+// address for callers. Updates are sent until they are acknowledged, so that the node receives the
+// new address.
 func TestNewsThatIsLostOnceIsToldAgain(t *testing.T) {
-	w := emptyMesh(9)
+	w := emptyNetwork(9)
 	for i := range 12 {
-		w.addWith(Config{Self: place(i), Incarnation: firstStart})
+		w.addWith(Config{Self: testNode(i), Incarnation: firstStart})
 	}
-	w.seed(w.nodes)
-	require.Less(t, w.runUntil(time.Minute, w.placed), 10*time.Second)
-	loser, moved, odd := w.nodes[3], w.nodes[6], false
+	w.listSeeds(w.nodes)
+	require.Less(t, w.runUntil(time.Minute, w.complete), 10*time.Second)
+	lossyNode, moved, dropped := w.nodes[3], w.nodes[6], false
 	w.blocked = func(_, to *node) bool {
-		odd = to == loser && !odd
-		return odd
+		dropped = to == lossyNode && !dropped
+		return dropped
 	}
 	moved.stopped = true
 	moved.CallerAddress = "10.9.9.9:7001"
 	w.restart([]*node{moved})
 	require.Less(t, w.runUntil(time.Minute, func() bool {
-		known, ok := loser.view.Node(moved.ID)
+		known, ok := lossyNode.view.Node(moved.ID)
 		return ok && known.CallerAddress == moved.CallerAddress
 	}), 10*time.Second)
 }
--- a/internal/core/member/lifecycle.go
+++ b/internal/core/member/lifecycle.go
@@ -6,16 +6,16 @@
 	"github.com/pistachiopier/pistachiopier/internal/chart"
 )
 
-// subject is what the chart's actions work on.
+// subject is the argument of the state chart's actions.
 type subject struct {
 	machine *Machine
 	peer    *peer
 }
 
-// lifeCycle is the life cycle of a node as another one believes it.
+// lifeCycle is the state chart of a node as seen by another node.
 var lifeCycle = chart.Must(chart.Source("node"), chart.Bindings[subject]{
 	Actions: map[string]func(subject){
-		"spread":     func(s subject) { s.machine.tell(s.peer) },
+		"spread":     func(s subject) { s.machine.recordChange(s.peer) },
 		"note_death": func(s subject) { s.peer.deadAt = s.machine.now },
 	},
 })
@@ -45,18 +45,18 @@
 	}
 }
 
-// renew takes up a new incarnation under a known id: what was believed of the
-// former process says nothing of this one.
-func (m *Machine) renew(p *peer, incarnation uint64, version uint32) {
+// replaceProcess applies a new incarnation of a known node and discards the state of the earlier
+// process.
+func (m *Machine) replaceProcess(p *peer, incarnation uint64, version uint32) {
 	p.incarnation = incarnation
 	p.version = version
 	p.witnesses = [witnessesNeeded]Witness{}
-	delete(m.doubts, p.node.ID)
+	delete(m.checks, p.node.ID)
 	p.exchange = exchange{}
 	m.fire(p, eventRenewed)
 }
 
-// State names the believed state of a node, or "" for one not known.
+// State returns the name of a node's state, or "" for an unknown node.
 func (m *Machine) State(id string) string {
 	for known, p := range m.peers {
 		if string(known) == id {
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,13 +1,12 @@
-// Package member is one node's belief about the others.
+// Package member decides which other nodes one node considers live, suspect, dead or leaving.
 //
-// Each node sends heartbeats to a few fixed neighbours: its successors in
-// several rings, each ring ordering the nodes by another hash. A neighbour that
-// does not answer is asked again, also through other nodes. Only when all of
-// that fails does the node become a witness of the loss. The witness itself
-// stops routing to the lost node; others do so once they hear of two witnesses,
-// so that a node which merely cannot hear never talks the fleet into a loss.
-// Suspicions, refutations, leaving marks and drains ride on heartbeats in
-// bounded lists. docs/design/membership.md weighs this against other schemes.
+// Each node sends heartbeats to a few fixed neighbours: its successors in several rings, each ring
+// ordering the nodes by another hash. A neighbour that does not answer is probed again, directly
+// and through other nodes. Only when all of that fails does the node become a witness that the
+// neighbour is unreachable. The witness itself stops routing to it; other nodes do so once they
+// know two witnesses, so that a node that only fails to receive messages cannot get others declared
+// dead. Suspicions, refutations, leaving marks and drain marks are carried by heartbeats in bounded
+// lists. docs/design/membership.md compares this with other schemes.
 package member
 
 import (
@@ -16,14 +15,14 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// Machine is one node's belief. It is not safe for concurrent use.
+// Machine holds one node's state of the membership protocol. It is not safe for concurrent use.
 type Machine struct {
-	config   Config
-	now      core.Time
-	tick     Tick
-	lastTick core.Time
-	version  uint32
-	leaving  bool
+	config     Config
+	now        core.Time
+	tick       Tick
+	lastTickAt core.Time
+	version    uint32
+	leaving    bool
 	// listedLeaving is set while the VM list shows this node leaving.
 	listedLeaving bool
 	// started is set by the first VM list, published by the first view.
@@ -33,38 +32,38 @@
 
 	peers  map[core.NodeID]*peer
 	byHash map[uint32]*peer
-	// order lists the peers by id; rotations walk it.
+	// order lists the peers by id; rotations iterate over it.
 	order      []*peer
 	neighbours []*peer
-	// centres is the number of data centres with live nodes.
-	centres int
-	// changes are the changes of states in their order; changedAt is the place of the last one.
-	changes   []change
-	changedAt uint64
+	// dataCentres is the number of data centres with live nodes.
+	dataCentres int
+	// changes lists state changes by number; lastChangeSeq is the number of the latest one.
+	changes       []change
+	lastChangeSeq uint64
 	// changed is set when order, neighbours and view are out of date.
-	changed   bool
-	view      *route.View
-	beat      int
-	nextBeat  core.Time
-	nextRetry core.Time
-	retryAt   int
-	repairAt  int
+	changed        bool
+	view           *route.View
+	heartbeatCount int
+	nextHeartbeat  core.Time
+	nextDeadProbe  core.Time
+	deadProbeIndex int
+	repairIndex    int
 
 	probes map[ProbeID]probe
-	doubts map[core.NodeID]*doubt
+	checks map[core.NodeID]*suspicionCheck
 
-	drains      map[string]*drain
-	drainQueue  []string
-	drainsDirty bool
+	drains        map[string]*storedDrain
+	drainQueue    []string
+	drainsChanged bool
 
 	unreached []core.NodeID
 
 	pause   pause
-	split   split
+	split   splitState
 	actions []Action
 }
 
-// peer is what the machine believes of one other node.
+// peer is the state of one other node as known here.
 type peer struct {
 	node          route.Node
 	state         chart.State
@@ -72,22 +71,22 @@
 	version       uint32
 	listed        bool
 	listedLeaving bool
-	// bare is set when the list gives no more than the node's peer address.
-	bare bool
-	// presumed is set for nodes in the first reading of the VM list: they are
-	// routed to before they have answered.
-	presumed bool
-	// witnesses are nodes that found it unreachable.
+	// addressOnly is set when the VM list gives only the node's peer address.
+	addressOnly bool
+	// presumedLive is set for nodes in the first reading of the VM list. They are routed to before
+	// they have answered.
+	presumedLive bool
+	// witnesses are nodes that found this one unreachable.
 	witnesses [witnessesNeeded]Witness
-	// answeredAt is the last proof that it answers, by whatever path.
+	// answeredAt is the time of the last proof, direct or indirect, that the node answers.
 	answeredAt core.Time
 	deadAt     core.Time
-	// changedAt is the place of the last change of its state in this node's changes, 0 for none.
-	changedAt uint64
+	// changeSeq is the number of the latest change of its state, 0 for none.
+	changeSeq uint64
 	exchange  exchange
 }
 
-// New makes a machine that knows nobody.
+// New returns a machine that knows no other node.
 func New(config Config) *Machine {
 	config.Fill()
 	return &Machine{
@@ -95,14 +94,14 @@
 		peers:  map[core.NodeID]*peer{},
 		byHash: map[uint32]*peer{},
 		probes: map[ProbeID]probe{},
-		doubts: map[core.NodeID]*doubt{},
-		drains: map[string]*drain{},
+		checks: map[core.NodeID]*suspicionCheck{},
+		drains: map[string]*storedDrain{},
 		view:   route.NewView([]route.Node{config.Self}),
 	}
 }
 
-// Step takes one event and returns what to do. The slice is valid until the
-// next Step.
+// Step handles one event and returns the actions to carry out. The slice is valid until the next
+// Step.
 func (m *Machine) Step(now core.Time, event Event) []Action {
 	m.actions = m.actions[:0]
 	m.now = now
@@ -110,7 +109,7 @@
 	case Tick:
 		m.ticked(e)
 	case VMList:
-		m.listed(e)
+		m.vmListRead(e)
 	case HeartbeatReceived:
 		m.received(e)
 	case ReplyReceived:
@@ -120,7 +119,7 @@
 	case RequestAnswered:
 		m.answered(m.peers[e.Node])
 	case RequestsFailed:
-		m.unanswered(m.peers[e.Node])
+		m.startCheck(m.peers[e.Node])
 	case DrainSeen:
 		m.drainSeen(e)
 	case Leave:
@@ -131,27 +130,27 @@
 	return m.actions
 }
 
-func (m *Machine) act(action Action) { m.actions = append(m.actions, action) }
+func (m *Machine) emit(action Action) { m.actions = append(m.actions, action) }
 
-// View is the routing view in force.
+// View returns the routing view in force.
 func (m *Machine) View() *route.View { return m.view }
 
 func (m *Machine) ticked(e Tick) {
 	m.tick = e
 	m.checkPause()
-	m.lastTick = m.now
+	m.lastTickAt = m.now
 	m.expireProbes()
-	m.stepDoubts()
-	m.volunteer()
+	m.advanceChecks()
+	m.startAssignedChecks()
 	m.sendHeartbeat()
-	m.retryLost()
+	m.probeDead()
 	m.expireDrains()
 	m.forget()
 	m.checkSplit()
 	m.confirm()
 }
 
-// peer finds a node or begins to know it.
+// peer returns the peer with the node's id, adding it if it is unknown.
 func (m *Machine) peer(node route.Node) *peer {
 	p := m.peers[node.ID]
 	if p == nil {
@@ -166,13 +165,13 @@
 func (m *Machine) leave() {
 	m.leaving = true
 	m.changed = true
-	m.refresh()
+	m.updateNeighbours()
 	for _, p := range m.neighbours {
 		m.probe(p, probe{target: p.node.ID})
 	}
 }
 
-// forget drops nodes that are dead or gone and no longer listed.
+// forget removes nodes that are dead or gone and no longer listed.
 func (m *Machine) forget() {
 	for id, p := range m.peers {
 		if p.listed || !p.is(stateDead, stateGone) || m.now-p.deadAt < m.config.DeadRetention {
@@ -180,7 +179,7 @@
 		}
 		delete(m.peers, id)
 		delete(m.byHash, nodeHash(id))
-		delete(m.doubts, id)
+		delete(m.checks, id)
 		m.changed = true
 	}
 }
--- a/internal/core/member/message.go
+++ b/internal/core/member/message.go
@@ -6,7 +6,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// Standing is a state as it is told to others.
+// Standing is a node's state as sent to other nodes.
 type Standing uint8
 
 // The standings, by rising precedence within one incarnation and version.
@@ -29,20 +29,20 @@
 	Leaving  bool
 	Updates  []Update
 	Drains   []Drain
-	// Probe is the node to be reached on the sender's behalf, or in a reply
-	// the one that was tried; Reached says whether it answered.
+	// Probe is the node to be probed on the sender's behalf or, in a reply, the node that was
+	// probed. Reached reports whether it answered.
 	Probe   core.NodeID
 	Reached bool
-	// Exchange is set between neighbours, which tell each other every change. Mark is then the
-	// place in the sender's changes up to which the receiver has them all once it has taken the
-	// updates up; Seen is the place in the receiver's that the sender has reached, as counted by the
-	// receiver's incarnation SeenOf.
+	// Exchange is set between neighbours, which send each other every change. Mark is the number of
+	// the sender's last change that the receiver has once it has applied the updates. Seen is the
+	// number of the receiver's last change that the sender has, as counted by the receiver's
+	// incarnation SeenOf.
 	Exchange     bool
 	Mark         uint64
 	Seen, SeenOf uint64
 }
 
-// Update is a claim about a node.
+// Update is a claim about a node's state.
 type Update struct {
 	// Node has addresses only when the VM list may lack it.
 	Node        route.Node
@@ -52,7 +52,8 @@
 	Witnesses   [witnessesNeeded]Witness
 }
 
-// Witness names a node that found another unreachable, as it was at the time.
+// Witness identifies a node that found another unreachable, with its incarnation and version at
+// that time.
 type Witness struct {
 	// Node is a hash of the witness's id, never 0.
 	Node uint32
@@ -60,7 +61,7 @@
 	Term uint32
 }
 
-// message makes a heartbeat for a node; to may be nil.
+// message returns a heartbeat for a node; to may be nil.
 func (m *Machine) message(to *peer) *Message {
 	message := &Message{
 		From:        m.config.Self,
@@ -70,25 +71,25 @@
 		Digest:      m.tick.Digest,
 		View:        m.view.ID(),
 		Leaving:     m.leaving,
-		Drains:      m.drainNews(),
+		Drains:      m.nextDrains(),
 	}
 	if to != nil && to.is(stateSuspect, stateDead) {
-		// A claim about the receiver itself, which it must be able to refute.
+		// Send the claim about the receiver itself, so that it can refute it.
 		message.Updates = append(message.Updates, m.update(to))
 	}
 	return message
 }
 
-// exchangeWith makes a heartbeat that also tells a neighbour what changed. An opening one is the
-// first word of two; the other answers it.
-func (m *Machine) exchangeWith(to *peer, opening bool) *Message {
+// exchangeWith returns a heartbeat with the changes that a neighbour lacks. request is set for a
+// heartbeat and unset for its reply.
+func (m *Machine) exchangeWith(to *peer, request bool) *Message {
 	message := m.message(to)
 	message.Exchange = true
-	message.Seen, message.SeenOf = to.exchange.heard, to.exchange.heardOf
-	if opening && m.unmet(to) {
+	message.Seen, message.SeenOf = to.exchange.receivedSeq, to.exchange.receivedFrom
+	if request && m.deferUpdates(to) {
 		return message
 	}
-	updates, mark := m.updates(to)
+	updates, mark := m.unackedUpdates(to)
 	message.Mark = mark
 	if len(updates) == 0 {
 		updates = m.repair()
@@ -105,7 +106,7 @@
 		Standing:    standing(p.state),
 		Witnesses:   p.witnesses,
 	}
-	if !p.listed || p.bare || p.is(stateUnknown) {
+	if !p.listed || p.addressOnly || p.is(stateUnknown) {
 		update.Node = p.node
 	}
 	return update
--- a/internal/core/member/pause.go
+++ b/internal/core/member/pause.go
@@ -2,52 +2,51 @@
 
 import "github.com/pistachiopier/pistachiopier/internal/core"
 
-// confirmations is how many nodes must agree with this one after a pause.
-const confirmations = 2
+// neededConfirmations is how many nodes must show the same view after a pause.
+const neededConfirmations = 2
 
-// newerTextWaits is how many times ConfirmWait the node stays paused while
-// others are known to run by a newer text than this node.
-const newerTextWaits = 5
+// newerConfigTimeouts is how many times ConfirmTimeout the node stays paused while other nodes are
+// known to have a newer configuration.
+const newerConfigTimeouts = 5
 
-// pause is the confirmation of beliefs after this process stood still.
+// pause is the state of the confirmation after this process was paused.
 type pause struct {
 	confirming bool
-	wokeAt     core.Time
-	// replies are the latest words of the nodes heard since the wake.
+	resumedAt  core.Time
+	// replies holds the latest reply of each node since the process resumed.
 	replies map[core.NodeID]*Message
 }
 
-func (p *pause) heard(message *Message) {
+func (p *pause) addReply(message *Message) {
 	if p.confirming {
 		p.replies[message.From.ID] = message
 	}
 }
 
-// checkPause finds that the process stood still: its tick came late. A process
-// that was stopped goes on with what it believed before: it would send work to
-// replicas that others own by now, by a text that was replaced. So the node
-// counts as paused before anything else happens, and every open check is
-// dropped, since it was this node that did not answer.
+// checkPause detects from a late tick that this process was paused. Without this check, a resumed
+// process would keep its outdated state and send work to replicas that other nodes own by now,
+// under a configuration that was replaced. So the node counts as paused before it handles anything
+// else. Every running check is dropped, since this node itself did not answer.
 func (m *Machine) checkPause() {
-	late := m.now - m.lastTick - TickInterval
-	if m.lastTick == 0 || late < m.config.PauseLimit {
+	late := m.now - m.lastTickAt - TickInterval
+	if m.lastTickAt == 0 || late < m.config.PauseLimit {
 		return
 	}
 	m.probes = map[ProbeID]probe{}
-	m.doubts = map[core.NodeID]*doubt{}
+	m.checks = map[core.NodeID]*suspicionCheck{}
 	for _, p := range m.peers {
 		p.answeredAt = 0
 	}
-	m.pause = pause{confirming: true, wokeAt: m.now, replies: map[core.NodeID]*Message{}}
-	m.act(SetPaused{Paused: true, Late: late})
-	m.refresh()
+	m.pause = pause{confirming: true, resumedAt: m.now, replies: map[core.NodeID]*Message{}}
+	m.emit(SetPaused{Paused: true, Late: late})
+	m.updateNeighbours()
 	for _, p := range m.neighbours {
 		m.probe(p, probe{target: p.node.ID})
 	}
 }
 
-// confirm ends the pause once enough nodes show this node's view and no newer
-// configuration, or when nobody can be reached for long.
+// confirm ends the pause once enough nodes show the same view and none a newer configuration, or
+// when the timeout has passed.
 func (m *Machine) confirm() {
 	if !m.pause.confirming {
 		return
@@ -57,16 +56,16 @@
 	for _, reply := range m.pause.replies {
 		switch {
 		case reply.Revision > m.tick.Revision:
-			limit = newerTextWaits * m.config.ConfirmTimeout
+			limit = newerConfigTimeouts * m.config.ConfirmTimeout
 		case reply.View == m.view.ID():
 			agreeing++
 		}
 	}
-	older := limit > m.config.ConfirmTimeout
-	confirmed := agreeing >= min(confirmations, len(m.neighbours)) && !older
-	if !confirmed && m.now-m.pause.wokeAt < limit {
+	outdated := limit > m.config.ConfirmTimeout
+	confirmed := agreeing >= min(neededConfirmations, len(m.neighbours)) && !outdated
+	if !confirmed && m.now-m.pause.resumedAt < limit {
 		return
 	}
 	m.pause = pause{}
-	m.act(SetPaused{})
+	m.emit(SetPaused{})
 }
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -6,41 +6,40 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// probe is a heartbeat that awaits its reply.
+// probe is a sent heartbeat that awaits its reply.
 type probe struct {
 	target core.NodeID
-	// about is the doubted node that the target was asked to reach.
-	about core.NodeID
-	// ticket is the heartbeat of another node on whose behalf this one was
-	// sent.
-	ticket ReplyID
-	sentAt core.Time
+	// indirectTarget is the suspected node that the target was asked to probe.
+	indirectTarget core.NodeID
+	// replyID identifies the heartbeat of another node on whose behalf this probe was sent.
+	replyID ReplyID
+	sentAt  core.Time
 }
 
-// sendHeartbeat sends the next neighbour its heartbeat when that is due.
+// sendHeartbeat sends the next neighbour its heartbeat when it is due.
 func (m *Machine) sendHeartbeat() {
-	m.refresh()
-	if m.now < m.nextBeat || len(m.neighbours) == 0 {
+	m.updateNeighbours()
+	if m.now < m.nextHeartbeat || len(m.neighbours) == 0 {
 		return
 	}
-	m.nextBeat = m.now + m.config.HeartbeatPeriod/core.Time(len(m.neighbours))
-	m.beat++
-	p := m.neighbours[m.beat%len(m.neighbours)]
-	if m.doubts[p.node.ID] == nil {
+	m.nextHeartbeat = m.now + m.config.HeartbeatPeriod/core.Time(len(m.neighbours))
+	m.heartbeatCount++
+	p := m.neighbours[m.heartbeatCount%len(m.neighbours)]
+	if m.checks[p.node.ID] == nil {
 		m.send(p, probe{target: p.node.ID}, m.exchangeWith(p, true))
 	}
 }
 
-// retryLost probes one dead or silent node a period, so that the two sides of a
-// partition find each other again at a bounded cost.
-func (m *Machine) retryLost() {
-	if m.now < m.nextRetry {
+// probeDead probes one dead or gone node per HeartbeatPeriod, so that the two sides of a healed
+// partition find each other at a bounded cost.
+func (m *Machine) probeDead() {
+	if m.now < m.nextDeadProbe {
 		return
 	}
-	m.nextRetry = m.now + m.config.HeartbeatPeriod
+	m.nextDeadProbe = m.now + m.config.HeartbeatPeriod
 	for range m.order {
-		m.retryAt = (m.retryAt + 1) % len(m.order)
-		p := m.order[m.retryAt]
+		m.deadProbeIndex = (m.deadProbeIndex + 1) % len(m.order)
+		p := m.order[m.deadProbeIndex]
 		if p.is(stateDead, stateGone) && p.listed {
 			m.probe(p, probe{target: p.node.ID})
 			return
@@ -48,111 +47,111 @@
 	}
 }
 
-func (m *Machine) probe(p *peer, what probe) {
+func (m *Machine) probe(p *peer, sent probe) {
 	message := m.message(p)
-	message.Probe = what.about
-	m.send(p, what, message)
+	message.Probe = sent.indirectTarget
+	m.send(p, sent, message)
 }
 
-func (m *Machine) send(p *peer, what probe, message *Message) {
+func (m *Machine) send(p *peer, sent probe, message *Message) {
 	m.sequence++
-	what.sentAt = m.now
+	sent.sentAt = m.now
 	id := ProbeID(m.sequence)
-	m.probes[id] = what
-	m.act(Send{Probe: id, To: p.node, Message: message})
+	m.probes[id] = sent
+	m.emit(Send{Probe: id, To: p.node, Message: message})
 }
 
 func (m *Machine) expireProbes() {
-	var late []ProbeID
-	for id, waiting := range m.probes {
-		limit := m.config.ReplyTimeout
-		if waiting.about != "" {
-			// The helper needs its own ReplyWait before it can answer.
-			limit *= 2
+	var expired []ProbeID
+	for id, sent := range m.probes {
+		timeout := m.config.ReplyTimeout
+		if sent.indirectTarget != "" {
+			// The intermediate node waits up to its own ReplyTimeout before it answers.
+			timeout *= 2
 		}
-		if m.now-waiting.sentAt >= limit {
-			late = append(late, id)
+		if m.now-sent.sentAt >= timeout {
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(late)
-	for _, id := range late {
+	slices.Sort(expired)
+	for _, id := range expired {
 		m.failed(id)
 	}
 }
 
 func (m *Machine) failed(id ProbeID) {
-	waiting, ok := m.probes[id]
+	sent, ok := m.probes[id]
 	if !ok {
 		return
 	}
 	delete(m.probes, id)
 	switch {
-	case waiting.ticket != 0:
-		m.reply(waiting.ticket, nil, waiting.target, false)
-	case waiting.about == "":
-		m.unanswered(m.peers[waiting.target])
+	case sent.replyID != 0:
+		m.reply(sent.replyID, nil, sent.target, false)
+	case sent.indirectTarget == "":
+		m.startCheck(m.peers[sent.target])
 	}
 }
 
 func (m *Machine) replied(e ReplyReceived) {
-	waiting, ok := m.probes[e.Probe]
+	sent, ok := m.probes[e.Probe]
 	if !ok {
 		return
 	}
 	delete(m.probes, e.Probe)
-	m.learn(e.Message)
-	m.pause.heard(e.Message)
-	m.answered(m.peers[waiting.target])
-	if waiting.ticket != 0 {
-		m.reply(waiting.ticket, nil, waiting.target, true)
+	m.receiveMessage(e.Message)
+	m.pause.addReply(e.Message)
+	m.answered(m.peers[sent.target])
+	if sent.replyID != 0 {
+		m.reply(sent.replyID, nil, sent.target, true)
 	}
-	if waiting.about != "" && e.Message.Reached {
-		m.answered(m.peers[waiting.about])
+	if sent.indirectTarget != "" && e.Message.Reached {
+		m.answered(m.peers[sent.indirectTarget])
 	}
 }
 
-// received answers a heartbeat. Hearing from a node does not prove that it can
-// be reached: with one-way loss its heartbeats arrive while nothing reaches it.
-// So a heartbeat from a lost node only leads to a probe of it.
+// received answers a heartbeat. A heartbeat does not prove that its sender can be reached: with
+// one-way loss its heartbeats arrive while it receives nothing. So a heartbeat from a dead node
+// only causes a probe of it.
 func (m *Machine) received(e HeartbeatReceived) {
-	m.learn(e.Message)
+	m.receiveMessage(e.Message)
 	from := m.peers[e.Message.From.ID]
-	if from != nil && from.is(stateUnknown, stateDead) && m.doubts[from.node.ID] == nil {
+	if from != nil && from.is(stateUnknown, stateDead) && m.checks[from.node.ID] == nil {
 		m.probe(from, probe{target: from.node.ID})
 	}
 	if e.Message.Exchange && from != nil {
-		m.act(Reply{ReplyID: e.ReplyID, Message: m.exchangeWith(from, false)})
+		m.emit(Reply{ReplyID: e.ReplyID, Message: m.exchangeWith(from, false)})
 		return
 	}
-	about := m.peers[e.Message.Probe]
-	if about == nil {
+	target := m.peers[e.Message.Probe]
+	if target == nil {
 		m.reply(e.ReplyID, from, "", false)
 		return
 	}
-	m.probe(about, probe{target: about.node.ID, ticket: e.ReplyID})
+	m.probe(target, probe{target: target.node.ID, replyID: e.ReplyID})
 }
 
-func (m *Machine) reply(ticket ReplyID, to *peer, about core.NodeID, reached bool) {
+func (m *Machine) reply(replyID ReplyID, to *peer, target core.NodeID, reached bool) {
 	message := m.message(to)
-	message.Probe = about
+	message.Probe = target
 	message.Reached = reached
-	m.act(Reply{ReplyID: ticket, Message: message})
+	m.emit(Reply{ReplyID: replyID, Message: message})
 }
 
-// answered takes up proof that a node answers, by whatever path.
+// answered records proof, direct or indirect, that a node answers.
 func (m *Machine) answered(p *peer) {
 	if p == nil {
 		return
 	}
 	p.answeredAt = m.now
-	delete(m.doubts, p.node.ID)
+	delete(m.checks, p.node.ID)
 	if p.is(stateSuspect) {
-		// Others may doubt it for good reason, but it answers: the claim of
-		// one witness is dropped here, and the node refutes it elsewhere.
+		// Other nodes may suspect it for a valid reason, but it answers: its witnesses are dropped
+		// here, and the node refutes the claim elsewhere.
 		p.witnesses = [witnessesNeeded]Witness{}
 	}
 	if p.is(stateDead) {
-		// It returns by its own refutation, which the reply carried.
+		// It becomes live again by its own refutation, which the reply carried.
 		return
 	}
 	m.fire(p, eventAnswered)
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -9,18 +9,18 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// split remembers since when other views are seen.
-type split struct {
+// splitState records since when other nodes have had differing views.
+type splitState struct {
 	// differsSince is when heartbeats began to show another view, or 0.
-	differsSince core.Time
-	lastDiffer   core.Time
-	raised       bool
-	unreached    int
-	lostSince    core.Time
+	differsSince   core.Time
+	lastDifferedAt core.Time
+	reported       bool
+	unreached      int
+	unreachedSince core.Time
 }
 
-// refresh brings the order, the neighbours and the wanted view up to date.
-func (m *Machine) refresh() {
+// updateNeighbours recomputes the order, the neighbours and the number of data centres.
+func (m *Machine) updateNeighbours() {
 	if !m.changed {
 		return
 	}
@@ -31,26 +31,26 @@
 	slices.SortFunc(m.order, func(a, b *peer) int { return strings.Compare(string(a.node.ID), string(b.node.ID)) })
 	m.neighbours = m.neighbours[:0]
 	for ring := range m.config.Neighbours {
-		if next := m.neighbour(ring); next != nil {
+		if next := m.nextNeighbour(ring); next != nil {
 			m.neighbours = append(m.neighbours, next)
 		}
 	}
-	centres := map[string]bool{m.config.Self.DataCentre: true}
+	dataCentres := map[string]bool{m.config.Self.DataCentre: true}
 	for _, p := range m.order {
 		if p.is(stateLive) {
-			centres[p.node.DataCentre] = true
+			dataCentres[p.node.DataCentre] = true
 		}
 	}
-	m.centres = len(centres)
+	m.dataCentres = len(dataCentres)
 }
 
-// neighbour is the next node in a ring that is not a neighbour yet. Each node then has as many
-// watchers as there are rings. The rings behind the crossing ones run within the data centre, as far
-// as that has nodes enough.
-func (m *Machine) neighbour(ring int) *peer {
-	for _, inside := range []bool{ring >= m.config.CrossDataCentreRings, false} {
+// nextNeighbour returns the nearest successor in a ring that is not a neighbour yet, so that each
+// node is watched by as many nodes as there are rings. The rings after the cross-data-centre ones
+// stay within the data centre as long as it has enough nodes.
+func (m *Machine) nextNeighbour(ring int) *peer {
+	for _, sameDataCentre := range []bool{ring >= m.config.CrossDataCentreRings, false} {
 		// The first few may be neighbours already.
-		for _, next := range m.successors(ring, m.config.Neighbours, inside) {
+		for _, next := range m.successors(ring, m.config.Neighbours, sameDataCentre) {
 			if !slices.Contains(m.neighbours, next) {
 				return next
 			}
@@ -59,48 +59,47 @@
 	return nil
 }
 
-// successors are the next nodes after this one in a ring, at most so many, of all data centres or
+// successors returns up to count nodes that follow this one in a ring, of all data centres or only
 // of its own.
-func (m *Machine) successors(ring, count int, inside bool) []*peer {
+func (m *Machine) successors(ring, count int, sameDataCentre bool) []*peer {
 	self := pairHash(m.config.Self.ID, uint64(ring))
-	type place struct {
+	type candidate struct {
 		distance uint64
 		peer     *peer
 	}
-	var found []place
+	var found []candidate
 	for _, p := range m.order {
-		if p.is(stateDead, stateGone, stateLeaving) || inside && p.node.DataCentre != m.config.Self.DataCentre {
+		if p.is(stateDead, stateGone, stateLeaving) || sameDataCentre && p.node.DataCentre != m.config.Self.DataCentre {
 			continue
 		}
-		one := place{pairHash(p.node.ID, uint64(ring)) - self, p}
-		at, _ := slices.BinarySearchFunc(found, one, func(a, b place) int { return cmp.Compare(a.distance, b.distance) })
+		next := candidate{pairHash(p.node.ID, uint64(ring)) - self, p}
+		at, _ := slices.BinarySearchFunc(found, next, func(a, b candidate) int { return cmp.Compare(a.distance, b.distance) })
 		if at >= count {
 			continue
 		}
-		found = slices.Insert(found, at, one)
+		found = slices.Insert(found, at, next)
 		found = found[:min(len(found), count)]
 	}
 	peers := make([]*peer, 0, len(found))
-	for _, one := range found {
-		peers = append(peers, one.peer)
+	for _, next := range found {
+		peers = append(peers, next.peer)
 	}
 	return peers
 }
 
-// publish makes the routing view when something changed and the set of nodes
-// is another.
+// publish builds the routing view after a change and publishes it if the set of nodes differs.
 func (m *Machine) publish() {
 	if !m.changed {
 		return
 	}
-	m.refresh()
+	m.updateNeighbours()
 	m.changed = false
 	var nodes []route.Node
 	if !m.leaving && !m.listedLeaving {
 		nodes = append(nodes, m.config.Self)
 	}
 	for _, p := range m.order {
-		if p.routed() {
+		if p.routable() {
 			nodes = append(nodes, p.node)
 		}
 	}
@@ -109,67 +108,66 @@
 	}
 	next := route.NewView(nodes)
 	if m.started && (!m.published || !sameNodes(next.Nodes(), m.view.Nodes())) {
-		if gained(next.Nodes(), m.view) {
-			m.repeatDrains()
+		if hasNewNode(next.Nodes(), m.view) {
+			m.resendDrains()
 		}
 		m.published = true
-		m.act(Publish{View: next})
+		m.emit(Publish{View: next})
 	}
 	m.view = next
 }
 
-// sameNodes also tells a node that came back at another address.
+// sameNodes also detects a node that returned at another address.
 func sameNodes(a, b []route.Node) bool { return slices.Equal(a, b) }
 
-// routed reports whether work is routed to the node.
-func (p *peer) routed() bool {
+// routable reports whether work is routed to the node.
+func (p *peer) routable() bool {
 	if p.listedLeaving {
 		return false
 	}
-	return p.is(stateLive, stateSuspect) || p.is(stateUnknown) && p.presumed
+	return p.is(stateLive, stateSuspect) || p.is(stateUnknown) && p.presumedLive
 }
 
-// compareView notes whether the sender routes by another view.
+// compareView records whether the sender routes by another view.
 func (m *Machine) compareView(message *Message) {
 	if message.View == m.view.ID() {
 		return
 	}
-	m.split.lastDiffer = m.now
+	m.split.lastDifferedAt = m.now
 	if m.split.differsSince == 0 {
 		m.split.differsSince = m.now
 	}
 }
 
-// checkSplit raises a problem when other views are seen for long, or when the
-// VM list shows several nodes live that do not answer: beyond a partition no
-// heartbeat comes that could show another view.
+// checkSplit raises a problem when differing views persist, or when several nodes that the VM list
+// shows live do not answer: from across a partition no heartbeat arrives that could show another
+// view.
 func (m *Machine) checkSplit() {
-	if m.split.differsSince > 0 && m.now-m.split.lastDiffer > 2*m.config.HeartbeatPeriod {
+	if m.split.differsSince > 0 && m.now-m.split.lastDifferedAt > 2*m.config.HeartbeatPeriod {
 		m.split.differsSince = 0
 	}
-	m.tellUnreached()
+	m.emitUnreached()
 	unreached := len(m.unreached)
 	switch {
 	case unreached < 2:
-		m.split.lostSince = 0
-	case m.split.lostSince == 0:
-		m.split.lostSince = m.now
+		m.split.unreachedSince = 0
+	case m.split.unreachedSince == 0:
+		m.split.unreachedSince = m.now
 	}
-	present := m.longSince(m.split.differsSince) || m.longSince(m.split.lostSince)
-	if present != m.split.raised || present && unreached != m.split.unreached {
-		m.act(SplitView{Present: present, Unreached: unreached})
+	present := m.splitDelayPassed(m.split.differsSince) || m.splitDelayPassed(m.split.unreachedSince)
+	if present != m.split.reported || present && unreached != m.split.unreached {
+		m.emit(SplitView{Present: present, Unreached: unreached})
 	}
-	m.split.raised = present
+	m.split.reported = present
 	m.split.unreached = unreached
 }
 
-func (m *Machine) longSince(at core.Time) bool {
-	return at > 0 && m.now-at >= m.config.SplitViewDelay
+func (m *Machine) splitDelayPassed(since core.Time) bool {
+	return since > 0 && m.now-since >= m.config.SplitViewDelay
 }
 
-// tellUnreached tells which nodes are lost though the VM list shows them live,
-// when that has changed.
-func (m *Machine) tellUnreached() {
+// emitUnreached emits the set of dead nodes that the VM list shows live when the set has changed.
+func (m *Machine) emitUnreached() {
 	var lost []core.NodeID
 	for _, p := range m.order {
 		if p.is(stateDead) && p.listed && !p.listedLeaving {
@@ -180,10 +178,10 @@
 		return
 	}
 	m.unreached = lost
-	m.act(Unreached{Nodes: lost})
+	m.emit(Unreached{Nodes: lost})
 }
 
-func gained(nodes []route.Node, former *route.View) bool {
+func hasNewNode(nodes []route.Node, former *route.View) bool {
 	return slices.ContainsFunc(nodes, func(node route.Node) bool {
 		_, known := former.Node(node.ID)
 		return !known
--- a/internal/core/member/witness.go
+++ b/internal/core/member/witness.go
@@ -8,26 +8,26 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// witnessesNeeded is how many nodes must have found another unreachable before
-// those that did not check it themselves believe so.
+// witnessesNeeded is how many nodes must have found another unreachable before nodes that did not
+// check it themselves consider it dead.
 const witnessesNeeded = 2
 
-// doubted adds the witnesses of a claim. The node is believed lost once there
-// are enough of them and this node has no proof of its own against it.
-func (m *Machine) doubted(p *peer, u Update) {
+// receiveSuspicion adds the witnesses of a claim. The node is considered dead once there are enough
+// of them and this node has no recent proof that it answers.
+func (m *Machine) receiveSuspicion(p *peer, u Update) {
 	if p.is(stateDead, stateLeaving, stateGone) {
 		return
 	}
 	added := false
 	for _, witness := range u.Witnesses {
-		added = m.valid(witness) && p.addWitness(witness) || added
+		added = m.validWitness(witness) && p.addWitness(witness) || added
 	}
 	if !added {
 		return
 	}
 	if m.now-p.answeredAt < 2*m.config.HeartbeatPeriod && p.answeredAt > 0 {
-		// It answered just now: check it instead of believing the claim.
-		m.unanswered(p)
+		// It answered recently: check it instead of accepting the claim.
+		m.startCheck(p)
 		return
 	}
 	if m.countWitnesses(p) >= min(witnessesNeeded, max(1, len(m.order)-1)) {
@@ -35,19 +35,20 @@
 		return
 	}
 	m.fire(p, eventDoubted)
-	m.tell(p)
-	if m.volunteers(p) {
-		m.unanswered(p)
+	m.recordChange(p)
+	if m.assignedToCheck(p) {
+		m.startCheck(p)
 	}
 }
 
-// volunteers reports whether this node is one of the few that check a claim by one witness: the
-// first of each data centre in an order that all nodes agree on. Where a whole data centre is lost, its
-// nodes have one watcher elsewhere, the one in the crossing ring, and a share of all nodes drawn by
-// hash left some without a second witness: they stayed in every view for good.
-func (m *Machine) volunteers(p *peer) bool {
-	// All data centres together have at least as many as there are rings.
-	each := (m.config.Neighbours + m.centres - 1) / max(1, m.centres)
+// assignedToCheck reports whether this node is one of the few that check a claim by one witness:
+// the first nodes of each data centre in an order that all nodes agree on. When a whole data centre
+// fails, its nodes are watched from elsewhere only in the cross-data-centre ring. Selecting a share
+// of all nodes by hash left some without a second witness, and they stayed in every view
+// permanently.
+func (m *Machine) assignedToCheck(p *peer) bool {
+	// Over all data centres at least as many nodes are assigned as there are rings.
+	remaining := (m.config.Neighbours + m.dataCentres - 1) / max(1, m.dataCentres)
 	own := pairHash(p.node.ID, uint64(nodeHash(m.config.Self.ID)))
 	for _, other := range m.order {
 		if other == p || other.node.DataCentre != m.config.Self.DataCentre || !other.is(stateLive) {
@@ -56,27 +57,26 @@
 		if pairHash(p.node.ID, uint64(nodeHash(other.node.ID))) >= own {
 			continue
 		}
-		if each--; each == 0 {
+		if remaining--; remaining == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// valid reports whether a witness counts here: it is believed live, and it has
-// not been lost and come back since it spoke. After a partition each side knows
-// the other as lost, and has witnesses for it; without this check the first
-// heartbeat across would make each side believe that it is itself lost, node
-// after node, and all owners would move twice.
-func (m *Machine) valid(witness Witness) bool {
-	if witness == m.witness() {
+// validWitness reports whether a witness counts here: it is considered live and has not been
+// declared dead and come back since it made the claim. After a partition each side considers the
+// other dead and has witnesses for it. Without this check the first heartbeat across would make
+// each side consider its own nodes dead, one after another, and all owners would move twice.
+func (m *Machine) validWitness(witness Witness) bool {
+	if witness == m.ownWitness() {
 		return true
 	}
 	p := m.byHash[witness.Node]
 	return p != nil && p.is(stateLive, stateSuspect) && term(p.incarnation, p.version) == witness.Term
 }
 
-func (m *Machine) witness() Witness {
+func (m *Machine) ownWitness() Witness {
 	return Witness{Node: nodeHash(m.config.Self.ID), Term: term(m.config.Incarnation, m.version)}
 }
 
@@ -89,7 +89,7 @@
 	return uint32(core.Mix64(incarnation + uint64(version)))
 }
 
-// addWitness keeps at most as many witnesses as are needed, one claim each.
+// addWitness keeps at most as many witnesses as are needed, one claim for each.
 func (p *peer) addWitness(witness Witness) bool {
 	at := slices.IndexFunc(p.witnesses[:], func(known Witness) bool { return known.Node == witness.Node })
 	if at < 0 {
@@ -105,7 +105,7 @@
 func (m *Machine) countWitnesses(p *peer) int {
 	count := 0
 	for i, witness := range p.witnesses {
-		if witness.Node != 0 && m.valid(witness) {
+		if witness.Node != 0 && m.validWitness(witness) {
 			count++
 			continue
 		}
