--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -1,5 +1,5 @@
-// Package config decides which revision of the operators' text a node has in
-// force, whom it asks for newer ones, and what differs between two texts.
+// Package config decides which revision of the operators' text a node has in force, which nodes it
+// polls for newer ones, and which edits turn one text into another.
 package config
 
 import (
@@ -7,17 +7,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Mark identifies a text: its revision, and its digest to tell two texts under
-// one revision apart. The zero value stands for no text.
+// Mark identifies a text by its revision and by its digest, which distinguishes two texts under one
+// revision. The zero value stands for no text.
 type Mark struct {
-	// Revision is a place (package era): it rises over eras of the service.
+	// Revision is a place (package era): it rises across eras of the service.
 	Revision uint64 `json:"revision"`
 	Digest   uint64 `json:"digest"`
 }
 
-// Supersedes reports whether a valid text so marked replaces one marked other. Of
-// two texts under one revision the greater digest wins: any order does, if all
-// nodes compute the same one, whichever text they saw first.
+// Supersedes reports whether a valid text with this mark replaces a text with the other mark. Of
+// two texts under one revision the greater digest wins, so that all nodes choose the same text,
+// whichever they read first.
 func (m Mark) Supersedes(other Mark) bool {
 	if m.Revision != other.Revision {
 		return m.Revision > other.Revision
@@ -30,19 +30,19 @@
 	return m.Revision == other.Revision && m.Digest != other.Digest
 }
 
-// Source says where a reading comes from.
+// Source is the origin of a reading.
 type Source uint8
 
 // The sources.
 const (
 	FromService Source = iota
 	FromPeer
-	// FromPeerRefusal is a peer's word that it refused a text, without the text.
+	// FromPeerRefusal is a peer's report that it refused a text, without the text.
 	FromPeerRefusal
 )
 
-// Reading is a text read from the service or received from a peer. Catalog is
-// nil when the text is invalid; Fault says why then.
+// Reading is a text read from the service or received from a peer. Catalog is nil when the text is
+// invalid, and Fault then holds the reason.
 type Reading struct {
 	Mark    Mark
 	Source  Source
@@ -51,28 +51,28 @@
 	Fault   string
 }
 
-// Problem is a condition of the configuration that operators should see.
+// Problem is a condition of the configuration to be shown to operators.
 type Problem uint8
 
 // The problems.
 const (
-	// ProblemRefused: a revision is invalid, the former stays in force.
+	// ProblemRefused: a revision is invalid, and the former stays in force.
 	ProblemRefused Problem = iota
 	// ProblemConflict: two texts carry one revision.
 	ProblemConflict
-	// ProblemStale: nobody has confirmed the revision for long.
+	// ProblemStale: the revision was not confirmed for longer than StaleAfter.
 	ProblemStale
-	// ProblemOlder: the service offers an older revision than is in force.
+	// ProblemOlder: the service offers an older revision than the one in force.
 	ProblemOlder
 )
 
-// Action is something that the machine wants done.
+// Action is an output of the Machine, for its caller to carry out.
 type Action interface{ action() }
 
 // Adopt puts a reading in force.
 type Adopt struct{ Reading *Reading }
 
-// Fetch asks a peer for its text, which is above the one at hand.
+// Fetch requests the text of a peer that has one superseding the text at hand.
 type Fetch struct{ Peer core.NodeID }
 
 // Report raises or renews a problem.
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -24,7 +24,7 @@
 	return &Reading{Mark: Mark{revision, 1}, Fault: "line 1: wrong"}
 }
 
-func fleet(dataCentres, each int) []route.Node {
+func testNodes(dataCentres, each int) []route.Node {
 	var nodes []route.Node
 	for d := range dataCentres {
 		for n := range each {
@@ -56,24 +56,24 @@
 	return raised, cleared
 }
 
-// An operator rolls the service back, or one of its copies lags: it offers
-// revision 9 while 10 is in force. Were 9 adopted, a drained replica would get
-// work again. Later the service shows 10, and then 11.
+// An operator rolls the service back, or one of its replicas lags: it offers revision 9 while 10 is
+// in force. If 9 were adopted, a drained replica would get work again. Later the service offers 10,
+// and then 11.
 func TestRolledBackServiceIsNotFollowed(t *testing.T) {
 	m := running(t, 10, 1)
 	raised, _ := problems(m.Offer(1, reading(9, 1, FromService)))
 	assert.Equal(t, []Problem{ProblemOlder}, raised)
 	assert.Equal(t, uint64(10), m.InForce().Revision)
-	assert.Equal(t, uint64(9), m.WatchAfter(), "a watch above 10 could return revision 9 over and over")
+	assert.Equal(t, uint64(9), m.WatchAfter(), "a watch above 10 could return revision 9 repeatedly")
 	_, cleared := problems(m.Offer(2, reading(10, 1, FromService)))
 	assert.Equal(t, []Problem{ProblemOlder}, cleared)
 	m.Offer(3, reading(11, 1, FromService))
 	assert.Equal(t, uint64(11), m.InForce().Revision)
 }
 
-// An operator publishes an invalid revision 6, then a valid one. Each node keeps
-// 5 in force, says so, and goes on with the next valid revision, also with one
-// below a refused revision when peers have it.
+// An operator publishes an invalid revision 8 while 5 is in force, and peers have a valid revision
+// 7. The node keeps 5 in force, reports the problem, and adopts each next valid revision, even one
+// below the refused revision when peers have it.
 func TestInvalidRevisionIsRefusedAndTheNextTaken(t *testing.T) {
 	m := running(t, 5, 1)
 	raised, _ := problems(m.Offer(1, invalid(8)))
@@ -89,9 +89,9 @@
 	assert.Equal(t, "in_force", m.State())
 }
 
-// Two texts carry revision 4, after a service was restored from a backup. Half
-// of the fleet read one and half the other. All end with the same text, in
-// whichever order they meet the two, and all report it until a higher revision.
+// Two texts carry revision 4 after a service was restored from a backup; half of the fleet read one
+// and half the other. All nodes end with the same text, in whichever order they receive the two,
+// and all report the conflict until a higher revision.
 func TestTwoTextsUnderOneRevisionResolveAlike(t *testing.T) {
 	for _, order := range [][2]uint64{{1, 2}, {2, 1}} {
 		m := running(t, 4, order[0])
@@ -103,32 +103,32 @@
 	}
 }
 
-// A node starts while the service is down. Its peers know revision 9 and 7; it
-// must not serve 7 although that answer came first.
+// A node starts while the service is down. Its peers have revisions 9 and 7. It must not serve 7
+// although that reply arrived first.
 func TestStartTakesTheHighestOfPeersWhenTheServiceIsDown(t *testing.T) {
 	m := New(0)
-	nodes := fleet(2, 1)
+	nodes := testNodes(2, 1)
 	m.AskPeers(0, nodes)
 	m.ServiceFailed(1)
 	actions := m.PeerReported(1, nodes[0].ID, Mark{7, 1})
 	assert.Equal(t, []Action{Fetch{nodes[0].ID}}, actions)
 	m.PeerReported(2, nodes[1].ID, Mark{9, 1})
 	actions = m.Offer(3, reading(7, 1, FromPeer))
-	assert.Equal(t, []Action{Fetch{nodes[1].ID}}, actions, "a higher revision is claimed")
+	assert.Equal(t, []Action{Fetch{nodes[1].ID}}, actions, "a peer has a higher revision")
 	assert.True(t, m.Gathering())
 	m.Offer(4, reading(9, 1, FromPeer))
 	assert.Equal(t, Mark{9, 1}, m.InForce())
 }
 
-// A node starts in a partition: the service answers, no peer does. It serves
-// after the bounded wait; when nobody answers at all it does not serve.
+// A node starts in a partition: the service answers, no peer does. It serves after the bounded
+// wait. When neither answers it does not serve.
 func TestStartIsBoundedWhenPeersAreSilent(t *testing.T) {
 	m := New(0)
-	m.AskPeers(0, fleet(2, 2))
+	m.AskPeers(0, testNodes(2, 2))
 	m.Tick(10 * StartWait)
 	assert.True(t, m.Gathering())
 	m = New(0)
-	m.AskPeers(0, fleet(2, 2))
+	m.AskPeers(0, testNodes(2, 2))
 	m.Offer(1, reading(3, 1, FromService))
 	m.Tick(StartWait - 1)
 	assert.True(t, m.Gathering())
@@ -136,8 +136,8 @@
 	assert.Equal(t, Mark{3, 1}, m.InForce())
 }
 
-// The service is down overnight. The text stays in force, the problem shows its
-// age, and it ends when the service answers again.
+// The service is down overnight. The text stays in force, the problem shows its age, and it is
+// cleared when the service answers again.
 func TestStaleServiceIsReportedAndKept(t *testing.T) {
 	m := running(t, 5, 1)
 	raised, _ := problems(m.Tick(StaleAfter))
@@ -150,17 +150,17 @@
 	assert.Equal(t, uint64(5), m.InForce().Revision)
 }
 
-// Whatever comes in whichever order, what is in force never goes down, is never
-// an invalid text, and each adoption is the mark then in force.
+// Property: for any order of events, the revision in force never goes down, is never an invalid
+// text, and each adopted reading has the mark then in force.
 func TestRevisionInForceNeverGoesDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(0)
-		nodes := fleet(3, 2)
+		nodes := testNodes(3, 2)
 		now := core.Time(0)
 		before := Mark{}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now += core.Time(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "passed"))
-			for _, action := range anyEvent(t, m, now, nodes) {
+			for _, action := range randomEvent(t, m, now, nodes) {
 				adopted, ok := action.(Adopt)
 				if ok && (adopted.Reading.Mark != m.InForce() || adopted.Reading.Catalog == nil) {
 					t.Fatalf("adopted %v, in force %v", adopted.Reading.Mark, m.InForce())
@@ -174,12 +174,12 @@
 	})
 }
 
-func anyEvent(t *rapid.T, m *Machine, now core.Time, nodes []route.Node) []Action {
+func randomEvent(t *rapid.T, m *Machine, now core.Time, nodes []route.Node) []Action {
 	mark := Mark{era.Place(rapid.Uint64Range(0, 2).Draw(t, "era"), rapid.Uint64Range(0, 6).Draw(t, "revision")), rapid.Uint64Range(1, 3).Draw(t, "digest")}
 	node := rapid.SampledFrom(nodes).Draw(t, "node").ID
-	one := &Reading{Mark: mark, Source: Source(rapid.IntRange(0, 1).Draw(t, "source"))}
+	candidate := &Reading{Mark: mark, Source: Source(rapid.IntRange(0, 1).Draw(t, "source"))}
 	if rapid.Bool().Draw(t, "valid") {
-		one.Catalog = &catalog.Catalog{}
+		candidate.Catalog = &catalog.Catalog{}
 	}
 	switch rapid.IntRange(0, 7).Draw(t, "event") {
 	case 0:
@@ -195,7 +195,7 @@
 	case 5:
 		return m.PeerFailed(now, node)
 	default:
-		return m.Offer(now, one)
+		return m.Offer(now, candidate)
 	}
 }
 
@@ -211,9 +211,9 @@
 	})
 }
 
-// A peer of another version, or a broken one, sends edits for another text. They
-// are refused or give another text, which its digest shows; nothing panics.
-func TestGarbageEditsAreRefused(t *testing.T) {
+// A peer of another version, or a faulty one, sends edits for another text. They are refused or
+// produce another text, which its digest reveals. No edit causes a panic.
+func TestMalformedEditsAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.IntRange(-3, 8)
 		edits := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Edit {
@@ -227,10 +227,10 @@
 	require.Error(t, err)
 }
 
-// The relays of 780 nodes in four data centres take turns, so that no node
-// reads every text, and every node follows relays of its own data centre.
+// The relays of 780 nodes in four data centres rotate, so that no node reads every text, and every
+// node polls relays of its own data centre.
 func TestRelaysTakeTurns(t *testing.T) {
-	view := route.NewView(fleet(4, 195))
+	view := route.NewView(testNodes(4, 195))
 	turns := map[core.NodeID]int{}
 	for revision := range uint64(40) {
 		relays := Relays(view, "dc1", revision)
@@ -242,17 +242,17 @@
 			assert.Len(t, targets, 1+3)
 		}
 	}
-	assert.Len(t, turns, groupSize)
+	assert.Len(t, turns, relayGroupSize)
 	for _, count := range turns {
 		assert.Equal(t, 10, count, "a quarter of the revisions")
 	}
-	assert.LessOrEqual(t, float64(780)/MinReadInterval(780).Seconds(), float64(directReads))
+	assert.LessOrEqual(t, float64(780)/MinReadInterval(780).Seconds(), float64(maxDirectReadsPerSecond))
 }
 
-// Both relays of a node die. It sees the links fail, reads the service itself
-// within a second, and goes back to a relay that answers.
+// Both relays of a node die. The node sees the links fail, reads the service itself within a
+// second, and returns to a relay that answers.
 func TestNodeWithoutRelaysReadsDirectly(t *testing.T) {
-	nodes := fleet(1, 20)
+	nodes := testNodes(1, 20)
 	view := route.NewView(nodes)
 	relays := Relays(view, "dc0", 5)
 	self := nodes[0].ID
@@ -269,14 +269,14 @@
 	assert.Equal(t, []FollowAction{Watch{Wait: WatchWait}}, f.PollEnded(time.Second, relays[1].ID, false))
 	f.Tick(3 * time.Second)
 	assert.Contains(t, f.PollEnded(3*time.Second, relays[1].ID, true), FollowAction(CancelWatch{}))
-	silent := f.Tick(3*time.Second + pollOverdue)
+	silent := f.Tick(3*time.Second + pollTimeout)
 	assert.Contains(t, silent, FollowAction(CancelPoll{relays[0].ID}))
 }
 
-// A process pauses for a minute and wakes up. Its polls went out before the pause
-// and their answers may be lost; it asks again at once, not after an overdue poll.
+// A process is paused for a minute. Its polls were sent before the pause, and their replies may be
+// lost. It polls again at once rather than after a poll timeout.
 func TestWokenNodeAsksAgainAtOnce(t *testing.T) {
-	view := route.NewView(fleet(1, 3))
+	view := route.NewView(testNodes(1, 3))
 	self := view.Nodes()[0].ID
 	f := NewFollower(self, "dc0", func() float64 { return 0 })
 	polls := func(actions []FollowAction) (started, cancelled int) {
--- a/internal/core/config/edits.go
+++ b/internal/core/config/edits.go
@@ -8,19 +8,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// Edit replaces the lines [From, From+Removed) of a text. Edits apply in order,
-// each to the outcome of the one before it.
+// Edit replaces the lines [From, From+Removed) of a text. Edits apply in order, each to the result
+// of the previous one.
 type Edit struct {
 	From    int
 	Removed int
 	Lines   []string
 }
 
-// maxEdits bounds the edits of one difference, so that applying them to a text
-// of a megabyte takes milliseconds; a greater difference becomes one edit.
+// maxEdits bounds the edits of one difference, so that applying them to a text of a megabyte takes
+// milliseconds. A larger difference becomes one edit.
 const maxEdits = 256
 
-// SplitLines cuts a text into lines that keep their line ends.
+// SplitLines splits a text into lines that keep their line ends.
 func SplitLines(text string) []string {
 	lines := strings.SplitAfter(text, "\n")
 	if lines[len(lines)-1] == "" {
@@ -29,17 +29,17 @@
 	return lines
 }
 
-// Diff returns edits that turn the lines before into the lines after, last
-// place first.
+// Diff returns edits that turn the lines before into the lines after, in descending order of
+// position.
 func Diff(before, after []string) []Edit {
-	head := commonHead(before, after)
+	head := commonPrefix(before, after)
 	before, after = before[head:], after[head:]
-	tail := commonTail(before, after)
+	tail := commonSuffix(before, after)
 	before, after = before[:len(before)-tail], after[:len(after)-tail]
 	if len(before) == 0 && len(after) == 0 {
 		return nil
 	}
-	edits, ok := shortest(before, after)
+	edits, ok := shortestEdits(before, after)
 	if !ok {
 		edits = []Edit{{Removed: len(before), Lines: after}}
 	}
@@ -49,8 +49,7 @@
 	return edits
 }
 
-// Apply carries out edits. It refuses edits that do not fit the text or make it
-// larger than a text may be.
+// Apply applies edits. It refuses edits that do not fit the text or make it larger than the limit.
 func Apply(lines []string, edits []Edit) ([]string, error) {
 	size := 0
 	for _, line := range lines {
@@ -59,7 +58,7 @@
 	lines = append([]string(nil), lines...)
 	for _, edit := range edits {
 		if edit.From < 0 || edit.Removed < 0 || edit.From > len(lines) || edit.Removed > len(lines)-edit.From {
-			return nil, misfit("an edit is outside the text")
+			return nil, editError("edit is out of the range of the text")
 		}
 		for _, line := range edit.Lines {
 			size += len(line)
@@ -68,7 +67,7 @@
 			size -= len(line)
 		}
 		if size > catalog.MaxTextBytes {
-			return nil, misfit("edits make the text too large")
+			return nil, editError("edits make the text exceed the size limit")
 		}
 		lines = splice(lines, edit)
 	}
@@ -76,23 +75,23 @@
 }
 
 func splice(lines []string, edit Edit) []string {
-	grown := len(edit.Lines) - edit.Removed
-	if grown > 0 {
-		lines = append(lines, make([]string, grown)...)
+	growth := len(edit.Lines) - edit.Removed
+	if growth > 0 {
+		lines = append(lines, make([]string, growth)...)
 	}
 	copy(lines[edit.From+len(edit.Lines):], lines[edit.From+edit.Removed:])
 	copy(lines[edit.From:], edit.Lines)
-	if grown < 0 {
-		lines = lines[:len(lines)+grown]
+	if growth < 0 {
+		lines = lines[:len(lines)+growth]
 	}
 	return lines
 }
 
-func misfit(message string) error {
-	return &fault.Error{Code: fault.CodePeer, Outcome: core.NotRun, Message: message, Fix: "the whole text is fetched in its place"}
+func editError(message string) error {
+	return &fault.Error{Code: fault.CodePeer, Outcome: core.NotRun, Message: message, Fix: "the full text is fetched instead"}
 }
 
-func commonHead(a, b []string) int {
+func commonPrefix(a, b []string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
 		n++
@@ -100,7 +99,7 @@
 	return n
 }
 
-func commonTail(a, b []string) int {
+func commonSuffix(a, b []string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[len(a)-1-n] == b[len(b)-1-n] {
 		n++
@@ -108,16 +107,16 @@
 	return n
 }
 
-// shortest finds the shortest edits by Myers' greedy algorithm; false when more
-// than maxEdits lines differ.
-func shortest(before, after []string) ([]Edit, bool) {
-	// reach[d] holds, for each diagonal k = old - new of step d, the furthest
-	// old line reached with d differences; the index is k+d.
+// shortestEdits finds the minimal edits by Myers' greedy algorithm. It returns false when more than
+// maxEdits lines differ.
+func shortestEdits(before, after []string) ([]Edit, bool) {
+	// reach[d] holds, for each diagonal k = old - new of step d, the furthest old line reached with
+	// d differences; the index is k+d.
 	var reach [][]int
 	for d := 0; d <= maxEdits; d++ {
 		row := make([]int, 2*d+1)
 		for k := -d; k <= d; k += 2 {
-			x := step(reach, d, k)
+			x := enterDiagonal(reach, d, k)
 			for x < len(before) && x-k < len(after) && before[x] == after[x-k] {
 				x++
 			}
@@ -131,44 +130,45 @@
 	return nil, false
 }
 
-// step returns where the path with d differences enters diagonal k.
-func step(reach [][]int, d, k int) int {
+// enterDiagonal returns the old line at which the path with d differences enters diagonal k.
+func enterDiagonal(reach [][]int, d, k int) int {
 	if d == 0 {
 		return 0
 	}
-	if inserts(reach, d, k) {
-		return at(reach, d-1, k+1)
+	if lastIsInsert(reach, d, k) {
+		return furthest(reach, d-1, k+1)
 	}
-	return at(reach, d-1, k-1) + 1
+	return furthest(reach, d-1, k-1) + 1
 }
 
-// inserts reports whether the last difference on the way to diagonal k adds a
-// line rather than removes one.
-func inserts(reach [][]int, d, k int) bool {
-	return k == -d || k != d && at(reach, d-1, k-1) < at(reach, d-1, k+1)
+// lastIsInsert reports whether the last difference on the way to diagonal k adds a line rather than
+// removes one.
+func lastIsInsert(reach [][]int, d, k int) bool {
+	return k == -d || k != d && furthest(reach, d-1, k-1) < furthest(reach, d-1, k+1)
 }
 
-func at(reach [][]int, d, k int) int { return reach[d][k+d] }
+func furthest(reach [][]int, d, k int) int { return reach[d][k+d] }
 
-// backtrack collects the differences from the end to the start, which is the
-// order in which edits keep each other's places.
+// backtrack collects the differences from the end to the start; applied in this order, no edit
+// shifts the position of a later one.
 func backtrack(reach [][]int, d, k int, after []string) []Edit {
 	var edits []Edit
 	for ; d > 0; d-- {
-		if inserts(reach, d, k) {
+		if lastIsInsert(reach, d, k) {
 			k++
-			x := at(reach, d-1, k)
-			edits = add(edits, x, 0, after[x-k])
+			x := furthest(reach, d-1, k)
+			edits = prependEdit(edits, x, 0, after[x-k])
 			continue
 		}
 		k--
-		edits = add(edits, at(reach, d-1, k), 1, "")
+		edits = prependEdit(edits, furthest(reach, d-1, k), 1, "")
 	}
 	return edits
 }
 
-// add puts a difference in front of the latest edit when the two touch.
-func add(edits []Edit, from, removed int, line string) []Edit {
+// prependEdit merges a difference into the latest edit when the two are adjacent, and appends it
+// otherwise.
+func prependEdit(edits []Edit, from, removed int, line string) []Edit {
 	var lines []string
 	if removed == 0 {
 		lines = []string{line}
--- a/internal/core/config/gather.go
+++ b/internal/core/config/gather.go
@@ -7,32 +7,32 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// answer is what became of a question of a starting node.
-type answer uint8
+// answerState is the state of a request of a starting node.
+type answerState uint8
 
 const (
-	pending answer = iota
+	pending answerState = iota
 	answered
 	failed
 )
 
-// gather is what a starting node has heard so far.
+// gather is the state of a starting node's requests.
 type gather struct {
-	started core.Time
-	service answer
-	// viewKnown is set once it is known which peers there are to ask.
+	startedAt    core.Time
+	serviceState answerState
+	// viewKnown is set once the peers to ask are known.
 	viewKnown bool
 	peers     map[core.NodeID]*gatherPeer
 }
 
 type gatherPeer struct {
 	dataCentre string
-	answer     answer
-	claim      Mark
+	state      answerState
+	mark       Mark
 }
 
 func newGather(now core.Time) gather {
-	return gather{started: now, peers: map[core.NodeID]*gatherPeer{}}
+	return gather{startedAt: now, peers: map[core.NodeID]*gatherPeer{}}
 }
 
 // AskPeers records that a starting node asks these peers for their marks.
@@ -40,7 +40,7 @@
 	m.begin(now)
 	m.gather.viewKnown = true
 	for _, node := range peers {
-		if known := m.gather.peers[node.ID]; known == nil || known.answer == failed {
+		if known := m.gather.peers[node.ID]; known == nil || known.state == failed {
 			m.gather.peers[node.ID] = &gatherPeer{dataCentre: node.DataCentre}
 		}
 	}
@@ -51,104 +51,104 @@
 func (m *Machine) PeerReported(now core.Time, peer core.NodeID, mark Mark) []Action {
 	m.begin(now)
 	if known := m.gather.peers[peer]; known != nil {
-		known.answer, known.claim = answered, mark
+		known.state, known.mark = answered, mark
 	}
 	if !m.Gathering() {
-		m.hint(peer, mark)
+		m.compareMark(peer, mark)
 	}
 	return m.finish()
 }
 
-// PeerFailed records that a peer did not answer a question or deliver a text.
+// PeerFailed records that a peer did not answer a request or deliver a text.
 func (m *Machine) PeerFailed(now core.Time, peer core.NodeID) []Action {
 	m.begin(now)
 	if m.fetch.peer == peer {
 		m.endFetch()
 	}
 	if known := m.gather.peers[peer]; known != nil {
-		known.answer = failed
+		known.state = failed
 	}
 	return m.finish()
 }
 
-// hint asks a peer that is ahead for its text.
-func (m *Machine) hint(peer core.NodeID, mark Mark) {
+// compareMark fetches a peer's text if it supersedes the current one.
+func (m *Machine) compareMark(peer core.NodeID, mark Mark) {
 	current := m.current.Mark
 	if mark.conflicts(current) {
-		m.noteConflict(mark)
+		m.reportConflictWith(mark)
 	}
 	if mark.Supersedes(current) && mark != m.refused.Mark && mark != m.refusedPeer {
 		m.startFetch(peer)
 	}
 }
 
-// startFetch asks one peer at a time: after a change, hundreds may say at once
-// that they are ahead, and each could deliver a megabyte.
+// startFetch requests one text at a time: after a change, hundreds of peers may announce a newer
+// text at once, and each could deliver a megabyte.
 func (m *Machine) startFetch(peer core.NodeID) {
-	if m.fetch.peer != "" && m.now-m.fetch.at < fetchWait {
+	if m.fetch.peer != "" && m.now-m.fetch.at < fetchTimeout {
 		return
 	}
 	m.fetch = fetch{peer: peer, at: m.now}
 	m.emit(Fetch{peer})
 }
 
-// fetchBest asks the peer with the highest claim for its text.
-func (m *Machine) fetchBest() {
-	if peer, ok := m.bestClaim(); ok {
+// fetchHighest requests the text of the peer with the highest mark.
+func (m *Machine) fetchHighest() {
+	if peer, ok := m.highestPeer(); ok {
 		m.startFetch(peer)
 	}
 }
 
-// bestClaim finds the highest claim above the best reading. Equal claims are
-// taken in the order of the nodes' ids, so that a replay decides alike.
-func (m *Machine) bestClaim() (core.NodeID, bool) {
+// highestPeer returns the peer with the highest mark above the best reading. Equal marks are
+// ordered by node id, so that a replay makes the same choice.
+func (m *Machine) highestPeer() (core.NodeID, bool) {
 	var best core.NodeID
 	highest := m.current.Mark
 	for id, peer := range m.gather.peers {
-		if peer.answer != answered || peer.claim == m.refused.Mark || peer.claim == m.refusedPeer {
+		if peer.state != answered || peer.mark == m.refused.Mark || peer.mark == m.refusedPeer {
 			continue
 		}
-		if peer.claim.Supersedes(highest) || best != "" && peer.claim == highest && id < best {
-			best, highest = id, peer.claim
+		if peer.mark.Supersedes(highest) || best != "" && peer.mark == highest && id < best {
+			best, highest = id, peer.mark
 		}
 	}
 	return best, best != ""
 }
 
-// enough decides when a starting node may serve: a text is at hand, none higher
-// is claimed, and the service and a peer of each data centre have answered or
-// failed. Whoever is silent is awaited for StartWait, a claimed text for twice
-// that. So with the service down the peers suffice, and with no peer reached
-// the service does; with neither the node keeps asking.
-func (m *Machine) enough() bool {
+// gatheringDone decides when a starting node may serve: a text is at hand, no peer reported a
+// higher one, and the service and a peer of each data centre have answered or failed. Unanswered
+// requests are awaited for StartWait, a higher text for twice that. So while the service is down
+// the peers suffice, and while no peer is reachable the service suffices. With neither, the node
+// keeps asking.
+func (m *Machine) gatheringDone() bool {
 	if m.current.Mark.Revision == 0 {
 		return false
 	}
-	waited := m.now - m.gather.started
-	if _, claimed := m.bestClaim(); claimed {
+	waited := m.now - m.gather.startedAt
+	if _, higherKnown := m.highestPeer(); higherKnown {
 		return waited >= 2*StartWait
 	}
 	return waited >= StartWait || m.gather.settled()
 }
 
-// settled reports whether the service and each data centre have been heard, or
-// all that was asked there has failed.
+// settled reports whether the service and, in each data centre, one peer have answered, or all
+// requests there have failed.
 func (g *gather) settled() bool {
-	if g.service == pending || !g.viewKnown {
+	if g.serviceState == pending || !g.viewKnown {
 		return false
 	}
-	open := map[string]bool{}
+	pendingDataCentres := map[string]bool{}
 	for _, peer := range g.peers {
-		if peer.answer == pending {
-			open[peer.dataCentre] = true
+		if peer.state == pending {
+			pendingDataCentres[peer.dataCentre] = true
 		}
 	}
 	for _, peer := range g.peers {
-		if peer.answer == answered {
-			delete(open, peer.dataCentre)
+		if peer.state == answered {
+			delete(pendingDataCentres, peer.dataCentre)
 		}
 	}
-	return len(open) == 0
+	return len(pendingDataCentres) == 0
 }
 
 // GatherRetryInterval is how often a starting node without any text asks again.
--- a/internal/core/config/lifecycle.go
+++ b/internal/core/config/lifecycle.go
@@ -7,7 +7,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/era"
 )
 
-// lifeCycle is a node's way to a configuration in force.
+// lifeCycle is the state chart from the start of a node to a configuration in force.
 var lifeCycle = chart.Must(chart.Source("config"), chart.Bindings[*Machine]{
 	Guards: map[string]func(*Machine) bool{"refused_is_newer": (*Machine).refusedIsNewer},
 	Actions: map[string]func(*Machine){
@@ -34,8 +34,8 @@
 	eventGathered     = lifeCycle.Event("gathered")
 )
 
-// judge compares a reading with the current one.
-func (m *Machine) judge(reading *Reading) chart.Event {
+// compareReading compares a reading with the current one.
+func (m *Machine) compareReading(reading *Reading) chart.Event {
 	valid := reading.Catalog != nil
 	mark, current := reading.Mark, m.current.Mark
 	switch {
@@ -56,8 +56,8 @@
 
 func (m *Machine) fire(event chart.Event) { m.state = lifeCycle.Fire(m.state, event, m) }
 
-// refusedIsNewer reports whether a revision above the one in force, or about to
-// be, was refused.
+// refusedIsNewer reports whether a refused revision is above the one in force or about to be in
+// force.
 func (m *Machine) refusedIsNewer() bool {
 	revision := m.current.Mark.Revision
 	if m.offered != nil && m.offered.Catalog != nil {
@@ -66,7 +66,7 @@
 	return m.refused.Mark.Revision > revision
 }
 
-// keep holds the best reading so far while others are awaited.
+// keep stores the best reading so far while other answers are awaited.
 func (m *Machine) keep() {
 	m.endFetch()
 	m.current = m.offered
@@ -75,7 +75,7 @@
 // adoptKept puts the reading kept while gathering in force.
 func (m *Machine) adoptKept() {
 	m.emit(Adopt{m.current})
-	if m.serviceSeen != 0 && m.serviceSeen < m.current.Mark.Revision {
+	if m.serviceRevision != 0 && m.serviceRevision < m.current.Mark.Revision {
 		m.reportOlder()
 	}
 }
@@ -83,8 +83,8 @@
 // adopt puts the offered reading in force.
 func (m *Machine) adopt() {
 	m.endFetch()
-	if m.conflict && m.offered.Mark.Revision > m.current.Mark.Revision {
-		m.conflict = false
+	if m.conflictReported && m.offered.Mark.Revision > m.current.Mark.Revision {
+		m.conflictReported = false
 		m.emit(Clear{ProblemConflict})
 	}
 	m.current = m.offered
@@ -92,7 +92,7 @@
 	m.emit(Adopt{m.current})
 }
 
-// refuse takes note of an invalid text; the highest one is reported.
+// refuse records an invalid text; the highest refused revision is reported.
 func (m *Machine) refuse() {
 	if m.offered.Source == FromPeer {
 		m.endFetch()
@@ -105,15 +105,15 @@
 	m.emit(Report{ProblemRefused, fmt.Sprintf("revision %s is invalid, revision %s stays in force: %s", era.String(m.refused.Mark.Revision), era.String(m.current.Mark.Revision), m.offered.Fault)})
 }
 
-// confirm takes note that a source offers what is in force.
+// confirm records that a source offers the text in force.
 func (m *Machine) confirm() {
 	if m.offered.Source == FromService {
 		m.clearOlder()
 	}
 }
 
-// noteOlder reports a service that has gone back. A peer that is behind is no
-// problem: it is catching up.
+// noteOlder reports a service that offers an older revision. An older revision of a peer is no
+// problem, since the peer will catch up.
 func (m *Machine) noteOlder() {
 	if m.offered.Source == FromService {
 		m.reportOlder()
--- a/internal/core/config/restore.go
+++ b/internal/core/config/restore.go
@@ -6,30 +6,31 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/era"
 )
 
-// maxSeen bounds the texts that are known to be older ones: more than are published within the seconds that a
-// service loses.
+// maxSeen bounds the remembered texts: more than are published within the few seconds that a
+// restored service loses.
 const maxSeen = 64
 
-// seenText is a text as it was offered.
+// seenText identifies a text that was offered.
 type seenText struct{ revision, digest uint64 }
 
-// noteSeen remembers an offered text.
-func (m *Machine) noteSeen(reading *Reading) {
-	one := seenText{era.Revision(reading.Mark.Revision), reading.Mark.Digest}
-	if reading.Source == FromPeerRefusal || slices.Contains(m.seen, one) {
+// recordSeen remembers an offered text.
+func (m *Machine) recordSeen(reading *Reading) {
+	seen := seenText{era.Revision(reading.Mark.Revision), reading.Mark.Digest}
+	if reading.Source == FromPeerRefusal || slices.Contains(m.seen, seen) {
 		return
 	}
-	m.seen = append(m.seen, one)
+	m.seen = append(m.seen, seen)
 	if len(m.seen) > maxSeen {
 		m.seen = m.seen[1:]
 	}
 }
 
-// restored reports whether a reading of a newer era shows a text of before.
+// restored reports whether a reading of a newer era shows a text of the former era.
 //
-// The failure: a service that came back from a copy shows the text of some seconds ago, in a new era, which
-// comes after all that the former one had. Taken for the newest, it would send callers back to what
-// they have seen replaced. It is known by its revision and digest: what is written anew differs in one.
+// Failure that this prevents: a service restored from a copy shows its text of some seconds
+// earlier, in a new era, which sorts above everything in the former one. Adopting it as the newest
+// would return callers to a text that was already replaced. Such a text is identified by its
+// revision and digest: a newly published text differs in one of them.
 func (m *Machine) restored(reading *Reading) bool {
 	current := m.current.Mark
 	if current.Revision == 0 || era.Of(reading.Mark.Revision) <= era.Of(current.Revision) || reading.Mark.Digest == current.Digest {
@@ -38,12 +39,12 @@
 	return slices.Contains(m.seen, seenText{era.Revision(reading.Mark.Revision), reading.Mark.Digest})
 }
 
-// keepOver takes the text at hand over into a reading's era, right behind what the service shows there, so that
-// every node prefers it to that, and whatever is published next to both.
-func (m *Machine) keepOver(reading *Reading) {
-	kept := *m.current
-	kept.Mark.Revision = era.CarriedOver(reading.Mark.Revision)
-	m.current = &kept
+// carryOver moves the current text into the reading's era, directly above the text that the service
+// shows, so that every node prefers it to that one, and the next published text to both.
+func (m *Machine) carryOver(reading *Reading) {
+	carried := *m.current
+	carried.Mark.Revision = era.CarriedOver(reading.Mark.Revision)
+	m.current = &carried
 	if !m.Gathering() {
 		m.emit(Adopt{m.current})
 	}
--- a/internal/core/config/restore_test.go
+++ b/internal/core/config/restore_test.go
@@ -8,8 +8,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/era"
 )
 
-// The service comes back from a copy and shows revision 7, which was replaced; the operators publish 10 again, as 8, and then
-// a new text as 9. Nobody goes back to 7, also not at a second restore, and 9 is in force.
+// The service is restored from a copy and shows revision 7, which was replaced. The operators
+// publish 10 again, as 8, and then a new text as 9. No node returns to 7, not even at a second
+// restore, and 9 is in force.
 func TestARestoredServiceTakesNoTextBack(t *testing.T) {
 	m := New(0)
 	m.AskPeers(0, nil)
@@ -25,13 +26,14 @@
 		require.Equal(t, Mark{era.Place(restores, 8), 100}, m.InForce())
 	}
 	m.Offer(3, reading(era.Place(1, 12), 120, FromPeer))
-	require.Equal(t, Mark{era.Place(2, 8), 100}, m.InForce(), "a node of the former era")
+	require.Equal(t, Mark{era.Place(2, 8), 100}, m.InForce(), "the peer is still in the former era")
 	m.Offer(4, reading(era.Place(2, 9), 90, FromService))
 	require.Equal(t, Mark{era.Place(2, 9), 90}, m.InForce())
 }
 
-// A text of the former era was refused. What is published in the next one counts from there: the refusal of a higher revision
-// of before neither stays as a problem nor hides a refusal in the new era.
+// A text of the former era was refused. Texts published in the next era count anew: the refusal of
+// a higher revision of the former era neither remains as a problem nor hides a refusal in the new
+// era.
 func TestARefusalEndsWithItsEra(t *testing.T) {
 	m := running(t, 5, 1)
 	m.Offer(1, invalid(12))
--- a/internal/core/era/era.go
+++ b/internal/core/era/era.go
@@ -1,49 +1,51 @@
-// Package era puts the revisions of a service that may come back from a copy of itself into one order.
+// Package era orders the revisions of a service that may be restored from a copy of itself.
 //
-// Such a service gives its revisions out again, for other contents, so that they order what was written in
-// one era only. A place holds the era above the revision: places rise with time, whatever revisions
-// do, and everything that compares, keeps and passes on revisions can do so with places.
+// A restored service reuses revisions for other contents, so that revisions order texts within one
+// era only. A place combines an era with a revision, the era in the high bits. Places rise with
+// time even when revisions go back, and code that compares, stores and forwards revisions can use
+// places.
 package era
 
 import "fmt"
 
 const (
-	// shift is where the era begins in a place: below it there is room for revisions that are times in
-	// microseconds.
-	shift = 52
-	// keptBit is set in the place of what stays over a restore: it comes after what the service shows
-	// and before what is written next.
-	keptBit  = 1
-	keptBits = 1
-	// Max is the greatest era, MostRevision the greatest revision, that a place holds. One beyond would
-	// look like another era.
-	Max         = 1<<(64-shift) - 1
-	MaxRevision = 1<<(shift-keptBits) - 1
+	// eraShift is the lowest bit of the era in a place. The bits below leave room for revisions
+	// that are times in microseconds.
+	eraShift = 52
+	// carriedOverBit is set in the place of a text that is carried over a restore. It sorts after
+	// the text that the service shows and before the next published one.
+	carriedOverBit  = 1
+	carriedOverBits = 1
+	// Max is the greatest era, MaxRevision the greatest revision, that a place holds. A greater one
+	// would look like another era.
+	Max         = 1<<(64-eraShift) - 1
+	MaxRevision = 1<<(eraShift-carriedOverBits) - 1
 )
 
-// Place is the place of a revision in an era. A service that tells no era, 0, has its revisions for places.
+// Place returns the place of a revision in an era. Without an era, 0, the place is the revision.
 func Place(era, revision uint64) uint64 {
 	if era == 0 {
 		return revision
 	}
-	return era<<shift | revision<<keptBits
+	return era<<eraShift | revision<<carriedOverBits
 }
 
-// Of is the era of a place.
-func Of(place uint64) uint64 { return place >> shift }
+// Of returns the era of a place.
+func Of(place uint64) uint64 { return place >> eraShift }
 
-// Revision is the service's own revision at a place.
+// Revision returns the service's own revision at a place.
 func Revision(place uint64) uint64 {
 	if Of(place) == 0 {
 		return place
 	}
-	return place & (1<<shift - 1) >> keptBits
+	return place & (1<<eraShift - 1) >> carriedOverBits
 }
 
-// CarriedOver is the place of what stays although the service shows something older at a place.
-func CarriedOver(place uint64) uint64 { return place | keptBit }
+// CarriedOver returns the place of a text that is carried over although the service shows an older
+// text at a place.
+func CarriedOver(place uint64) uint64 { return place | carriedOverBit }
 
-// String describes a place for people.
+// String formats a place for operators.
 func String(place uint64) string {
 	if Of(place) == 0 {
 		return fmt.Sprint(place)
--- a/internal/core/era/era_test.go
+++ b/internal/core/era/era_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Places order as eras do, then as revisions do; what is kept lies between what is shown and what comes next.
+// Places order by era, then by revision; a carried-over place lies between its own place and the
+// next.
 func TestPlacesRiseWithErasAndRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era, revision := rapid.Uint64Range(1, Max-1).Draw(t, "era"), rapid.Uint64Range(0, MaxRevision-1).Draw(t, "revision")
