--- a/internal/core/member/config.go
+++ b/internal/core/member/config.go
@@ -33,7 +33,7 @@
 	// the traffic.
 	MaxRepairs int
 	MaxDrains  int
-	// PauseLimit is the delay of a tick above which this node treats its view as expired.
+	// PauseLimit is the delay of a tick from which this node treats its view as expired.
 	PauseLimit time.Duration
 	// ConfirmTimeout bounds the confirmation after a pause. A node that reaches no other node then
 	// resumes with its current state.
--- a/internal/core/member/exchange.go
+++ b/internal/core/member/exchange.go
@@ -68,8 +68,8 @@
 	return list, m.lastChangeSeq
 }
 
-// maxFirstUpdates bounds the updates sent to a neighbour whose state is unknown. Its reply shows
-// that its view is the same, as after a dead node between the two in a ring, or carries its own
+// maxFirstUpdates bounds the updates sent to a neighbour whose state is unknown. Its reply either shows
+// that its view is the same, as it is where rings close behind a dead node, or carries its own
 // updates, which then need not be sent to it.
 const maxFirstUpdates = 8
 
@@ -78,7 +78,7 @@
 	return to.exchange.ackedSeq == 0 && to.exchange.receivedSeq == 0 && len(m.changes) > maxFirstUpdates
 }
 
-// receiveExchange applies the sender's change number, acknowledgement and updates.
+// receiveExchange records the sender's change number, its acknowledgement and the states it has.
 func (m *Machine) receiveExchange(message *Message) {
 	from := m.peers[message.From.ID]
 	if from == nil || !message.Exchange || from.incarnation != message.Incarnation {
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// probeDead probes one dead or gone node per HeartbeatPeriod, so that the two sides of a healed
+// probeDead probes one listed dead or gone node per HeartbeatPeriod, so that the two sides of a healed
 // partition find each other at a bounded cost.
 func (m *Machine) probeDead() {
 	if m.now < m.nextDeadProbe {
