--- a/internal/core/member/event.go
+++ b/internal/core/member/event.go
@@ -7,23 +7,23 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// ProbeID names a heartbeat of this node that awaits its reply.
+// ProbeID identifies a heartbeat of this node that awaits its reply.
 type ProbeID uint64
 
-// Ticket names a received heartbeat that awaits this node's reply.
-type Ticket uint64
+// ReplyID identifies a received heartbeat that awaits this node's reply.
+type ReplyID uint64
 
-// Event is something that the machine is told.
+// Event is an input of the Machine.
 type Event interface{ isEvent() }
 
-// Tick passes the time and the configuration in force.
+// Tick advances the time and carries the configuration in force.
 type Tick struct {
 	Revision uint64
 	Digest   uint64
 }
 
-// Listed is a reading of the VM list. It is a hint only.
-type Listed struct{ Nodes []ListedNode }
+// VMList is a reading of the VM list. The list is only a hint.
+type VMList struct{ Nodes []ListedNode }
 
 // ListedNode is one node of the VM list.
 type ListedNode struct {
@@ -31,47 +31,47 @@
 	Leaving bool
 }
 
-// Received is a peer's heartbeat, to be answered by a Reply with the ticket.
-type Received struct {
-	Ticket  Ticket
+// HeartbeatReceived is a peer's heartbeat, to be answered by a Reply with the same ReplyID.
+type HeartbeatReceived struct {
+	ReplyID ReplyID
 	Message *Message
 }
 
-// Replied is the reply to a Send.
-type Replied struct {
+// ReplyReceived is the reply to a Send.
+type ReplyReceived struct {
 	Probe   ProbeID
 	Message *Message
 }
 
-// Failed says that a Send will have no reply.
-type Failed struct{ Probe ProbeID }
+// ProbeFailed reports that a Send will get no reply.
+type ProbeFailed struct{ Probe ProbeID }
 
-// Answered is evidence from data traffic: the node answered a request.
-type Answered struct{ Node core.NodeID }
+// RequestAnswered is evidence from data traffic: the node answered a request.
+type RequestAnswered struct{ Node core.NodeID }
 
-// Unanswered is evidence from data traffic: requests to the node fail.
-type Unanswered struct{ Node core.NodeID }
+// RequestsFailed is evidence from data traffic: requests to the node fail.
+type RequestsFailed struct{ Node core.NodeID }
 
-// DrainSeen says that an upstream was seen draining, or no longer draining.
+// DrainSeen reports that an upstream was seen draining, or no longer draining.
 type DrainSeen struct {
 	Address  string
 	Draining bool
 }
 
-// Leave says that this node will stop.
+// Leave announces that this node will stop.
 type Leave struct{}
 
-func (Tick) isEvent()       {}
-func (Listed) isEvent()     {}
-func (Received) isEvent()   {}
-func (Replied) isEvent()    {}
-func (Failed) isEvent()     {}
-func (Answered) isEvent()   {}
-func (Unanswered) isEvent() {}
-func (DrainSeen) isEvent()  {}
-func (Leave) isEvent()      {}
-
-// Action is something that the machine wants done.
+func (Tick) isEvent()              {}
+func (VMList) isEvent()            {}
+func (HeartbeatReceived) isEvent() {}
+func (ReplyReceived) isEvent()     {}
+func (ProbeFailed) isEvent()       {}
+func (RequestAnswered) isEvent()   {}
+func (RequestsFailed) isEvent()    {}
+func (DrainSeen) isEvent()         {}
+func (Leave) isEvent()             {}
+
+// Action is an output of the Machine, for its caller to carry out.
 type Action interface{ isAction() }
 
 // Send sends a heartbeat and awaits the reply.
@@ -83,7 +83,7 @@
 
 // Reply answers a received heartbeat.
 type Reply struct {
-	Ticket  Ticket
+	ReplyID ReplyID
 	Message *Message
 }
 
@@ -93,24 +93,23 @@
 // PublishDrains replaces the set of upstreams seen draining.
 type PublishDrains struct{ Addresses []string }
 
-// SetPaused says whether the node's beliefs may have expired. While they may, it
-// takes no new work and sends none.
+// SetPaused reports whether the node's view may have expired. Meanwhile the node accepts no new
+// work and sends none.
 type SetPaused struct {
 	Paused bool
-	// Late is how late the tick came that showed the pause.
+	// Late is the delay of the tick that revealed the pause.
 	Late time.Duration
 }
 
-// Split says whether other nodes are seen to route by another view for long.
-type Split struct {
+// SplitView reports whether other nodes have routed by a different view for longer than
+// SplitViewDelay.
+type SplitView struct {
 	Present bool
-	// Unreached counts the nodes that the VM list shows live and that do not
-	// answer.
+	// Unreached is the number of unresponsive nodes that the VM list shows live.
 	Unreached int
 }
 
-// Unreached replaces the set of nodes that are lost though the VM list shows them
-// live.
+// Unreached replaces the set of dead nodes that the VM list shows live.
 type Unreached struct{ Nodes []core.NodeID }
 
 func (Unreached) isAction()     {}
@@ -119,4 +118,4 @@
 func (Publish) isAction()       {}
 func (PublishDrains) isAction() {}
 func (SetPaused) isAction()     {}
-func (Split) isAction()         {}
+func (SplitView) isAction()     {}
