--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -107,7 +107,7 @@
 // another entry may have let it in.
 func (p CallerParts) failTry(c *gin.Context, err error) {
 	typed := fault.As(err)
-	p.writeRefused(c, once.Reply{Outcome: core.Unknown, ThisTry: core.NotRun, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter})
+	p.writeRefused(c, once.Reply{Outcome: core.Unknown, ThisAttempt: core.NotRun, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter})
 }
 
 // writeRefused writes an outcome other than done. A caller whose key is not run
@@ -125,8 +125,8 @@
 	if reply.Outcome == core.NotRun {
 		out.KeyPrefix = p.Home.Prefix()
 	}
-	if reply.ThisTry == core.NotRun {
-		out.ThisTry = reply.ThisTry.String()
+	if reply.ThisAttempt == core.NotRun {
+		out.ThisTry = reply.ThisAttempt.String()
 	}
 	c.JSON(status(reply.Code), out)
 }
@@ -137,9 +137,9 @@
 		return "use /v1/query for this service"
 	case reply.Outcome == core.NotRun:
 		return "to try again, append a new id to key_prefix"
-	case reply.ThisTry == core.NotRun && reply.Code == fault.CodeOverloaded:
+	case reply.ThisAttempt == core.NotRun && reply.Code == fault.CodeOverloaded:
 		return "ask again with the same key and body, after retry_after_ms or at another entry"
-	case reply.ThisTry == core.NotRun:
+	case reply.ThisAttempt == core.NotRun:
 		return "if no other try was made with this key, nothing ran: use a new key"
 	case reply.Code == fault.CodeLost:
 		return "ask again with the same key and body"
--- a/internal/app/quarantine.go
+++ b/internal/app/quarantine.go
@@ -28,12 +28,12 @@
 func (n *Node) standingChanged(change quarantine.Change, from core.NodeID) {
 	record := change.Record
 	severity := record.Severity()
-	if severity == change.Former {
+	if severity == change.Previous {
 		return
 	}
 	entry := n.log.WithFields(logrus.Fields{
-		"event": standingEvents[severity], "key": record.Key.String(), "what": record.What, "former": change.Former.String(),
-		"replicas_ended": record.Ended(), "shards_set_aside": record.SetAsideShards(), "from": from,
+		"event": standingEvents[severity], "key": record.Key.String(), "what": record.Description, "former": change.Previous.String(),
+		"replicas_ended": record.EndedCount(), "shards_set_aside": record.SetAsideShards(), "from": from,
 	})
 	if severity == quarantine.SetAside {
 		entry.Warn("request set aside: replicas ended each time it ran")
--- a/internal/core/night/night.go
+++ b/internal/core/night/night.go
@@ -36,12 +36,12 @@
 
 // Config paces the probes.
 type Config struct {
-	// Sweep is the time in which each idle replica is probed once.
-	Sweep time.Duration
-	// Confirm is the time from a failed probe to the next of the same replica.
-	Confirm time.Duration
-	// Spacing is the least time between two probes of this node.
-	Spacing time.Duration
+	// SweepInterval is the time in which each idle replica is probed once.
+	SweepInterval time.Duration
+	// ConfirmDelay is the time from a failed probe to the next of the same replica.
+	ConfirmDelay time.Duration
+	// MinSpacing is the least time between two probes of this node.
+	MinSpacing time.Duration
 	// MaxInFlight is how many probes run at once.
 	MaxInFlight int
 }
@@ -49,18 +49,18 @@
 // Event is what happened.
 type Event interface{ isEvent() }
 
-// Owned lists the replicas that this node is to watch, in a stable order.
-type Owned struct{ Targets []Target }
+// TargetsAssigned lists the replicas that this node is to watch, in a stable order.
+type TargetsAssigned struct{ Targets []Target }
 
-// Answered says that a replica answered real traffic at a time, instead of the
+// ProbeSkipped says that a replica answered real traffic at a time, instead of the
 // probe that was wanted.
-type Answered struct {
+type ProbeSkipped struct {
 	Target Target
 	At     core.Time
 }
 
-// Probed is the end of a probe.
-type Probed struct {
+// ProbeEnded is the end of a probe.
+type ProbeEnded struct {
 	Target Target
 	Alive  bool
 }
@@ -68,16 +68,16 @@
 // Woken says that the time asked for by WakeAt has come.
 type Woken struct{}
 
-func (Owned) isEvent()    {}
-func (Answered) isEvent() {}
-func (Probed) isEvent()   {}
-func (Woken) isEvent()    {}
+func (TargetsAssigned) isEvent() {}
+func (ProbeSkipped) isEvent()    {}
+func (ProbeEnded) isEvent()      {}
+func (Woken) isEvent()           {}
 
 // Action is what is to be done.
 type Action interface{ isAction() }
 
-// Probe asks for one probe, to be answered by Probed or Answered.
-type Probe struct{ Target Target }
+// StartProbe asks for one probe, to be answered by Probed or Answered.
+type StartProbe struct{ Target Target }
 
 // ReplicaDown reports a replica, again with each further failed probe, once a
 // sweep.
@@ -89,18 +89,18 @@
 // ShardStalled reports a shard none of whose replicas answers.
 type ShardStalled struct{ Ref core.ShardRef }
 
-// ShardAnswers takes the report back.
-type ShardAnswers struct{ Ref core.ShardRef }
+// ShardRecovered takes the report back.
+type ShardRecovered struct{ Ref core.ShardRef }
 
 // WakeAt asks for Woken at a time. A step without it asks for none.
 type WakeAt struct{ At core.Time }
 
-func (Probe) isAction()        {}
-func (ReplicaDown) isAction()  {}
-func (ReplicaUp) isAction()    {}
-func (ShardStalled) isAction() {}
-func (ShardAnswers) isAction() {}
-func (WakeAt) isAction()       {}
+func (StartProbe) isAction()     {}
+func (ReplicaDown) isAction()    {}
+func (ReplicaUp) isAction()      {}
+func (ShardStalled) isAction()   {}
+func (ShardRecovered) isAction() {}
+func (WakeAt) isAction()         {}
 
 // replica is what is known of one target.
 type replica struct {
@@ -123,9 +123,9 @@
 // waitSweep sets the next probe. It holds for replicas that are down too: many
 // of them probed again at the pace of confirmations would crowd out the first
 // probes of the others, which would then be reported late.
-func (t *turn) waitSweep() { t.replica.due = t.at + t.machine.config.Sweep }
+func (t *turn) waitSweep() { t.replica.due = t.at + t.machine.config.SweepInterval }
 
-func (t *turn) confirmSoon() { t.replica.due = t.at + t.machine.config.Confirm }
+func (t *turn) confirmSoon() { t.replica.due = t.at + t.machine.config.ConfirmDelay }
 
 func (t *turn) report() { t.machine.act(ReplicaDown{Target: t.replica.target}) }
 
@@ -151,12 +151,12 @@
 func (m *Machine) Step(now core.Time, e Event) []Action {
 	m.actions = nil
 	switch e := e.(type) {
-	case Owned:
+	case TargetsAssigned:
 		m.owned(now, e.Targets)
-	case Answered:
+	case ProbeSkipped:
 		m.ended(e.Target)
 		m.fire(e.Target, eventAnswered, e.At)
-	case Probed:
+	case ProbeEnded:
 		m.ended(e.Target)
 		m.probed(now, e)
 	}
@@ -175,7 +175,7 @@
 	for i, target := range targets {
 		known := m.replicas[target]
 		if known == nil {
-			known = &replica{target: target, due: now + m.config.Sweep*time.Duration(i)/time.Duration(len(targets))}
+			known = &replica{target: target, due: now + m.config.SweepInterval*time.Duration(i)/time.Duration(len(targets))}
 		}
 		kept[target] = known
 		m.order = append(m.order, known)
@@ -204,7 +204,7 @@
 	}
 }
 
-func (m *Machine) probed(now core.Time, e Probed) {
+func (m *Machine) probed(now core.Time, e ProbeEnded) {
 	if e.Alive {
 		m.fire(e.Target, eventAnswered, now)
 	} else {
@@ -244,7 +244,7 @@
 		m.act(ShardStalled{Ref: ref})
 	case m.stalled[ref]:
 		delete(m.stalled, ref)
-		m.act(ShardAnswers{Ref: ref})
+		m.act(ShardRecovered{Ref: ref})
 	}
 }
 
@@ -259,8 +259,8 @@
 	}
 	next.probing = true
 	m.inFlight++
-	m.nextAt = now + m.config.Spacing
-	m.act(Probe{Target: next.target})
+	m.nextAt = now + m.config.MinSpacing
+	m.act(StartProbe{Target: next.target})
 }
 
 // earliest is the replica due for longest, or next.
@@ -294,16 +294,16 @@
 	spacingDenominator = 1200
 )
 
-// Paced derives the pace from the time within which a dead replica is to be
+// ConfigFor derives the pace from the time within which a dead replica is to be
 // reported. With 16 probes in flight the promise holds for up to 700 replicas a
 // node, of which up to 130 fall silent at once. With more, the spacing makes a
 // sweep longer, or all probes in flight wait for silent replicas.
-func Paced(reportWithin time.Duration, inFlight int) Config {
+func ConfigFor(reportWithin time.Duration, inFlight int) Config {
 	return Config{
-		Sweep:       reportWithin * sweepNumerator / sweepDenominator,
-		Confirm:     reportWithin / confirmDenominator,
-		Spacing:     reportWithin / spacingDenominator,
-		MaxInFlight: inFlight,
+		SweepInterval: reportWithin * sweepNumerator / sweepDenominator,
+		ConfirmDelay:  reportWithin / confirmDenominator,
+		MinSpacing:    reportWithin / spacingDenominator,
+		MaxInFlight:   inFlight,
 	}
 }
 
--- a/internal/core/night/night_test.go
+++ b/internal/core/night/night_test.go
@@ -16,7 +16,7 @@
 	silentReplicas = 130
 )
 
-func defaults() Config { return Paced(reportGoal, 16) }
+func defaults() Config { return ConfigFor(reportGoal, 16) }
 
 // bench runs a machine in virtual time. Replicas named in dead never answer.
 type bench struct {
@@ -36,7 +36,7 @@
 func newBench(t *testing.T, config Config, targets []Target) *bench {
 	b := &bench{t: t, machine: New(config), ends: map[Target]core.Time{}, dead: map[string]bool{}, busy: map[string]bool{},
 		downAt: map[Target]core.Time{}, stalled: map[core.ShardRef]bool{}, probes: map[Target]int{}}
-	b.step(Owned{Targets: targets})
+	b.step(TargetsAssigned{Targets: targets})
 	return b
 }
 
@@ -44,7 +44,7 @@
 	b.wake = never
 	for _, action := range b.machine.Step(b.now, e) {
 		switch a := action.(type) {
-		case Probe:
+		case StartProbe:
 			b.probe(a.Target)
 		case ReplicaDown:
 			if _, ok := b.downAt[a.Target]; !ok {
@@ -54,7 +54,7 @@
 			delete(b.downAt, a.Target)
 		case ShardStalled:
 			b.stalled[a.Ref] = true
-		case ShardAnswers:
+		case ShardRecovered:
 			delete(b.stalled, a.Ref)
 		case WakeAt:
 			b.wake = a.At
@@ -97,9 +97,9 @@
 	case target.Address == "":
 		b.step(Woken{})
 	case b.busy[target.Address]:
-		b.step(Answered{Target: target, At: b.now})
+		b.step(ProbeSkipped{Target: target, At: b.now})
 	default:
-		b.step(Probed{Target: target, Alive: !b.dead[target.Address]})
+		b.step(ProbeEnded{Target: target, Alive: !b.dead[target.Address]})
 	}
 }
 
@@ -149,7 +149,7 @@
 	b := newBench(t, defaults(), list)
 	b.run(10 * time.Minute)
 	for _, target := range list {
-		require.InDelta(t, float64(10*time.Minute/defaults().Sweep), b.probes[target], 1)
+		require.InDelta(t, float64(10*time.Minute/defaults().SweepInterval), b.probes[target], 1)
 	}
 }
 
@@ -161,7 +161,7 @@
 	b.dead[list[0].Address] = true
 	b.run(2 * reportGoal)
 	require.Len(t, b.downAt, 1)
-	b.step(Owned{})
+	b.step(TargetsAssigned{})
 	require.Empty(t, b.downAt)
 	require.Empty(t, b.stalled)
 }
--- a/internal/core/once/account.go
+++ b/internal/core/once/account.go
@@ -26,7 +26,7 @@
 // closeAccount drops a customer's account when nothing depends on it.
 func (l *Ledger) closeAccount(now core.Time, customer core.Customer) {
 	share := l.accounts[customer]
-	if share != nil && share.entries == 0 && now-share.retired > l.limits.Accept {
+	if share != nil && share.entries == 0 && now-share.retired > l.limits.AcceptAge {
 		delete(l.accounts, customer)
 	}
 }
--- a/internal/core/once/alarms.go
+++ b/internal/core/once/alarms.go
@@ -33,7 +33,7 @@
 		if e.run.resendAt <= now {
 			l.fire(now, e, eventResendDue, nil, nil)
 		}
-	case e.run.deadline+l.limits.Grace <= now:
+	case e.run.deadline+l.limits.ReplyGrace <= now:
 		l.fire(now, e, eventOverdue, nil, nil)
 	}
 }
--- a/internal/core/once/entry.go
+++ b/internal/core/once/entry.go
@@ -38,21 +38,21 @@
 
 // openCharge is what a new entry is charged: its request, or room for its
 // outcome, whichever is more.
-func (l *Ledger) openCharge(e Asked) int {
-	return entryBytes + len(e.Key.Text) + max(len(e.Payload), l.limits.ReplyBytes)
+func (l *Ledger) openCharge(e Submitted) int {
+	return entryBytes + len(e.Key.Text) + max(len(e.Payload), l.limits.MaxReplyBytes)
 }
 
 // open adds an entry in the chart's initial state.
-func (l *Ledger) open(now core.Time, e Asked, digest Digest) *entry {
+func (l *Ledger) open(now core.Time, e Submitted, digest Digest) *entry {
 	opened := &entry{
 		key:      e.Key.Text,
 		customer: e.Customer,
 		digest:   digest,
-		forgetAt: e.Key.Tick + l.limits.Retain + 1,
+		forgetAt: e.Key.IssuedAt + l.limits.RetainAge + 1,
 		run: &run{
 			service:  e.Service,
 			payload:  e.Payload,
-			deadline: min(e.Deadline, now+l.limits.MaxRun),
+			deadline: min(e.Deadline, now+l.limits.MaxRunTime),
 			waiters:  []WaiterID{e.Waiter},
 		},
 	}
--- a/internal/core/once/handover.go
+++ b/internal/core/once/handover.go
@@ -27,10 +27,10 @@
 		if e.run != nil {
 			outcome = Reply{Outcome: core.Unknown, Code: fault.CodeLost, Message: "the home stopped while the request ran"}
 		}
-		records = append(records, Record{Key: e.key, Customer: e.customer, Digest: e.digest, Reply: outcome, Age: now - (e.forgetAt - l.limits.Retain)})
+		records = append(records, Record{Key: e.key, Customer: e.customer, Digest: e.digest, Reply: outcome, Age: now - (e.forgetAt - l.limits.RetainAge)})
 	}
 	for key, kept := range l.inherited.kept {
-		records = append(records, Record{Key: key, Customer: kept.customer, Digest: kept.digest, Reply: kept.reply, Age: now - (kept.until - l.limits.Retain)})
+		records = append(records, Record{Key: key, Customer: kept.customer, Digest: kept.digest, Reply: kept.reply, Age: now - (kept.until - l.limits.RetainAge)})
 	}
 	return records
 }
@@ -69,7 +69,7 @@
 	charge := inheritedCharge(record.Key, record.Reply)
 	i.expire(now, charge)
 	_, known := i.kept[record.Key]
-	if known || len(i.kept) >= i.limits.Entries || i.bytes+charge > i.limits.Bytes || record.Age >= i.limits.Retain {
+	if known || len(i.kept) >= i.limits.MaxEntries || i.bytes+charge > i.limits.MaxBytes || record.Age >= i.limits.RetainAge {
 		return known
 	}
 	i.bytes += charge
@@ -77,7 +77,7 @@
 		customer: record.Customer,
 		digest:   record.Digest,
 		reply:    record.Reply,
-		until:    now + i.limits.Retain - record.Age,
+		until:    now + i.limits.RetainAge - record.Age,
 	}
 	return true
 }
@@ -88,7 +88,7 @@
 
 // expire drops what is past its time, once there is no room for charge.
 func (i *inheritance) expire(now core.Time, charge int) {
-	if len(i.kept) < i.limits.Entries && i.bytes+charge <= i.limits.Bytes {
+	if len(i.kept) < i.limits.MaxEntries && i.bytes+charge <= i.limits.MaxBytes {
 		return
 	}
 	for key, kept := range i.kept {
@@ -101,7 +101,7 @@
 
 // lookup answers for a key of another home, or of an earlier incarnation here.
 // It never runs anything.
-func (i *inheritance) lookup(now core.Time, e Asked) Reply {
+func (i *inheritance) lookup(now core.Time, e Submitted) Reply {
 	kept, found := i.kept[e.Key.Text]
 	switch {
 	case !found || kept.until <= now:
--- a/internal/core/once/key.go
+++ b/internal/core/once/key.go
@@ -43,8 +43,8 @@
 	Text        string
 	Node        core.NodeID
 	Incarnation uint64
-	// Tick is when the prefix was issued, on the home's clock.
-	Tick     core.Time
+	// IssuedAt is when the prefix was issued, on the home's clock.
+	IssuedAt core.Time
 	CallerID string
 	// signed is what the authenticator covers.
 	signed string
@@ -85,7 +85,7 @@
 		Text:        text,
 		Node:        core.NodeID(node),
 		Incarnation: incarnation,
-		Tick:        core.Time(tick) * tickUnit,
+		IssuedAt:    core.Time(tick) * tickUnit,
 		CallerID:    callerID,
 		signed:      signed,
 		mac:         mac,
--- a/internal/core/once/ledger.go
+++ b/internal/core/once/ledger.go
@@ -50,11 +50,11 @@
 func (l *Ledger) Step(now core.Time, event Event) []Action {
 	l.actions = l.actions[:0]
 	switch e := event.(type) {
-	case Asked:
+	case Submitted:
 		l.asked(now, e)
 	case Withdrawn:
 		l.withdrawn(e)
-	case Ended:
+	case SendEnded:
 		l.ended(now, e)
 	case Stopping:
 		l.stopping = true
@@ -67,7 +67,7 @@
 	l.actions = append(l.actions, Answer{Waiter: waiter, Reply: reply})
 }
 
-func (l *Ledger) asked(now core.Time, e Asked) {
+func (l *Ledger) asked(now core.Time, e Submitted) {
 	if !l.issuer.Issued(e.Key) {
 		l.answer(e.Waiter, l.inherited.lookup(now, e))
 		return
@@ -100,7 +100,7 @@
 	known.run.waiters = slices.DeleteFunc(known.run.waiters, func(waiter WaiterID) bool { return waiter == e.Waiter })
 }
 
-func (l *Ledger) ended(now core.Time, e Ended) {
+func (l *Ledger) ended(now core.Time, e SendEnded) {
 	known := l.entries[e.Key]
 	if known == nil || known.send != e.Send {
 		return
--- a/internal/core/once/ledger_test.go
+++ b/internal/core/once/ledger_test.go
@@ -36,9 +36,9 @@
 	return key
 }
 
-func (d *desk) asked(key Key, payload string) Asked {
+func (d *desk) asked(key Key, payload string) Submitted {
 	d.waiter++
-	return Asked{Waiter: d.waiter, Key: key, Customer: caller, Service: "invoices", Payload: []byte(payload), Deadline: d.now + time.Second}
+	return Submitted{Waiter: d.waiter, Key: key, Customer: caller, Service: "invoices", Payload: []byte(payload), Deadline: d.now + time.Second}
 }
 
 // step returns the sends and the replies of one event.
@@ -71,7 +71,7 @@
 
 func (d *desk) runOnce(key Key) {
 	send := d.send(key, "12")
-	_, replies := d.step(Ended{Key: key.Text, Send: send.Send, Outcome: core.Done, Payload: []byte(`"kept"`)})
+	_, replies := d.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.Done, Payload: []byte(`"kept"`)})
 	require.Len(d.t, replies, 1)
 }
 
@@ -132,7 +132,7 @@
 	require.Empty(t, sends)
 	require.Empty(t, replies)
 	requireNotRun(t, d.ask(key, "13"), fault.CodeKeyReused)
-	_, replies = d.step(Ended{Key: key.Text, Send: send.Send, Outcome: core.Done, Payload: []byte("kept")})
+	_, replies = d.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.Done, Payload: []byte("kept")})
 	require.Len(t, replies, 2)
 	kept := d.ask(key, "12")
 	require.Equal(t, Reply{Outcome: core.Done, Payload: []byte("kept"), Repeated: true}, kept)
@@ -147,10 +147,10 @@
 	d := newDesk(t, limits)
 	ran, never := d.key("ran"), d.key("never")
 	d.runOnce(ran)
-	d.now = limits.Accept + time.Second
+	d.now = limits.AcceptAge + time.Second
 	require.Equal(t, core.Done, d.ask(ran, "12").Outcome)
 	requireNotRun(t, d.ask(never, "12"), fault.CodeKeyExpired)
-	d.now = limits.Retain + time.Second
+	d.now = limits.RetainAge + time.Second
 	d.step(Woken{})
 	for _, key := range []Key{ran, never} {
 		reply := d.ask(key, "12")
@@ -167,20 +167,20 @@
 // there is room again: it must not run, since its caller was told so.
 func TestAFullShareRefusesForGood(t *testing.T) {
 	limits := DefaultLimits()
-	limits.CustomerEntries = 1
+	limits.MaxCustomerEntries = 1
 	d := newDesk(t, limits)
 	d.runOnce(d.key("a"))
-	d.now = limits.Retain - time.Minute
+	d.now = limits.RetainAge - time.Minute
 	refused := d.key("b")
 	reply := d.ask(refused, "12")
 	requireNotRun(t, reply, fault.CodeOverloaded)
 	require.Positive(t, reply.RetryAfter)
-	d.now = limits.Retain + time.Second
+	d.now = limits.RetainAge + time.Second
 	d.step(Woken{})
 	require.Zero(t, d.ledger.Entries())
 	requireNotRun(t, d.ask(refused, "12"), fault.CodeOverloaded)
 	d.runOnce(d.key("c"))
-	for _, limit := range []func(*Limits){func(l *Limits) { l.Entries = 0 }, func(l *Limits) { l.Bytes = 100 }, func(l *Limits) { l.CustomerBytes = 100 }} {
+	for _, limit := range []func(*Limits){func(l *Limits) { l.MaxEntries = 0 }, func(l *Limits) { l.MaxBytes = 100 }, func(l *Limits) { l.MaxCustomerBytes = 100 }} {
 		limits := DefaultLimits()
 		limit(&limits)
 		full := newDesk(t, limits)
@@ -202,25 +202,25 @@
 	requireNotRun(t, d.ask(key, "12"), fault.CodePastDeadline)
 
 	permit := NewPermit(time.Second)
-	_, refusal := permit.Take(time.Minute, true)
+	_, refusal := permit.Acquire(time.Minute, true)
 	require.Equal(t, &Refusal{Outcome: core.NotRun, Reason: core.ReasonDeadline}, refusal)
-	require.Equal(t, core.NotRun, permit.Cap(core.NotRun))
+	require.Equal(t, core.NotRun, permit.ReportableOutcome(core.NotRun))
 }
 
 // An owner is asked to send an invoice again although its first send may have
 // run. It must not, and cannot call the whole "not run" any more.
 func TestAPermitIsSpentByASendThatMayHaveRun(t *testing.T) {
 	permit := NewPermit(time.Second)
-	left, refusal := permit.Take(400*time.Millisecond, true)
+	left, refusal := permit.Acquire(400*time.Millisecond, true)
 	require.Nil(t, refusal)
 	require.Equal(t, 600*time.Millisecond, left)
-	permit.Ended(core.NotRun)
-	_, refusal = permit.Take(0, true)
+	permit.ReleaseIfNotRun(core.NotRun)
+	_, refusal = permit.Acquire(0, true)
 	require.Nil(t, refusal, "a send that is proven not run gives the right back")
-	permit.Ended(core.Unknown)
-	_, refusal = permit.Take(0, true)
+	permit.ReleaseIfNotRun(core.Unknown)
+	_, refusal = permit.Acquire(0, true)
 	require.Equal(t, core.Unknown, refusal.Outcome)
-	require.Equal(t, core.Unknown, permit.Cap(core.NotRun))
+	require.Equal(t, core.Unknown, permit.ReportableOutcome(core.NotRun))
 }
 
 // An owner has moved or cannot be reached. The invoice is routed anew a few
@@ -231,7 +231,7 @@
 	key := d.key("a")
 	send := d.send(key, "12")
 	for range limits.MaxSends - 1 {
-		sends, replies := d.step(Ended{Key: key.Text, Send: send.Send, Outcome: core.NotRun, Reason: core.ReasonPeerUnreached})
+		sends, replies := d.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.NotRun, Reason: core.ReasonPeerUnreached})
 		require.Empty(t, sends)
 		require.Empty(t, replies)
 		d.now += limits.ReroutePause
@@ -240,10 +240,10 @@
 		require.Equal(t, send.Rank+1, sends[0].Rank)
 		send = sends[0]
 	}
-	_, replies := d.step(Ended{Key: key.Text, Send: send.Send, Outcome: core.Unknown, Reason: core.ReasonPeerLost})
+	_, replies := d.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.Unknown, Reason: core.ReasonPeerLost})
 	require.Equal(t, core.Unknown, replies[0].Outcome)
 	require.Equal(t, core.Unknown, d.ask(key, "12").Outcome)
-	_, replies = d.step(Ended{Key: key.Text, Send: send.Send, Outcome: core.Done})
+	_, replies = d.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.Done})
 	require.Empty(t, replies)
 	require.Equal(t, core.Done, d.ask(key, "12").Outcome, "a late reply amends the tombstone")
 }
@@ -273,7 +273,7 @@
 	require.Equal(t, core.Unknown, successor.ask(open, "12").Outcome)
 	requireNotRun(t, successor.ask(key, "13"), fault.CodeKeyReused)
 	require.Len(t, successor.ledger.Records(0), 2, "a successor that stops passes them on")
-	successor.now = DefaultLimits().Retain - time.Minute + time.Second
+	successor.now = DefaultLimits().RetainAge - time.Minute + time.Second
 	require.Equal(t, core.Unknown, successor.ask(key, "12").Outcome)
 }
 
@@ -293,13 +293,13 @@
 	for i := range count {
 		key := d.key(fmt.Sprint("id-", i))
 		send := d.send(key, "12")
-		d.step(Ended{Key: key.Text, Send: send.Send, Outcome: core.Done, Payload: []byte(`{"recorded":true}`)})
+		d.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.Done, Payload: []byte(`{"recorded":true}`)})
 	}
 }
 
 func BenchmarkSubmitThroughTheLedger(b *testing.B) {
 	limits := DefaultLimits()
-	limits.Entries, limits.Bytes, limits.CustomerEntries, limits.CustomerBytes = 1<<30, 1<<50, 1<<30, 1<<50
+	limits.MaxEntries, limits.MaxBytes, limits.MaxCustomerEntries, limits.MaxCustomerBytes = 1<<30, 1<<50, 1<<30, 1<<50
 	d := newDesk(b, limits)
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/core/once/lifecycle.go
+++ b/internal/core/once/lifecycle.go
@@ -11,8 +11,8 @@
 	ledger *Ledger
 	entry  *entry
 	now    core.Time
-	asked  *Asked
-	ended  *Ended
+	asked  *Submitted
+	ended  *SendEnded
 }
 
 // lifeCycle is one key in the ledger of its home.
@@ -48,7 +48,7 @@
 
 // fire moves an entry's life cycle on. asked and ended are set for the events
 // that come with one.
-func (l *Ledger) fire(now core.Time, e *entry, event chart.Event, asked *Asked, ended *Ended) {
+func (l *Ledger) fire(now core.Time, e *entry, event chart.Event, asked *Submitted, ended *SendEnded) {
 	e.state = lifeCycle.Fire(e.state, event, &step{ledger: l, entry: e, now: now, asked: asked, ended: ended})
 }
 
@@ -70,7 +70,7 @@
 	run.sends++
 	run.resendAt = 0
 	s.entry.send = l.nextSend
-	l.alarms.add(alarm{at: run.deadline + l.limits.Grace, entry: s.entry})
+	l.alarms.add(alarm{at: run.deadline + l.limits.ReplyGrace, entry: s.entry})
 	l.actions = append(l.actions, Send{
 		Key:      s.entry.key,
 		Send:     s.entry.send,
@@ -114,7 +114,7 @@
 func (s *step) finish() { s.settle(endedReply(s.ended)) }
 
 func (s *step) giveUp() {
-	s.ledger.actions = append(s.ledger.actions, GiveUp{Send: s.entry.send})
+	s.ledger.actions = append(s.ledger.actions, CancelSend{Send: s.entry.send})
 	s.settle(Reply{Outcome: core.Unknown, Code: fault.CodeLost, Message: "no reply came from the owner in time: the request may have run"})
 }
 
@@ -134,7 +134,7 @@
 }
 
 func (s *step) keep(outcome Reply) {
-	if len(outcome.Payload) > s.ledger.limits.ReplyBytes {
+	if len(outcome.Payload) > s.ledger.limits.MaxReplyBytes {
 		outcome.Payload = nil
 		outcome.Message = "the payload was too large to keep"
 	}
--- a/internal/core/once/message.go
+++ b/internal/core/once/message.go
@@ -23,16 +23,16 @@
 	RetryAfter time.Duration
 	// Repeated marks an outcome that was kept from an earlier try.
 	Repeated bool
-	// ThisTry is NotRun when this try alone is proven not to have run while the
+	// ThisAttempt is NotRun when this try alone is proven not to have run while the
 	// key's outcome is unknown.
-	ThisTry core.Outcome
+	ThisAttempt core.Outcome
 }
 
 // Event is something that happened to the ledger.
 type Event interface{ isEvent() }
 
-// Asked is a request for a key.
-type Asked struct {
+// Submitted is a request for a key.
+type Submitted struct {
 	Waiter   WaiterID
 	Key      Key
 	Customer core.Customer
@@ -48,8 +48,8 @@
 	Waiter WaiterID
 }
 
-// Ended is the end of a send.
-type Ended struct {
+// SendEnded is the end of a send.
+type SendEnded struct {
 	Key     string
 	Send    SendID
 	Outcome core.Outcome
@@ -67,9 +67,9 @@
 // Stopping begins a planned stop: no new key runs any longer.
 type Stopping struct{}
 
-func (Asked) isEvent()     {}
+func (Submitted) isEvent() {}
 func (Withdrawn) isEvent() {}
-func (Ended) isEvent()     {}
+func (SendEnded) isEvent() {}
 func (Woken) isEvent()     {}
 func (Stopping) isEvent()  {}
 
@@ -88,8 +88,8 @@
 	Rank int
 }
 
-// GiveUp withdraws a send whose reply is overdue; unsent, it must stay so.
-type GiveUp struct{ Send SendID }
+// CancelSend withdraws a send whose reply is overdue; unsent, it must stay so.
+type CancelSend struct{ Send SendID }
 
 // Answer replies to an asker.
 type Answer struct {
@@ -100,7 +100,7 @@
 // WakeAt asks for a Woken event; a later WakeAt replaces it.
 type WakeAt struct{ At core.Time }
 
-func (Send) isAction()   {}
-func (GiveUp) isAction() {}
-func (Answer) isAction() {}
-func (WakeAt) isAction() {}
+func (Send) isAction()       {}
+func (CancelSend) isAction() {}
+func (Answer) isAction()     {}
+func (WakeAt) isAction()     {}
--- a/internal/core/once/permit.go
+++ b/internal/core/once/permit.go
@@ -26,8 +26,8 @@
 	Reason  core.Reason
 }
 
-// Take asks for the right to send now. It returns the time left, or a refusal.
-func (p *Permit) Take(now core.Time, owns bool) (time.Duration, *Refusal) {
+// Acquire asks for the right to send now. It returns the time left, or a refusal.
+func (p *Permit) Acquire(now core.Time, owns bool) (time.Duration, *Refusal) {
 	switch {
 	case p.taken:
 		return 0, &Refusal{Outcome: core.Unknown, Reason: core.ReasonUpstreamFailed}
@@ -40,16 +40,16 @@
 	return p.deadline - now, nil
 }
 
-// Ended gives the right back when the send is proven not to have run.
-func (p *Permit) Ended(outcome core.Outcome) {
+// ReleaseIfNotRun gives the right back when the send is proven not to have run.
+func (p *Permit) ReleaseIfNotRun(outcome core.Outcome) {
 	if outcome == core.NotRun {
 		p.taken = false
 	}
 }
 
-// Cap is the outcome that may be told: "not run" only when no send is left that
+// ReportableOutcome is the outcome that may be told: "not run" only when no send is left that
 // may have run.
-func (p *Permit) Cap(outcome core.Outcome) core.Outcome {
+func (p *Permit) ReportableOutcome(outcome core.Outcome) core.Outcome {
 	if outcome == core.NotRun && p.taken {
 		return core.Unknown
 	}
--- a/internal/core/once/refuse.go
+++ b/internal/core/once/refuse.go
@@ -10,18 +10,18 @@
 // refuseNew says why a key without an entry does not run. Each "not run" here
 // must stay true for good, since its caller may go on to use another key: age
 // only grows, a stop is not taken back and retired ticks only rise.
-func (l *Ledger) refuseNew(now core.Time, e Asked) *Reply {
-	age := now - e.Key.Tick
+func (l *Ledger) refuseNew(now core.Time, e Submitted) *Reply {
+	age := now - e.Key.IssuedAt
 	share := l.account(e.Customer)
 	switch {
-	case age > l.limits.Retain:
+	case age > l.limits.RetainAge:
 		// The entry of a key that ran may have been forgotten by now.
 		return &Reply{Outcome: core.Unknown, Code: fault.CodeKeyExpired, Message: "the key's prefix is older than outcomes are kept: it may have run before"}
-	case age > l.limits.Accept:
+	case age > l.limits.AcceptAge:
 		return new(refusal(fault.CodeKeyExpired, "the key's prefix is too old to run and the key never ran", 0))
 	case l.stopping:
 		return new(refusal(fault.CodeDraining, "the home of this key is stopping", 0))
-	case e.Key.Tick <= max(l.retired, share.retired):
+	case e.Key.IssuedAt <= max(l.retired, share.retired):
 		return new(refusal(fault.CodeOverloaded, "the key's prefix was retired when the ledger was full", l.limits.ReroutePause))
 	}
 	return l.refuseFull(now, e, share)
@@ -29,16 +29,16 @@
 
 // refuseFull says why there is no room for a new key. The key's tick is then
 // retired, for the reason given at account.retired.
-func (l *Ledger) refuseFull(now core.Time, e Asked, share *account) *Reply {
+func (l *Ledger) refuseFull(now core.Time, e Submitted, share *account) *Reply {
 	charge := l.openCharge(e)
 	switch {
-	case len(l.entries) >= l.limits.Entries || l.bytes+charge > l.limits.Bytes:
-		l.retired = max(l.retired, e.Key.Tick)
+	case len(l.entries) >= l.limits.MaxEntries || l.bytes+charge > l.limits.MaxBytes:
+		l.retired = max(l.retired, e.Key.IssuedAt)
 		return new(refusal(fault.CodeOverloaded, "the ledger of the home is full", l.untilSpace(now)))
-	case share.entries >= l.limits.CustomerEntries || share.bytes+charge > l.limits.CustomerBytes:
-		share.retired = max(share.retired, e.Key.Tick)
+	case share.entries >= l.limits.MaxCustomerEntries || share.bytes+charge > l.limits.MaxCustomerBytes:
+		share.retired = max(share.retired, e.Key.IssuedAt)
 		l.accounts[e.Customer] = share
-		l.alarms.add(alarm{at: e.Key.Tick + l.limits.Retain, customer: e.Customer})
+		l.alarms.add(alarm{at: e.Key.IssuedAt + l.limits.RetainAge, customer: e.Customer})
 		return new(refusal(fault.CodeOverloaded, "the customer's share of the ledger is full", l.untilSpace(now)))
 	}
 	return nil
@@ -51,7 +51,7 @@
 			return next.at - now
 		}
 	}
-	return l.limits.Grace
+	return l.limits.ReplyGrace
 }
 
 func refusal(code fault.Code, message string, retryAfter time.Duration) Reply {
--- a/internal/core/once/submission.go
+++ b/internal/core/once/submission.go
@@ -43,8 +43,8 @@
 	HolderSuccessor
 )
 
-// Answered is how the ask of one holder ended.
-type Answered struct {
+// HolderResult is how the ask of one holder ended.
+type HolderResult struct {
 	// Reply is nil when the holder gave none.
 	Reply *Reply
 	// Outcome is NotRun when this ask is proven not to have reached the holder or
@@ -73,8 +73,8 @@
 	asked   Holder
 }
 
-// First returns whom to ask first.
-func (s *Submission) First(homeListed bool) Holder {
+// FirstHolder returns whom to ask first.
+func (s *Submission) FirstHolder(homeListed bool) Holder {
 	if !homeListed {
 		return s.ask(HolderSuccessor)
 	}
@@ -87,9 +87,9 @@
 	return holder
 }
 
-// Next takes the end of an ask. It returns whom to ask next with a pause before
+// NextHolder takes the end of an ask. It returns whom to ask next with a pause before
 // it, or HolderNone with the reply for the caller.
-func (s *Submission) Next(answered Answered) (Holder, time.Duration, Reply) {
+func (s *Submission) NextHolder(answered HolderResult) (Holder, time.Duration, Reply) {
 	if s.asked == HolderSuccessor {
 		return HolderNone, 0, s.conclude(answered)
 	}
@@ -108,23 +108,23 @@
 }
 
 // told reports whether the holder knows what became of the key.
-func told(answered Answered) bool {
+func told(answered HolderResult) bool {
 	return answered.Reply != nil && answered.Reply.Code != fault.CodeHomeGone
 }
 
 // conclude words what holds after the successor was asked.
-func (s *Submission) conclude(answered Answered) Reply {
+func (s *Submission) conclude(answered HolderResult) Reply {
 	if told(answered) {
 		return *answered.Reply
 	}
 	reply := Reply{Outcome: core.Unknown, Code: fault.CodeHomeGone, Message: "the home of this key cannot be asked: an earlier try with the key may have run"}
 	if !s.reached {
-		reply.ThisTry = core.NotRun
+		reply.ThisAttempt = core.NotRun
 	}
 	return reply
 }
 
-// Lost is the reply when the caller's time ends during an ask.
-func (s *Submission) Lost() Reply {
+// TimeoutReply is the reply when the caller's time ends during an ask.
+func (s *Submission) TimeoutReply() Reply {
 	return Reply{Outcome: core.Unknown, Code: fault.CodeLost, Message: "no outcome in time: the request may be running; ask again with the same key", RetryAfter: askAgainAfter}
 }
--- a/internal/core/once/wording.go
+++ b/internal/core/once/wording.go
@@ -6,7 +6,7 @@
 )
 
 // endedReply words the end of a send for callers.
-func endedReply(e *Ended) Reply {
+func endedReply(e *SendEnded) Reply {
 	if e.Outcome == core.Done {
 		return Reply{Outcome: core.Done, Payload: e.Payload, Message: e.Message}
 	}
--- a/internal/core/once/world_test.go
+++ b/internal/core/once/world_test.go
@@ -21,7 +21,7 @@
 type world struct {
 	now         core.Time
 	key         Key
-	request     Asked
+	request     Submitted
 	home        *Ledger
 	successor   *Ledger
 	listed      bool
@@ -29,7 +29,7 @@
 	submissions map[WaiterID]*worldSubmission
 	asks        []WaiterID
 	sends       []Send
-	replies     []Ended
+	replies     []SendEnded
 	// sender tells the home's incarnation that a send or reply belongs to.
 	sender   map[SendID]int
 	nextAsk  WaiterID
@@ -60,7 +60,7 @@
 		panic(err)
 	}
 	w.key = key
-	w.request = Asked{Key: key, Customer: "ham house", Service: "invoices", Payload: []byte("12")}
+	w.request = Submitted{Key: key, Customer: "ham house", Service: "invoices", Payload: []byte("12")}
 	w.successor = NewLedger(NewIssuer("vm-2", 7, []byte("other")), DefaultLimits())
 	return w
 }
@@ -103,7 +103,7 @@
 		add(fmt.Sprint("deliver reply ", reply.Send), func() { w.deliverReply(i, reply) })
 		add(fmt.Sprint("lose reply ", reply.Send), func() {
 			w.faults++
-			w.deliverReply(i, Ended{Key: reply.Key, Send: reply.Send, Reason: core.ReasonPeerLost})
+			w.deliverReply(i, SendEnded{Key: reply.Key, Send: reply.Send, Reason: core.ReasonPeerLost})
 		})
 	}
 	frequent := len(list)
@@ -127,7 +127,7 @@
 	w.nextAsk++
 	submission := &worldSubmission{}
 	w.submissions[w.nextAsk] = submission
-	w.goTo(w.nextAsk, submission.First(w.listed))
+	w.goTo(w.nextAsk, submission.FirstHolder(w.listed))
 }
 
 func (w *world) goTo(id WaiterID, holder Holder) {
@@ -143,17 +143,17 @@
 	asked.Waiter = id
 	for _, action := range w.successor.Step(w.now, asked) {
 		if answer, ok := action.(Answer); ok {
-			w.next(id, Answered{Reply: &answer.Reply})
+			w.next(id, HolderResult{Reply: &answer.Reply})
 		}
 	}
 }
 
-func (w *world) next(id WaiterID, answered Answered) {
+func (w *world) next(id WaiterID, answered HolderResult) {
 	submission := w.submissions[id]
 	if submission.ended {
 		return
 	}
-	holder, _, reply := submission.Next(answered)
+	holder, _, reply := submission.NextHolder(answered)
 	if holder != HolderNone {
 		w.goTo(id, holder)
 		return
@@ -167,7 +167,7 @@
 func (w *world) tell(reply Reply) {
 	w.last = reply
 	outcome := reply.Outcome
-	if outcome == core.Unknown && reply.ThisTry == core.NotRun && w.tries == 1 {
+	if outcome == core.Unknown && reply.ThisAttempt == core.NotRun && w.tries == 1 {
 		outcome = core.NotRun
 		w.settled = true
 	}
@@ -181,7 +181,7 @@
 	id := w.asks[i]
 	w.asks = append(append([]WaiterID(nil), w.asks[:i]...), w.asks[i+1:]...)
 	if !w.listed {
-		w.next(id, Answered{Outcome: core.NotRun})
+		w.next(id, HolderResult{Outcome: core.NotRun})
 		return
 	}
 	if !w.submissions[id].ended {
@@ -199,7 +199,7 @@
 	if outcome == core.NotRun {
 		w.asks = append(append([]WaiterID(nil), w.asks[:i]...), w.asks[i+1:]...)
 	}
-	w.next(id, Answered{Outcome: outcome})
+	w.next(id, HolderResult{Outcome: outcome})
 }
 
 func (w *world) stepHome(e Event) {
@@ -210,7 +210,7 @@
 			w.sender[a.Send] = w.restarts + 1
 		case Answer:
 			w.submissions[a.Waiter].home = 0
-			w.next(a.Waiter, Answered{Reply: &a.Reply})
+			w.next(a.Waiter, HolderResult{Reply: &a.Reply})
 		}
 	}
 }
@@ -224,12 +224,12 @@
 	if end == "paused" {
 		at = worldTimeout
 	}
-	_, refusal := permit.Take(at, end != "not owner")
+	_, refusal := permit.Acquire(at, end != "not owner")
 	if refusal != nil {
-		w.replies = append(w.replies, Ended{Key: send.Key, Send: send.Send, Outcome: refusal.Outcome, Reason: refusal.Reason})
+		w.replies = append(w.replies, SendEnded{Key: send.Key, Send: send.Send, Outcome: refusal.Outcome, Reason: refusal.Reason})
 		return
 	}
-	result := Ended{Key: send.Key, Send: send.Send}
+	result := SendEnded{Key: send.Key, Send: send.Send}
 	switch end {
 	case "done":
 		w.runs++
@@ -242,8 +242,8 @@
 	case "overloaded":
 		result.Outcome, result.Reason = core.NotRun, core.ReasonOverloaded
 	}
-	permit.Ended(result.Outcome)
-	result.Outcome = permit.Cap(result.Outcome)
+	permit.ReleaseIfNotRun(result.Outcome)
+	result.Outcome = permit.ReportableOutcome(result.Outcome)
 	w.replies = append(w.replies, result)
 }
 
@@ -261,16 +261,16 @@
 		w.takeSend(i)
 		reason = core.ReasonPeerUnreached
 	}
-	w.toHome(Ended{Key: send.Key, Send: send.Send, Outcome: outcome, Reason: reason})
+	w.toHome(SendEnded{Key: send.Key, Send: send.Send, Outcome: outcome, Reason: reason})
 }
 
-func (w *world) deliverReply(i int, ended Ended) {
-	w.replies = append(append([]Ended(nil), w.replies[:i]...), w.replies[i+1:]...)
+func (w *world) deliverReply(i int, ended SendEnded) {
+	w.replies = append(append([]SendEnded(nil), w.replies[:i]...), w.replies[i+1:]...)
 	w.toHome(ended)
 }
 
 // toHome gives a send's end to the incarnation that made it, if it lives.
-func (w *world) toHome(ended Ended) {
+func (w *world) toHome(ended SendEnded) {
 	if !w.listed || w.sender[ended.Send] != w.restarts+1 {
 		return
 	}
@@ -308,7 +308,7 @@
 	for id := WaiterID(1); id <= w.nextAsk; id++ {
 		if submission := w.submissions[id]; submission.home != 0 {
 			submission.home = 0
-			w.next(id, Answered{Outcome: core.Unknown})
+			w.next(id, HolderResult{Outcome: core.Unknown})
 		}
 	}
 }
--- a/internal/core/quarantine/key.go
+++ b/internal/core/quarantine/key.go
@@ -25,8 +25,8 @@
 // String shortens the key for logs.
 func (k Key) String() string { return hex.EncodeToString(k[:shownBytes]) }
 
-// KeyFrom reads a key from bytes; false when they are none.
-func KeyFrom(read []byte) (key Key, ok bool) {
+// KeyFromBytes reads a key from bytes; false when they are none.
+func KeyFromBytes(read []byte) (key Key, ok bool) {
 	if len(read) != keyBytes {
 		return key, false
 	}
@@ -59,13 +59,13 @@
 // levelQuestion is the Level of a question over all services of its closure.
 const levelQuestion = 1
 
-// Question returns the identity of a question over all services of its closure.
-func Question(customer core.Customer, question []byte) Identity {
+// ClosureQuery returns the identity of a question over all services of its closure.
+func ClosureQuery(customer core.Customer, question []byte) Identity {
 	return Identity{Method: verbQuery, Caller: string(customer), Body: compactJSON(question), Level: levelQuestion}
 }
 
-// Query returns the identity of a question at one service of its closure.
-func Query(service string, customer core.Customer, question []byte) Identity {
+// ServiceQuery returns the identity of a question at one service of its closure.
+func ServiceQuery(service string, customer core.Customer, question []byte) Identity {
 	return Identity{Method: verbQuery, Path: service, Caller: string(customer), Body: compactJSON(question)}
 }
 
@@ -92,16 +92,16 @@
 // that use the same path are delayed by one answer.
 type Names struct{ Exact, Broad Key }
 
-// Heads are the names of the request without its body.
-func (i Identity) Heads() Names {
+// HeadNames are the names of the request without its body.
+func (i Identity) HeadNames() Names {
 	return Names{Exact: join(i.Method, i.Host, i.Path, i.Query, i.Caller), Broad: join(i.Method, i.Host, i.Path)}
 }
 
 // Names are the identity's names.
-func (i Identity) Names() Names { return i.Heads().With(i.Body) }
+func (i Identity) Names() Names { return i.HeadNames().WithBody(i.Body) }
 
-// With are the names of a request with these heads and a body.
-func (n Names) With(body []byte) Names {
+// WithBody are the names of a request with these heads and a body.
+func (n Names) WithBody(body []byte) Names {
 	return Names{Exact: n.Exact.with(body), Broad: n.Broad.with(body)}
 }
 
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -48,26 +48,26 @@
 	// heads counts the records by their requests without the body.
 	heads map[Key]int
 	// at are the requests known of each incarnation.
-	at map[Life][]Key
+	at map[Incarnation][]Key
 }
 
 // NewLedger makes an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{records: map[Key]*Record{}, heads: map[Key]int{}, at: map[Life][]Key{}}
+	return &Ledger{records: map[Key]*Record{}, heads: map[Key]int{}, at: map[Incarnation][]Key{}}
 }
 
 // Len is the number of requests that are remembered.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// KnowsHead reports whether any request is remembered that differs by its body alone, by its broad name or its exact
+// HasHead reports whether any request is remembered that differs by its body alone, by its broad name or its exact
 // one.
-func (l *Ledger) KnowsHead(heads Names) bool {
+func (l *Ledger) HasHead(heads Names) bool {
 	return l.heads[heads.Exact] > 0 || l.heads[heads.Broad] > 0
 }
 
-// See is the standing of a request that has come, the more severe one of its names. It is remembered from now
+// Observe is the standing of a request that has come, the more severe one of its names. It is remembered from now
 // on for as long again.
-func (l *Ledger) See(names Names, now core.Time) Standing {
+func (l *Ledger) Observe(names Names, now core.Time) Standing {
 	return max(l.see(names.Exact, now), l.see(names.Broad, now))
 }
 
@@ -80,8 +80,8 @@
 	return known.standing
 }
 
-// SeeShard returns the standing of an incoming request at one shard: the more severe one of its two names.
-func (l *Ledger) SeeShard(names Names, shard Shard) Standing {
+// StandingAtShard returns the standing of an incoming request at one shard: the more severe one of its two names.
+func (l *Ledger) StandingAtShard(names Names, shard Shard) Standing {
 	return max(l.seeShard(names.Exact, shard), l.seeShard(names.Broad, shard))
 }
 
@@ -127,9 +127,9 @@
 	return l.judge(known, affected)
 }
 
-// Answered records that a replica of the shard has answered a request. It clears both names of the request as a whole
+// MarkAnswered records that a replica of the shard has answered a request. It clears both names of the request as a whole
 // and at that shard, but not at other shards.
-func (l *Ledger) Answered(names Names, shard Shard) []Change {
+func (l *Ledger) MarkAnswered(names Names, shard Shard) []Change {
 	return append(l.answered(names.Exact, shard), l.answered(names.Broad, shard)...)
 }
 
@@ -157,7 +157,7 @@
 	if len(l.records) >= maxRecords {
 		l.evict()
 	}
-	begun := &Record{Key: told.Key, Head: told.Head, What: told.What, Level: told.Level, Facts: map[Life]Fact{}, Shards: map[Life]Shard{}, Variants: map[uint64]struct{}{}, FirstAt: now, SeenAt: told.SeenAt, shards: map[Shard]Standing{}}
+	begun := &Record{Key: told.Key, Head: told.Head, Description: told.Description, Level: told.Level, Facts: map[Incarnation]Fact{}, Shards: map[Incarnation]Shard{}, Variants: map[uint64]struct{}{}, FirstAt: now, SeenAt: told.SeenAt, shards: map[Shard]Standing{}}
 	l.records[told.Key] = begun
 	l.heads[told.Head]++
 	return begun
@@ -165,7 +165,7 @@
 
 // add takes one fact up and reports whether it was not known. Of too many replicas those of trials stay, and of
 // the others those with the lowest names, so that nodes which hear of them in another order keep the same.
-func (l *Ledger) add(r *Record, life Life, shard Shard, fact Fact) bool {
+func (l *Ledger) add(r *Record, life Incarnation, shard Shard, fact Fact) bool {
 	known, held := r.Facts[life]
 	shardLearned := held && r.Shards[life] == 0 && shard != 0
 	if held && known|fact == known && !shardLearned {
@@ -184,8 +184,8 @@
 	return true
 }
 
-func (l *Ledger) makeRoom(r *Record, life Life, fact Fact) bool {
-	worst, found := Life(0), false
+func (l *Ledger) makeRoom(r *Record, life Incarnation, fact Fact) bool {
+	worst, found := Incarnation(0), false
 	for other, held := range r.Facts {
 		if held&(Trial|ShardTrial) == 0 && (!found || other > worst) {
 			worst, found = other, true
@@ -200,7 +200,7 @@
 	return true
 }
 
-func (l *Ledger) leave(life Life, key Key) {
+func (l *Ledger) leave(life Incarnation, key Key) {
 	keys := slices.DeleteFunc(l.at[life], func(one Key) bool { return one == key })
 	if len(keys) == 0 {
 		delete(l.at, life)
@@ -242,7 +242,7 @@
 // judge updates the standings of a record whose facts changed at the affected shards, and of records that share
 // replicas with it.
 func (l *Ledger) judge(changed *Record, affected map[Shard]bool) []Change {
-	changes := []Change{{Record: changed, Former: l.judgeOne(changed, affected), New: true}}
+	changes := []Change{{Record: changed, Previous: l.judgeOne(changed, affected), New: true}}
 	seen := map[Key]bool{changed.Key: true}
 	for life := range changed.Facts {
 		for _, key := range l.at[life] {
@@ -252,7 +252,7 @@
 			}
 			seen[key] = true
 			if former := l.judgeOne(other, affected); former != other.Severity() {
-				changes = append(changes, Change{Record: other, Former: former})
+				changes = append(changes, Change{Record: other, Previous: former})
 			}
 		}
 	}
@@ -301,7 +301,7 @@
 }
 
 // contested reports whether another request was in work at a replica that ended, under which as many have ended.
-func (l *Ledger) contested(r *Record, within scope, weight int, life Life) bool {
+func (l *Ledger) contested(r *Record, within scope, weight int, life Incarnation) bool {
 	for _, key := range l.at[life] {
 		other := l.records[key]
 		if key == r.Key || other.broad() != r.broad() || other.Level != r.Level {
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -13,18 +13,18 @@
 
 func exactKey(name string) Key { return Identity{Path: name}.Names().Exact }
 
-func fact(name string, life Life, marks Fact) Record {
-	return Record{Key: exactKey(name), Head: exactKey(name), What: name, Facts: map[Life]Fact{life: marks}}
+func fact(name string, life Incarnation, marks Fact) Record {
+	return Record{Key: exactKey(name), Head: exactKey(name), Description: name, Facts: map[Incarnation]Fact{life: marks}}
 }
 
-func (l *Ledger) tell(name string, life Life, marks Fact) { l.Merge(fact(name, life, marks), 0) }
+func (l *Ledger) tell(name string, life Incarnation, marks Fact) { l.Merge(fact(name, life, marks), 0) }
 
 func (l *Ledger) of(name string) Standing { return l.see(exactKey(name), 0) }
 
 // A request ends the replicas of its first sends, then of one trial, then of a second one.
 func TestARequestThatEndsReplicasUnderTrialsIsSetAside(t *testing.T) {
 	l := NewLedger()
-	for life := range Life(20) {
+	for life := range Incarnation(20) {
 		l.tell("deadly", life, Ended)
 	}
 	require.Equal(t, Suspect, l.of("deadly"))
@@ -38,11 +38,11 @@
 // are, it is not refused for that.
 func TestManyEndsAtOnceRefuseNothing(t *testing.T) {
 	l := NewLedger()
-	for life := range Life(300) {
+	for life := range Incarnation(300) {
 		l.tell("popular", life, Ended)
 	}
 	require.Equal(t, Suspect, l.of("popular"))
-	l.Answered(Identity{Path: "popular"}.Names(), 0)
+	l.MarkAnswered(Identity{Path: "popular"}.Names(), 0)
 	require.Equal(t, Trusted, l.of("popular"))
 }
 
@@ -50,13 +50,13 @@
 // that has more of them, and once it is known the other is not refused.
 func TestEndsCountAgainstTheRequestThatHasMostOfThem(t *testing.T) {
 	l := NewLedger()
-	for life := range Life(20) {
+	for life := range Incarnation(20) {
 		l.tell("deadly", life, Ended)
 	}
-	for life := range Life(5) {
+	for life := range Incarnation(5) {
 		l.tell("beside", life, Ended)
 	}
-	for life := Life(30); life < 33; life++ {
+	for life := Incarnation(30); life < 33; life++ {
 		l.tell("beside", life, Trial|Ended)
 		l.tell("deadly", life, Trial|Ended)
 	}
@@ -72,7 +72,7 @@
 	l.tell("beside", 2, Trial|Ended)
 	l.tell("beside", 3, Trial|Ended)
 	require.Equal(t, SetAside, l.of("beside"))
-	for life := Life(2); life < 9; life++ {
+	for life := Incarnation(2); life < 9; life++ {
 		l.tell("deadly", life, Ended)
 	}
 	require.Equal(t, Suspect, l.of("beside"))
@@ -82,7 +82,7 @@
 // the same.
 func TestTrialsWithoutAnAnswerAreBounded(t *testing.T) {
 	l := NewLedger()
-	for life := range Life(3) {
+	for life := range Incarnation(3) {
 		l.tell("deadly", life, Ended)
 	}
 	l.tell("deadly", 10, Trial)
@@ -98,9 +98,9 @@
 		var facts []Record
 		for range rapid.IntRange(1, 60).Draw(t, "facts") {
 			name := fmt.Sprint("request-", rapid.IntRange(0, 3).Draw(t, "request"))
-			one := fact(name, Life(rapid.IntRange(0, 12).Draw(t, "life")), Fact(rapid.IntRange(1, 31).Draw(t, "marks")))
+			one := fact(name, Incarnation(rapid.IntRange(0, 12).Draw(t, "life")), Fact(rapid.IntRange(1, 31).Draw(t, "marks")))
 			for life := range one.Facts {
-				one.Shards = map[Life]Shard{life: Shard(life % 3)}
+				one.Shards = map[Incarnation]Shard{life: Shard(life % 3)}
 			}
 			if rapid.Bool().Draw(t, "broad") {
 				one.Key, one.Variants = exactKey(name+" broad"), map[uint64]struct{}{rapid.Uint64Range(0, 3).Draw(t, "variant"): {}}
@@ -129,12 +129,12 @@
 // still comes is not forgotten for it.
 func TestManyDeadlyRequestsStayWithinBounds(t *testing.T) {
 	l := NewLedger()
-	for life := range Life(3) {
+	for life := range Incarnation(3) {
 		l.tell("known", life, Trial|Ended)
 	}
 	require.Equal(t, SetAside, l.of("known"))
 	for i := range 10000 {
-		l.Merge(fact(fmt.Sprint("other-", i), Life(100+i), Ended), core.Time(i))
+		l.Merge(fact(fmt.Sprint("other-", i), Incarnation(100+i), Ended), core.Time(i))
 	}
 	require.LessOrEqual(t, l.Len(), maxRecords)
 	require.LessOrEqual(t, len(l.at), maxRecords*maxFacts)
@@ -147,7 +147,7 @@
 	l := NewLedger()
 	l.tell("deadly", 1<<40, Trial|Ended)
 	l.tell("deadly", 1<<41, Trial|Ended)
-	for life := range Life(5000) {
+	for life := range Incarnation(5000) {
 		l.tell("deadly", life, Ended)
 	}
 	require.LessOrEqual(t, len(l.Get(exactKey("deadly")).Facts), maxFacts)
@@ -157,14 +157,14 @@
 // A request that does not come for long is forgotten; one that comes is not.
 func TestWhatDoesNotComeIsForgotten(t *testing.T) {
 	l := NewLedger()
-	for life := range Life(3) {
+	for life := range Incarnation(3) {
 		l.tell("deadly", life, Trial|Ended)
 		l.tell("gone", 10+life, Trial|Ended)
 	}
 	names := Names{Exact: exactKey("deadly")}
-	require.Equal(t, SetAside, l.See(names, 50*time.Minute))
+	require.Equal(t, SetAside, l.Observe(names, 50*time.Minute))
 	l.Expire(70 * time.Minute)
-	require.Equal(t, SetAside, l.See(names, 70*time.Minute))
+	require.Equal(t, SetAside, l.Observe(names, 70*time.Minute))
 	require.Equal(t, Trusted, l.of("gone"))
 	require.Len(t, l.at, 3)
 }
@@ -173,26 +173,26 @@
 // answered, and never refused.
 func TestABroadNameIsClearedByWhateverBearsIt(t *testing.T) {
 	search := func(query string) Names { return Identity{Path: "/search", Query: query}.Names() }
-	tell := func(l *Ledger, query string, life Life, marks Fact) {
+	tell := func(l *Ledger, query string, life Incarnation, marks Fact) {
 		names := search(query)
-		l.Merge(Record{Key: names.Exact, Facts: map[Life]Fact{life: marks}}, 0)
-		l.Merge(Record{Key: names.Broad, Facts: map[Life]Fact{life: marks}, Variants: map[uint64]struct{}{uint64(names.Exact[0]): {}}}, 0)
+		l.Merge(Record{Key: names.Exact, Facts: map[Incarnation]Fact{life: marks}}, 0)
+		l.Merge(Record{Key: names.Broad, Facts: map[Incarnation]Fact{life: marks}, Variants: map[uint64]struct{}{uint64(names.Exact[0]): {}}}, 0)
 	}
 	l := NewLedger()
-	for life := range Life(20) {
+	for life := range Incarnation(20) {
 		tell(l, "q=bad", life, Ended)
 	}
 	tell(l, "q=bad", 20, Trial|Ended)
 	tell(l, "q=bad", 21, Trial|Ended)
-	require.Equal(t, SetAside, l.See(search("q=bad"), 0))
-	require.Equal(t, Suspect, l.See(search("q=good"), 0), "under one exact name alone nobody else is refused")
-	l.Answered(search("q=good"), 0)
-	require.Equal(t, Trusted, l.See(search("q=better"), 0))
-	require.Equal(t, SetAside, l.See(search("q=bad"), 0))
-	for life := Life(30); life < 33; life++ {
+	require.Equal(t, SetAside, l.Observe(search("q=bad"), 0))
+	require.Equal(t, Suspect, l.Observe(search("q=good"), 0), "under one exact name alone nobody else is refused")
+	l.MarkAnswered(search("q=good"), 0)
+	require.Equal(t, Trusted, l.Observe(search("q=better"), 0))
+	require.Equal(t, SetAside, l.Observe(search("q=bad"), 0))
+	for life := Incarnation(30); life < 33; life++ {
 		tell(l, fmt.Sprint("q=bad&page=", life), life, Trial|Ended)
 	}
-	require.Equal(t, SetAside, l.See(search("q=bad&page=99"), 0))
+	require.Equal(t, SetAside, l.Observe(search("q=bad&page=99"), 0))
 }
 
 // Parts of one identity must not run into each other, or one request could be given the name of another.
@@ -214,15 +214,15 @@
 	ledger.tell("deadly", 1, Ended)
 	b.ReportAllocs()
 	for b.Loop() {
-		if ledger.KnowsHead(one.Heads()) {
+		if ledger.HasHead(one.HeadNames()) {
 			b.Fatal("it is not known")
 		}
 	}
 }
 
-func shardFact(name string, life Life, shard string, marks Fact) Record {
+func shardFact(name string, life Incarnation, shard string, marks Fact) Record {
 	one := fact(name, life, marks)
-	one.Shards = map[Life]Shard{life: ShardOf(shard)}
+	one.Shards = map[Incarnation]Shard{life: ShardOf(shard)}
 	return one
 }
 
@@ -231,32 +231,32 @@
 	l := NewLedger()
 	names := Names{Exact: exactKey("deadly")}
 	l.Merge(shardFact("deadly", 1, "a", Ended), 0)
-	l.Answered(names, ShardOf("b"))
-	require.Equal(t, Trusted, l.See(names, 0))
-	require.Equal(t, Suspect, l.SeeShard(names, ShardOf("a")))
-	require.Equal(t, Trusted, l.SeeShard(names, ShardOf("b")))
-	for life := Life(2); life < 4; life++ {
+	l.MarkAnswered(names, ShardOf("b"))
+	require.Equal(t, Trusted, l.Observe(names, 0))
+	require.Equal(t, Suspect, l.StandingAtShard(names, ShardOf("a")))
+	require.Equal(t, Trusted, l.StandingAtShard(names, ShardOf("b")))
+	for life := Incarnation(2); life < 4; life++ {
 		l.Merge(shardFact("deadly", life, "a", Ended|ShardTrial), 0)
-		l.Answered(names, ShardOf("b"))
+		l.MarkAnswered(names, ShardOf("b"))
 	}
-	require.Equal(t, Trusted, l.See(names, 0))
-	require.Equal(t, SetAside, l.SeeShard(names, ShardOf("a")))
+	require.Equal(t, Trusted, l.Observe(names, 0))
+	require.Equal(t, SetAside, l.StandingAtShard(names, ShardOf("a")))
 	require.NotZero(t, l.Digest())
-	l.Answered(names, ShardOf("a"))
-	require.Equal(t, Trusted, l.SeeShard(names, ShardOf("a")))
+	l.MarkAnswered(names, ShardOf("a"))
+	require.Equal(t, Trusted, l.StandingAtShard(names, ShardOf("a")))
 }
 
 // Guards against setting aside frequent requests at a shard whose replicas crash repeatedly: an answer of the shard
 // between two crashes clears them there.
 func TestRepeatedCrashesOfAShardSetNothingAside(t *testing.T) {
 	l := NewLedger()
-	for life := range Life(50) {
+	for life := range Incarnation(50) {
 		for _, name := range []string{"popular", "other"} {
 			l.Merge(shardFact(name, life, "a", Ended|ShardTrial), 0)
-			require.NotEqual(t, SetAside, l.SeeShard(Names{Exact: exactKey(name)}, ShardOf("a")))
+			require.NotEqual(t, SetAside, l.StandingAtShard(Names{Exact: exactKey(name)}, ShardOf("a")))
 		}
-		l.Answered(Names{Exact: exactKey("popular")}, ShardOf("a"))
-		l.Answered(Names{Exact: exactKey("other")}, ShardOf("a"))
+		l.MarkAnswered(Names{Exact: exactKey("popular")}, ShardOf("a"))
+		l.MarkAnswered(Names{Exact: exactKey("other")}, ShardOf("a"))
 	}
 }
 
@@ -265,16 +265,16 @@
 func TestAnUnresponsiveShardDoesNotSetABroadNameAside(t *testing.T) {
 	l := NewLedger()
 	search := func(query string) Names { return Identity{Path: "/search", Query: query}.Names() }
-	for life := range Life(6) {
+	for life := range Incarnation(6) {
 		names := search(fmt.Sprint("q=", life))
 		marks := Ended
 		if life >= 3 {
 			marks = ShardTrial
 		}
 		l.Merge(Record{
-			Key: names.Broad, Facts: map[Life]Fact{life: marks}, Shards: map[Life]Shard{life: ShardOf("a")},
+			Key: names.Broad, Facts: map[Incarnation]Fact{life: marks}, Shards: map[Incarnation]Shard{life: ShardOf("a")},
 			Variants: map[uint64]struct{}{uint64(life): {}},
 		}, 0)
 	}
-	require.Equal(t, Suspect, l.SeeShard(search("q=new"), ShardOf("a")))
+	require.Equal(t, Suspect, l.StandingAtShard(search("q=new"), ShardOf("a")))
 }
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -28,8 +28,8 @@
 	return [...]string{"trusted", "suspect", "set_aside"}[s]
 }
 
-// Life names an incarnation of a replica by a hash of its id and start.
-type Life uint64
+// Incarnation names an incarnation of a replica by a hash of its id and start.
+type Incarnation uint64
 
 // Fact is what came of a request at one incarnation of a replica. Each mark is only ever set, so that
 // facts from several nodes give the same in any order.
@@ -80,20 +80,22 @@
 }
 
 // includes reports whether the fact of an incarnation belongs to the scope.
-func (s scope) includes(r *Record, life Life) bool { return s.shard == 0 || r.Shards[life] == s.shard }
+func (s scope) includes(r *Record, life Incarnation) bool {
+	return s.shard == 0 || r.Shards[life] == s.shard
+}
 
 // Record is what is known of one request.
 type Record struct {
 	Key Key
 	// Head is the key of the request without its body.
 	Head Key
-	// What describes the request to operators.
-	What string
+	// Description describes the request to operators.
+	Description string
 	// Level is Identity.Level. Records of different levels may be of one request and do not contest each other.
 	Level uint8
-	Facts map[Life]Fact
+	Facts map[Incarnation]Fact
 	// Shards maps incarnations to their shards, where known.
-	Shards map[Life]Shard
+	Shards map[Incarnation]Shard
 	// Variants are hashes of the exact names under which replicas ended, where Key is a broad one; none otherwise.
 	Variants map[uint64]struct{}
 	// FirstAt is when this node first heard of it, SeenAt when it or news of it came last.
@@ -130,8 +132,8 @@
 	return total
 }
 
-// Ended counts the replicas that ended under the request and were not cleared both as a whole and at their shard.
-func (r *Record) Ended() int {
+// EndedCount counts the replicas that ended under the request and were not cleared both as a whole and at their shard.
+func (r *Record) EndedCount() int {
 	total := 0
 	for _, fact := range r.Facts {
 		if fact.counts(Ended, Cleared) || fact.counts(Ended, ShardCleared) {
@@ -155,8 +157,8 @@
 // Change is a record whose facts or standing changed.
 type Change struct {
 	Record *Record
-	// Former is the severity before the change.
-	Former Standing
+	// Previous is the severity before the change.
+	Previous Standing
 	// New is set when the change holds facts that were not known.
 	New bool
 }
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -146,10 +146,10 @@
 func (n *Node) standingChanged(change quarantine.Change, from core.NodeID) {
 	record := change.Record
 	severity := record.Severity()
-	if severity == change.Former {
+	if severity == change.Previous {
 		return
 	}
-	fields := decisionlog.Fields{"key": record.Key.String(), "what": record.What, "former": change.Former.String(), "replicas_ended": record.Ended(), "from": from, "shards_set_aside": record.SetAsideShards()}
+	fields := decisionlog.Fields{"key": record.Key.String(), "what": record.Description, "former": change.Previous.String(), "replicas_ended": record.EndedCount(), "from": from, "shards_set_aside": record.SetAsideShards()}
 	event := standingEvents[severity]
 	if severity == quarantine.SetAside {
 		n.metrics.setAside()
--- a/internal/entry/precautions.go
+++ b/internal/entry/precautions.go
@@ -14,7 +14,7 @@
 		return precautions
 	}
 	overall := l.options.Assessor.Assess(func() corequarantine.Identity {
-		return corequarantine.Question(question.Customer, question.Body)
+		return corequarantine.ClosureQuery(question.Customer, question.Body)
 	}, nil)
 	precautions.Suspect = overall.Request == corequarantine.Suspect
 	if overall.Request == corequarantine.SetAside {
@@ -26,7 +26,7 @@
 	for i := range plan.Services {
 		service := &plan.Services[i]
 		assessment := l.options.Assessor.Assess(func() corequarantine.Identity {
-			return corequarantine.Query(service.Name, question.Customer, question.Body)
+			return corequarantine.ServiceQuery(service.Name, question.Customer, question.Body)
 		}, l.plans.shardNames(plan, i))
 		if assessment.Request == corequarantine.Suspect {
 			precautions.SuspectServices = addIndex(precautions.SuspectServices, i)
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -135,6 +135,6 @@
 	reply := h.Submit(context.Background(), request(former.Prefix()+".a"))
 	require.Equal(t, core.Unknown, reply.Outcome)
 	require.Equal(t, fault.CodeHomeGone, reply.Code)
-	require.Equal(t, core.NotRun, reply.ThisTry)
+	require.Equal(t, core.NotRun, reply.ThisAttempt)
 	require.Zero(t, peers.ownerAsks())
 }
--- a/internal/home/loop.go
+++ b/internal/home/loop.go
@@ -120,7 +120,7 @@
 		_ = l.events.Put(l.ctx, stepped{event: once.Withdrawn{Key: e.key.Text, Waiter: id}})
 	})
 	l.waiters[id] = waiter{inbound: e.inbound, stopWatch: stopWatch}
-	l.step(once.Asked{
+	l.step(once.Submitted{
 		Waiter:   id,
 		Key:      e.key,
 		Customer: core.Customer(message.GetCustomer()),
@@ -132,7 +132,7 @@
 
 func (l *loop) step(e once.Event) {
 	switch e := e.(type) {
-	case once.Ended:
+	case once.SendEnded:
 		delete(l.tickets, e.Send)
 	case once.Withdrawn:
 		delete(l.waiters, e.Waiter)
@@ -141,7 +141,7 @@
 		switch a := action.(type) {
 		case once.Send:
 			l.send(a)
-		case once.GiveUp:
+		case once.CancelSend:
 			l.giveUp(a)
 		case once.Answer:
 			l.answer(a)
--- a/internal/home/send.go
+++ b/internal/home/send.go
@@ -16,7 +16,7 @@
 
 // giveUp withdraws a send: a request that waits for its link to open is past
 // its time and is then never written.
-func (l *loop) giveUp(a once.GiveUp) {
+func (l *loop) giveUp(a once.CancelSend) {
 	if ticket := l.tickets[a.Send]; ticket != nil {
 		ticket.Cancel()
 		delete(l.tickets, a.Send)
@@ -39,7 +39,7 @@
 	}
 	left := a.Deadline - l.options.Now()
 	if left <= 0 {
-		l.put(once.Ended{Key: a.Key, Send: a.Send, Outcome: core.NotRun, Reason: core.ReasonDeadline})
+		l.put(once.SendEnded{Key: a.Key, Send: a.Send, Outcome: core.NotRun, Reason: core.ReasonDeadline})
 		return
 	}
 	message := &peerpb.SubmitRequest{
@@ -59,9 +59,9 @@
 	l.tickets[a.Send] = l.options.Peers.Ask(to.owner, envelope, l.sink(a))
 }
 
-func notSent(a once.Send, err error) once.Ended {
+func notSent(a once.Send, err error) once.SendEnded {
 	typed := fault.As(err)
-	ended := once.Ended{Key: a.Key, Send: a.Send, Outcome: core.NotRun, Code: typed.Code, Message: typed.Message}
+	ended := once.SendEnded{Key: a.Key, Send: a.Send, Outcome: core.NotRun, Code: typed.Code, Message: typed.Message}
 	if typed.Code == fault.CodeRefused {
 		ended.Reason = core.ReasonPeerUnreached
 	}
@@ -122,7 +122,7 @@
 // sink turns the owner's reply into the send's end.
 func (l *loop) sink(a once.Send) peer.Sink {
 	return func(reply *peerpb.Envelope, failure *peer.LinkError) {
-		ended := once.Ended{Key: a.Key, Send: a.Send}
+		ended := once.SendEnded{Key: a.Key, Send: a.Send}
 		switch {
 		case failure != nil:
 			ended.Outcome, ended.Reason = failure.Outcome, linkReason(failure)
--- a/internal/home/setaside.go
+++ b/internal/home/setaside.go
@@ -9,7 +9,7 @@
 
 // refuseSetAside returns the end of a send that must not be made because the request is set aside, or nil. The home decides
 // this and not the entry, because its ledger knows whether an earlier send of the same key may have run.
-func (l *loop) refuseSetAside(a once.Send, shard core.ShardRef) *once.Ended {
+func (l *loop) refuseSetAside(a once.Send, shard core.ShardRef) *once.SendEnded {
 	if l.options.Assessor == nil || l.options.Assessor.Empty() {
 		return nil
 	}
@@ -19,7 +19,7 @@
 	if assessment.Request != corequarantine.SetAside && (assessment.Shards == nil || assessment.Shards[0] != corequarantine.SetAside) {
 		return nil
 	}
-	return &once.Ended{
+	return &once.SendEnded{
 		Key: a.Key, Send: a.Send, Outcome: core.NotRun, Code: fault.CodeSetAside,
 		Message: "replicas ended under this request each time it ran", RetryAfter: corequarantine.RetryAfter,
 	}
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -65,30 +65,30 @@
 func (s *submission) run(ctx context.Context) once.Reply {
 	view := s.home.options.Belief.View()
 	_, listed := view.Node(s.key.Node)
-	holder := s.First(listed)
+	holder := s.FirstHolder(listed)
 	for {
 		answered, inTime := s.ask(ctx, holder)
 		if !inTime {
-			return s.Lost()
+			return s.TimeoutReply()
 		}
-		next, pause, reply := s.Next(answered)
+		next, pause, reply := s.NextHolder(answered)
 		if next == once.HolderNone {
 			return reply
 		}
 		holder = next
 		if !wait.For(ctx, pause) {
-			return s.Lost()
+			return s.TimeoutReply()
 		}
 	}
 }
 
 // ask asks one holder; false when the caller's time ends first.
-func (s *submission) ask(ctx context.Context, holder once.Holder) (once.Answered, bool) {
+func (s *submission) ask(ctx context.Context, holder once.Holder) (once.HolderResult, bool) {
 	node, ok := s.node(holder)
 	if !ok {
-		return once.Answered{Outcome: core.NotRun}, true
+		return once.HolderResult{Outcome: core.NotRun}, true
 	}
-	ends := make(chan once.Answered, 1)
+	ends := make(chan once.HolderResult, 1)
 	ticket := s.home.options.Peers.Ask(target(node), s.envelope(), func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
 		case ends <- toAnswered(reply, failure):
@@ -100,7 +100,7 @@
 		return answered, true
 	case <-ctx.Done():
 		ticket.Cancel()
-		return once.Answered{}, false
+		return once.HolderResult{}, false
 	}
 }
 
@@ -122,15 +122,15 @@
 	}}}
 }
 
-func toAnswered(reply *peerpb.Envelope, failure *peer.LinkError) once.Answered {
+func toAnswered(reply *peerpb.Envelope, failure *peer.LinkError) once.HolderResult {
 	switch {
 	case failure != nil:
-		return once.Answered{Outcome: failure.Outcome}
+		return once.HolderResult{Outcome: failure.Outcome}
 	case reply.GetSubmitReply() != nil:
 		r := fromMessage(reply.GetSubmitReply())
-		return once.Answered{Reply: &r}
+		return once.HolderResult{Reply: &r}
 	case reply.GetRefusal() != nil:
-		return once.Answered{Outcome: core.NotRun}
+		return once.HolderResult{Outcome: core.NotRun}
 	}
-	return once.Answered{}
+	return once.HolderResult{}
 }
--- a/internal/night/actions.go
+++ b/internal/night/actions.go
@@ -12,7 +12,7 @@
 // act carries an action out; some have an event as their immediate result.
 func (p *Prober) act(ctx context.Context, action night.Action) night.Event {
 	switch a := action.(type) {
-	case night.Probe:
+	case night.StartProbe:
 		return p.begin(ctx, a.Target)
 	case night.ReplicaDown:
 		p.options.Problems.Report(observe.KindReplicaDown, replicaSubject(a.Target), p.details[a.Target])
@@ -22,7 +22,7 @@
 		p.logReplica(a.Target, "replica_up")
 	case night.ShardStalled:
 		p.options.Problems.Report(observe.KindStalledService, a.Ref.String(), "no replica of this shard answers; each is listed as "+string(observe.KindReplicaDown))
-	case night.ShardAnswers:
+	case night.ShardRecovered:
 		p.options.Problems.Clear(observe.KindStalledService, a.Ref.String())
 	case night.WakeAt:
 		p.wakeAt = a.At
--- a/internal/night/night.go
+++ b/internal/night/night.go
@@ -79,7 +79,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Prober{
 		options:  options,
-		machine:  night.New(night.Paced(options.ReportWithin, options.InFlight)),
+		machine:  night.New(night.ConfigFor(options.ReportWithin, options.InFlight)),
 		owners:   newOwners(),
 		events:   ring.New[ended](ringDepth),
 		changed:  make(chan struct{}, 1),
@@ -170,7 +170,7 @@
 	targets := p.owners.targets(config.Catalog, p.options.Self)
 	p.watched.Update(int64(len(targets)))
 	p.forget(targets)
-	p.step(ctx, night.Owned{Targets: targets})
+	p.step(ctx, night.TargetsAssigned{Targets: targets})
 }
 
 // forget drops what is remembered of replicas that are no longer owned.
@@ -197,7 +197,7 @@
 		p.failed.Inc(1)
 		p.details[e.target] = e.detail
 	}
-	p.step(ctx, night.Probed{Target: e.target, Alive: e.alive})
+	p.step(ctx, night.ProbeEnded{Target: e.target, Alive: e.alive})
 }
 
 // step gives the machine an event and those that follow from its actions.
--- a/internal/night/probe.go
+++ b/internal/night/probe.go
@@ -17,16 +17,16 @@
 
 // begin starts a probe, unless real traffic has answered in its place.
 func (p *Prober) begin(ctx context.Context, target night.Target) night.Event {
-	sweep := night.Paced(p.options.ReportWithin, p.options.InFlight).Sweep
+	sweep := night.ConfigFor(p.options.ReportWithin, p.options.InFlight).SweepInterval
 	p.mutex.Lock()
 	at, ok := p.answered[target]
 	p.mutex.Unlock()
 	if ok && at+sweep > p.options.Now() {
-		return night.Answered{Target: target, At: at}
+		return night.ProbeSkipped{Target: target, At: at}
 	}
 	service := p.service(target.Ref)
 	if service == nil {
-		return night.Answered{Target: target, At: p.options.Now()}
+		return night.ProbeSkipped{Target: target, At: p.options.Now()}
 	}
 	p.number++
 	id := string(p.options.Self) + "-probe-" + strconv.FormatUint(p.number, decimal)
--- a/internal/owner/evidence.go
+++ b/internal/owner/evidence.go
@@ -70,7 +70,7 @@
 // identity implements work.
 func (w *bundleWork) identity() quarantine.Identity {
 	message := w.reply.inbound.Envelope.GetBundleRequest()
-	return quarantine.Query(w.ask.GetService(), core.Customer(message.GetCustomer()), message.GetQuestion())
+	return quarantine.ServiceQuery(w.ask.GetService(), core.Customer(message.GetCustomer()), message.GetQuestion())
 }
 
 // questionIdentity implements work.
@@ -80,7 +80,7 @@
 		trial = quarantine.Trial
 	}
 	return func() quarantine.Identity {
-		return quarantine.Question(core.Customer(message.GetCustomer()), message.GetQuestion())
+		return quarantine.ClosureQuery(core.Customer(message.GetCustomer()), message.GetQuestion())
 	}, trial, true
 }
 
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -138,19 +138,19 @@
 func (w *submitWork) take() (time.Duration, *once.Refusal) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.permit.Take(w.now(), w.owns())
+	return w.permit.Acquire(w.now(), w.owns())
 }
 
 func (w *submitWork) ended(outcome core.Outcome) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.permit.Ended(outcome)
+	w.permit.ReleaseIfNotRun(outcome)
 }
 
 func (w *submitWork) capped(outcome core.Outcome) core.Outcome {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.permit.Cap(outcome)
+	return w.permit.ReportableOutcome(outcome)
 }
 
 func (w *submitWork) call() upstream.Call {
--- a/internal/quarantine/codec.go
+++ b/internal/quarantine/codec.go
@@ -18,7 +18,7 @@
 )
 
 func encode(record *quarantine.Record, now core.Time) *peerpb.QuarantineRecord {
-	out := &peerpb.QuarantineRecord{Key: record.Key[:], Head: record.Head[:], What: record.What, Level: uint32(record.Level), AgeMs: uint64(max(now-record.SeenAt, 0).Milliseconds())}
+	out := &peerpb.QuarantineRecord{Key: record.Key[:], Head: record.Head[:], What: record.Description, Level: uint32(record.Level), AgeMs: uint64(max(now-record.SeenAt, 0).Milliseconds())}
 	out.Variants = slices.Sorted(maps.Keys(record.Variants))
 	for _, life := range slices.Sorted(maps.Keys(record.Facts)) {
 		out.Lives = append(out.Lives, uint64(life))
@@ -30,8 +30,8 @@
 
 // decode reads a record; false when it names no request or its lists do not fit together.
 func decode(in *peerpb.QuarantineRecord, now core.Time) (quarantine.Record, bool) {
-	key, named := quarantine.KeyFrom(in.GetKey())
-	head, headed := quarantine.KeyFrom(in.GetHead())
+	key, named := quarantine.KeyFromBytes(in.GetKey())
+	head, headed := quarantine.KeyFromBytes(in.GetHead())
 	lives, marks := in.GetLives(), in.GetMarks()
 	shards := in.GetShards()
 	if !named || !headed || len(lives) != len(marks) || len(lives) > maxLives || len(shards) > 0 && len(shards) != len(lives) {
@@ -39,7 +39,7 @@
 	}
 	what := in.GetWhat()
 	record := quarantine.Record{
-		Key: key, Head: head, What: what[:min(len(what), maxWhat)], Level: uint8(in.GetLevel()), Facts: map[quarantine.Life]quarantine.Fact{}, Shards: map[quarantine.Life]quarantine.Shard{}, Variants: map[uint64]struct{}{},
+		Key: key, Head: head, Description: what[:min(len(what), maxWhat)], Level: uint8(in.GetLevel()), Facts: map[quarantine.Incarnation]quarantine.Fact{}, Shards: map[quarantine.Incarnation]quarantine.Shard{}, Variants: map[uint64]struct{}{},
 		SeenAt: now - time.Duration(in.GetAgeMs())*time.Millisecond,
 	}
 	variants := in.GetVariants()
@@ -47,10 +47,10 @@
 		record.Variants[one] = struct{}{}
 	}
 	for i, life := range lives {
-		record.Facts[quarantine.Life(life)] = quarantine.Fact(marks[i])
+		record.Facts[quarantine.Incarnation(life)] = quarantine.Fact(marks[i])
 	}
 	for i, shard := range shards {
-		record.Shards[quarantine.Life(lives[i])] = quarantine.Shard(shard)
+		record.Shards[quarantine.Incarnation(lives[i])] = quarantine.Shard(shard)
 	}
 	return record, true
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -130,19 +130,19 @@
 		return Assessment{}
 	}
 	one := identity()
-	heads := one.Heads()
+	heads := one.HeadNames()
 	d.mutex.Lock()
-	likely := d.ledger.KnowsHead(heads)
+	likely := d.ledger.HasHead(heads)
 	d.mutex.Unlock()
 	if !likely {
 		return Assessment{}
 	}
-	names := heads.With(one.Body)
+	names := heads.WithBody(one.Body)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	assessment := Assessment{Request: d.ledger.See(names, d.options.Now())}
+	assessment := Assessment{Request: d.ledger.Observe(names, d.options.Now())}
 	for i, shard := range shards {
-		standing := d.ledger.SeeShard(names, quarantine.ShardOf(shard))
+		standing := d.ledger.StandingAtShard(names, quarantine.ShardOf(shard))
 		if standing == quarantine.Trusted {
 			continue
 		}
@@ -157,13 +157,13 @@
 // Seen records the outcome of a request at a replica of a shard: the replica ended, or did not answer a trial.
 func (d *Duty) Seen(identity quarantine.Identity, what, shard string, life replica.Incarnation, fact quarantine.Fact) {
 	now := d.options.Now()
-	heads := identity.Heads()
-	names := heads.With(identity.Body)
-	exact := quarantine.Record{Key: names.Exact, Head: heads.Exact, What: what, Level: identity.Level, SeenAt: now}
-	exact.Facts = map[quarantine.Life]quarantine.Fact{lifeOf(life): fact}
-	exact.Shards = map[quarantine.Life]quarantine.Shard{lifeOf(life): quarantine.ShardOf(shard)}
+	heads := identity.HeadNames()
+	names := heads.WithBody(identity.Body)
+	exact := quarantine.Record{Key: names.Exact, Head: heads.Exact, Description: what, Level: identity.Level, SeenAt: now}
+	exact.Facts = map[quarantine.Incarnation]quarantine.Fact{lifeOf(life): fact}
+	exact.Shards = map[quarantine.Incarnation]quarantine.Shard{lifeOf(life): quarantine.ShardOf(shard)}
 	broad := exact
-	broad.Key, broad.Head, broad.What = names.Broad, heads.Broad, what+anyVariant
+	broad.Key, broad.Head, broad.Description = names.Broad, heads.Broad, what+anyVariant
 	broad.Variants = map[uint64]struct{}{binary.BigEndian.Uint64(names.Exact[:]): {}}
 	d.take("", func() []quarantine.Change { return append(d.ledger.Merge(exact, now), d.ledger.Merge(broad, now)...) })
 }
@@ -177,14 +177,14 @@
 		return
 	}
 	resolved := names()
-	d.take("", func() []quarantine.Change { return d.ledger.Answered(resolved, quarantine.ShardOf(shard)) })
+	d.take("", func() []quarantine.Change { return d.ledger.MarkAnswered(resolved, quarantine.ShardOf(shard)) })
 }
 
 // lifeOf names an incarnation of a replica.
-func lifeOf(life replica.Incarnation) quarantine.Life {
+func lifeOf(life replica.Incarnation) quarantine.Incarnation {
 	var born [8]byte
 	binary.BigEndian.PutUint64(born[:], uint64(life.Born))
-	return quarantine.Life(xxhash.Sum64String(life.ID + string(born[:])))
+	return quarantine.Incarnation(xxhash.Sum64String(life.ID + string(born[:])))
 }
 
 // take changes the ledger, and tells what is new.
@@ -246,7 +246,7 @@
 		if one.Severity() == quarantine.Trusted {
 			continue
 		}
-		list = append(list, Request{Key: one.Key.String(), What: one.What, Standing: one.Severity().String(), SetAsideShards: one.SetAsideShards(), Ended: one.Ended(), SinceMs: (now - one.FirstAt).Milliseconds()})
+		list = append(list, Request{Key: one.Key.String(), What: one.Description, Standing: one.Severity().String(), SetAsideShards: one.SetAsideShards(), Ended: one.EndedCount(), SinceMs: (now - one.FirstAt).Milliseconds()})
 	}
 	return list
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -225,7 +225,7 @@
 		one.options.Now = func() core.Time { return now }
 		for request := range 3 * maxWhole {
 			for life := range 3 {
-				one.ledger.Merge(quarantine.Record{Key: quarantine.Identity{Path: fmt.Sprint(node, request)}.Names().Exact, Facts: map[quarantine.Life]quarantine.Fact{quarantine.Life(1000*request + life): quarantine.Ended | quarantine.Trial}}, 0)
+				one.ledger.Merge(quarantine.Record{Key: quarantine.Identity{Path: fmt.Sprint(node, request)}.Names().Exact, Facts: map[quarantine.Incarnation]quarantine.Fact{quarantine.Incarnation(1000*request + life): quarantine.Ended | quarantine.Trial}}, 0)
 			}
 		}
 		one.note()
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -47,11 +47,11 @@
 		{"limits.headroom", fmt.Sprint(entrylimit.DefaultHeadroom), "count", "how many times the free places one customer may hold at this entry", "entry_refused_share_total"},
 		{"probing.report_within", DefaultReport.String(), "duration", "a dead replica without traffic is reported within this time", "probes_total"},
 		{"probing.in_flight", fmt.Sprint(DefaultProbes), "count", "probes of idle replicas at once", "probes_in_flight"},
-		{"once.accept", limits.Accept.String(), "duration", "how long after its issue a key prefix starts new must-not-repeat requests", ""},
-		{"once.retain", limits.Retain.String(), "duration", "how long after its prefix's issue an outcome is kept; above accept and max_run together", ""},
-		{"once.max_run", limits.MaxRun.String(), "duration", "the longest that one must-not-repeat request may take", "once_running"},
-		{"once.entries", fmt.Sprint(limits.Entries), "count", "must-not-repeat requests remembered; one customer has half of them", "once_entries"},
-		{"once.bytes", fmt.Sprint(limits.Bytes), "bytes", "memory for them; one customer has half of it", "once_bytes"},
+		{"once.accept", limits.AcceptAge.String(), "duration", "how long after its issue a key prefix starts new must-not-repeat requests", ""},
+		{"once.retain", limits.RetainAge.String(), "duration", "how long after its prefix's issue an outcome is kept; above accept and max_run together", ""},
+		{"once.max_run", limits.MaxRunTime.String(), "duration", "the longest that one must-not-repeat request may take", "once_running"},
+		{"once.entries", fmt.Sprint(limits.MaxEntries), "count", "must-not-repeat requests remembered; one customer has half of them", "once_entries"},
+		{"once.bytes", fmt.Sprint(limits.MaxBytes), "bytes", "memory for them; one customer has half of it", "once_bytes"},
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,9 +98,9 @@
 // Limits are the bounds of the node's ledger. A customer has half of its places.
 func (o Once) Limits() once.Limits {
 	limits := once.DefaultLimits()
-	limits.Accept, limits.Retain, limits.MaxRun = o.Accept, o.Retain, o.MaxRun
-	limits.Entries, limits.Bytes = o.Entries, o.Bytes
-	limits.CustomerEntries, limits.CustomerBytes = o.Entries/customerShare, o.Bytes/customerShare
+	limits.AcceptAge, limits.RetainAge, limits.MaxRunTime = o.Accept, o.Retain, o.MaxRun
+	limits.MaxEntries, limits.MaxBytes = o.Entries, o.Bytes
+	limits.MaxCustomerEntries, limits.MaxCustomerBytes = o.Entries/customerShare, o.Bytes/customerShare
 	return limits
 }
 
@@ -148,11 +148,11 @@
 	setDefault(&s.Probing.ReportWithin, DefaultReport)
 	setDefault(&s.Probing.InFlight, DefaultProbes)
 	limits := once.DefaultLimits()
-	setDefault(&s.Once.Accept, limits.Accept)
-	setDefault(&s.Once.Retain, limits.Retain)
-	setDefault(&s.Once.MaxRun, limits.MaxRun)
-	setDefault(&s.Once.Entries, limits.Entries)
-	setDefault(&s.Once.Bytes, limits.Bytes)
+	setDefault(&s.Once.Accept, limits.AcceptAge)
+	setDefault(&s.Once.Retain, limits.RetainAge)
+	setDefault(&s.Once.MaxRun, limits.MaxRunTime)
+	setDefault(&s.Once.Entries, limits.MaxEntries)
+	setDefault(&s.Once.Bytes, limits.MaxBytes)
 }
 
 func setDefault[T comparable](field *T, value T) {
@@ -218,8 +218,8 @@
 // retry would be taken for new.
 func (s *Settings) validateRetain(doc *strictyaml.Document) {
 	limits := s.Once.Limits()
-	if limits.Retain <= limits.Accept+limits.MaxRun+limits.Grace {
-		doc.Report("once.retain", limits.Retain.String()+" is too short for once.accept and once.max_run", "write more than their sum and "+limits.Grace.String())
+	if limits.RetainAge <= limits.AcceptAge+limits.MaxRunTime+limits.ReplyGrace {
+		doc.Report("once.retain", limits.RetainAge.String()+" is too short for once.accept and once.max_run", "write more than their sum and "+limits.ReplyGrace.String())
 	}
 }
 
