--- a/internal/core/once/account.go
+++ b/internal/core/once/account.go
@@ -2,31 +2,32 @@
 
 import "github.com/pistachiopier/pistachiopier/internal/core"
 
-// account is one customer's share of the ledger.
-type account struct {
+// customerUsage is what one customer uses of the ledger.
+type customerUsage struct {
 	entries int
 	bytes   int
-	// retired is the newest tick of a key refused because the share was used
-	// up. A refused key has no entry, yet its "not run" must stay true when a
-	// delayed duplicate of it arrives after space was freed: so no key with a
-	// prefix as old as this is run any more.
-	retired core.Time
+	// refusedUpTo is the newest prefix time of a key that was refused because the
+	// customer's limit was reached. A refused key has no entry. To keep "not run" true
+	// for a delayed duplicate that arrives after space was freed, no key with a prefix
+	// this old or older is run.
+	refusedUpTo core.Time
 }
 
-// never is before every tick.
-const never = core.Time(-1)
+// noneRefused is before every prefix time.
+const noneRefused = core.Time(-1)
 
-func (l *Ledger) account(customer core.Customer) *account {
-	if known := l.accounts[customer]; known != nil {
+func (l *Ledger) usage(customer core.Customer) *customerUsage {
+	if known := l.usages[customer]; known != nil {
 		return known
 	}
-	return &account{retired: never}
+	return &customerUsage{refusedUpTo: noneRefused}
 }
 
-// closeAccount drops a customer's account when nothing depends on it.
-func (l *Ledger) closeAccount(now core.Time, customer core.Customer) {
-	share := l.accounts[customer]
-	if share != nil && share.entries == 0 && now-share.retired > l.limits.AcceptAge {
-		delete(l.accounts, customer)
+// dropUnusedUsage deletes a customer's usage when it has no entries and no key that it
+// refused is young enough to be accepted.
+func (l *Ledger) dropUnusedUsage(now core.Time, customer core.Customer) {
+	usage := l.usages[customer]
+	if usage != nil && usage.entries == 0 && now-usage.refusedUpTo > l.limits.AcceptAge {
+		delete(l.usages, customer)
 	}
 }
--- a/internal/core/once/alarms.go
+++ b/internal/core/once/alarms.go
@@ -6,27 +6,27 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// wake fires what is due and asks for the next alarm.
-func (l *Ledger) wake(now core.Time) {
-	for len(l.alarms) > 0 && l.alarms[0].at <= now {
-		due := heap.Pop(&l.alarms).(alarm)
+// fireTimers handles the timers that are due and requests a wake-up for the next one.
+func (l *Ledger) fireTimers(now core.Time) {
+	for len(l.timers) > 0 && l.timers[0].at <= now {
+		due := heap.Pop(&l.timers).(timer)
 		if due.entry == nil {
-			l.closeAccount(now, due.customer)
+			l.dropUnusedUsage(now, due.customer)
 			continue
 		}
-		l.due(now, due.entry)
+		l.handleTimer(now, due.entry)
 	}
-	if len(l.alarms) > 0 {
-		l.actions = append(l.actions, WakeAt{At: l.alarms[0].at})
+	if len(l.timers) > 0 {
+		l.actions = append(l.actions, WakeAt{At: l.timers[0].at})
 	}
 }
 
-// due fires an entry's alarms. Alarms are not withdrawn, so each is checked
-// against what the entry now waits for.
-func (l *Ledger) due(now core.Time, e *entry) {
+// handleTimer handles a timer of an entry. Timers are not cancelled, so each is checked
+// against the event that the entry now waits for.
+func (l *Ledger) handleTimer(now core.Time, e *entry) {
 	switch {
 	case e.run == nil:
-		if e.forgetAt <= now {
+		if e.expiresAt <= now {
 			l.fire(now, e, eventWindowOver, nil, nil)
 		}
 	case e.run.resendAt != 0:
@@ -38,32 +38,33 @@
 	}
 }
 
-// alarm is a time at which an entry, or a customer's account, is looked at.
-type alarm struct {
+// timer is a time at which an entry, or a customer's usage when entry is nil, is
+// checked.
+type timer struct {
 	at       core.Time
 	entry    *entry
 	customer core.Customer
 }
 
-// alarms is a heap by time.
-type alarms []alarm
+// timerHeap is a min-heap by time.
+type timerHeap []timer
 
-func (a *alarms) add(next alarm) { heap.Push(a, next) }
+func (a *timerHeap) add(next timer) { heap.Push(a, next) }
 
 // Len implements heap.Interface.
-func (a alarms) Len() int { return len(a) }
+func (a timerHeap) Len() int { return len(a) }
 
 // Less implements heap.Interface.
-func (a alarms) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
 
 // Swap implements heap.Interface.
-func (a alarms) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a timerHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
 // Push implements heap.Interface.
-func (a *alarms) Push(x any) { *a = append(*a, x.(alarm)) }
+func (a *timerHeap) Push(x any) { *a = append(*a, x.(timer)) }
 
 // Pop implements heap.Interface.
-func (a *alarms) Pop() any {
+func (a *timerHeap) Pop() any {
 	last := len(*a) - 1
 	popped := (*a)[last]
 	*a = (*a)[:last]
--- a/internal/core/once/entry.go
+++ b/internal/core/once/entry.go
@@ -5,9 +5,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// entryBytes is what an entry is charged besides its texts: the size
-// of the struct, its place in the map and its alarm, rounded up.
-const entryBytes = 512
+// entryOverheadBytes is charged for an entry in addition to its texts: the size of the
+// struct, its place in the map and its timer, rounded up.
+const entryOverheadBytes = 512
 
 // entry is one key in the ledger.
 type entry struct {
@@ -16,39 +16,39 @@
 	digest   Digest
 	state    chart.State
 	send     SendID
-	// charged is what the entry counts against the limits, in bytes.
-	charged  int
-	forgetAt core.Time
-	reply    Reply
-	// run is nil once there is an outcome.
+	// chargedBytes counts against the limits.
+	chargedBytes int
+	expiresAt    core.Time
+	reply        Reply
+	// run is nil once the key has an outcome.
 	run *run
 }
 
-// run is what an entry needs only while it has no outcome.
+// run is the state that an entry needs until it has an outcome.
 type run struct {
-	service  string
-	payload  []byte
-	deadline core.Time
-	sends    int
-	rank     int
-	// resendAt is when the request is routed anew; 0 while a send is open.
+	service   string
+	payload   []byte
+	deadline  core.Time
+	sendCount int
+	ownerRank int
+	// resendAt is when the request is rerouted; 0 while a send is in flight.
 	resendAt core.Time
 	waiters  []WaiterID
 }
 
-// openCharge is what a new entry is charged: its request, or room for its
-// outcome, whichever is more.
-func (l *Ledger) openCharge(e Submitted) int {
-	return entryBytes + len(e.Key.Text) + max(len(e.Payload), l.limits.MaxReplyBytes)
+// initialCharge is the number of bytes charged for a new entry: the size of its request
+// or the space reserved for its outcome, whichever is larger.
+func (l *Ledger) initialCharge(e Submitted) int {
+	return entryOverheadBytes + len(e.Key.Text) + max(len(e.Payload), l.limits.MaxReplyBytes)
 }
 
-// open adds an entry in the chart's initial state.
+// open adds an entry in the initial state of the state chart.
 func (l *Ledger) open(now core.Time, e Submitted, digest Digest) *entry {
 	opened := &entry{
-		key:      e.Key.Text,
-		customer: e.Customer,
-		digest:   digest,
-		forgetAt: e.Key.IssuedAt + l.limits.RetainAge + 1,
+		key:       e.Key.Text,
+		customer:  e.Customer,
+		digest:    digest,
+		expiresAt: e.Key.IssuedAt + l.limits.RetainAge + 1,
 		run: &run{
 			service:  e.Service,
 			payload:  e.Payload,
@@ -57,16 +57,16 @@
 		},
 	}
 	l.entries[opened.key] = opened
-	l.accounts[opened.customer] = l.account(opened.customer)
-	l.accounts[opened.customer].entries++
+	l.usages[opened.customer] = l.usage(opened.customer)
+	l.usages[opened.customer].entries++
 	l.running++
-	l.charge(opened, l.openCharge(e))
+	l.charge(opened, l.initialCharge(e))
 	return opened
 }
 
 func (l *Ledger) charge(e *entry, charged int) {
-	share := l.accounts[e.customer]
-	l.bytes += charged - e.charged
-	share.bytes += charged - e.charged
-	e.charged = charged
+	usage := l.usages[e.customer]
+	l.bytes += charged - e.chargedBytes
+	usage.bytes += charged - e.chargedBytes
+	e.chargedBytes = charged
 }
--- a/internal/core/once/key.go
+++ b/internal/core/once/key.go
@@ -1,9 +1,9 @@
-// Package once decides must-not-repeat requests: the keys that name a home, the
-// home's ledger, the owner's permit to send and the entry's asks for an outcome.
+// Package once decides how must-not-repeat requests are run: the keys that name a home,
+// the home's ledger, the owner's permit to send, and the requests for an outcome that
+// an entry sends.
 //
-// The right to run a key is never shared: only the incarnation of the home that
-// issued its prefix may run it, and that right ends with the process. Nothing
-// here rests on clocks of two nodes agreeing.
+// Only the incarnation of the home that issued a key's prefix may run the key, and that
+// right ends with its process. Nothing here depends on synchronized clocks.
 package once
 
 import (
@@ -19,81 +19,80 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// Limits of a key.
+// Limits and format of a key.
 const (
-	// MaxCallerID is the length of a caller's id, in bytes.
+	// MaxCallerID is the maximum length of a caller's id, in bytes.
 	MaxCallerID = 64
 	maxKeyBytes = 256
-	// macBytes is the part of the HMAC-SHA-256 that a prefix carries.
+	// macBytes is the length of the truncated HMAC-SHA-256 in a prefix.
 	macBytes = 16
-	// radix is the base in which incarnation and tick are written.
+	// radix is the base of the incarnation and the timestamp.
 	radix = 36
-	// tickUnit is the unit of a tick; tickBits hold 34 years of it.
-	tickUnit  = time.Millisecond
-	tickBits  = 40
-	separator = "."
-	// keyFields is the number of fields after the node's name.
-	keyFields = 4
+	// timestampUnit is the unit of a timestamp; timestampBits cover 34 years.
+	timestampUnit = time.Millisecond
+	timestampBits = 40
+	separator     = "."
+	// fieldsAfterNode is the number of fields after the node's name.
+	fieldsAfterNode = 4
 )
 
-// Key is a parsed key: PREFIX.callerid, where PREFIX is
-// node.incarnation.tick.authenticator.
+// Key is a parsed key: PREFIX.callerid, where PREFIX is node.incarnation.timestamp.mac.
 type Key struct {
-	// Text is the whole key and its identity in the ledger.
+	// Text is the whole key. It identifies the key in the ledger.
 	Text        string
 	Node        core.NodeID
 	Incarnation uint64
 	// IssuedAt is when the prefix was issued, on the home's clock.
 	IssuedAt core.Time
 	CallerID string
-	// signed is what the authenticator covers.
-	signed string
-	mac    string
+	// signedText is the part of the key that the MAC covers.
+	signedText string
+	mac        string
 }
 
-// ParseKey checks a key's form, not its authenticity. The error is a
-// *fault.Error with outcome not run: no home runs a key that does not parse.
+// ParseKey checks a key's format, not its authenticity. The error is a *fault.Error
+// with outcome not run, because no home runs a key that does not parse.
 func ParseKey(text string) (Key, error) {
 	if text == "" {
-		return Key{}, fault.NotRun(fault.CodeKeyMissing, "the request has no key", "append an id of your own to the prefix given here")
+		return Key{}, fault.NotRun(fault.CodeKeyMissing, "the request has no key", "append your own id to the prefix in this reply")
 	}
 	if len(text) > maxKeyBytes {
-		return Key{}, malformed("the key is over " + strconv.Itoa(maxKeyBytes) + " bytes")
+		return Key{}, invalidKey("the key is longer than " + strconv.Itoa(maxKeyBytes) + " bytes")
 	}
 	fields := strings.Split(text, separator)
-	if len(fields) <= keyFields {
-		return Key{}, malformed("the key is not PREFIX.id")
+	if len(fields) <= fieldsAfterNode {
+		return Key{}, invalidKey("the key does not have the form PREFIX.id")
 	}
-	// The node's name may itself hold separators, so the fields count from the end.
-	return parseFields(text, [keyFields]string(fields[len(fields)-keyFields:]))
+	// The node's name may contain separators, so fields are counted from the end.
+	return parseKeyFields(text, [fieldsAfterNode]string(fields[len(fields)-fieldsAfterNode:]))
 }
 
-// parseFields reads the fields that follow the node's name in a key's text.
-func parseFields(text string, fields [keyFields]string) (Key, error) {
-	incarnationText, tickText, mac, callerID := fields[0], fields[1], fields[2], fields[3]
+// parseKeyFields parses the fields that follow the node's name in a key's text.
+func parseKeyFields(text string, fields [fieldsAfterNode]string) (Key, error) {
+	incarnationText, timestampText, mac, callerID := fields[0], fields[1], fields[2], fields[3]
 	incarnation, errIncarnation := strconv.ParseUint(incarnationText, radix, 64)
-	tick, errTick := strconv.ParseUint(tickText, radix, tickBits)
-	if errIncarnation != nil || errTick != nil {
-		return Key{}, malformed("the key's prefix is not one that was issued")
+	timestamp, errTimestamp := strconv.ParseUint(timestampText, radix, timestampBits)
+	if errIncarnation != nil || errTimestamp != nil {
+		return Key{}, invalidKey("the key's prefix is malformed: its incarnation or timestamp is invalid")
 	}
 	if !validCallerID(callerID) {
-		return Key{}, malformed("the caller's id is not 1 to " + strconv.Itoa(MaxCallerID) + " of A-Z a-z 0-9 _ -")
+		return Key{}, invalidKey("the id after the prefix must be 1 to " + strconv.Itoa(MaxCallerID) + " characters of A-Z a-z 0-9 _ -")
 	}
-	signed := strings.TrimSuffix(text, separator+mac+separator+callerID)
-	node := strings.TrimSuffix(signed, separator+incarnationText+separator+tickText)
+	signedText := strings.TrimSuffix(text, separator+mac+separator+callerID)
+	node := strings.TrimSuffix(signedText, separator+incarnationText+separator+timestampText)
 	return Key{
 		Text:        text,
 		Node:        core.NodeID(node),
 		Incarnation: incarnation,
-		IssuedAt:    core.Time(tick) * tickUnit,
+		IssuedAt:    core.Time(timestamp) * timestampUnit,
 		CallerID:    callerID,
-		signed:      signed,
+		signedText:  signedText,
 		mac:         mac,
 	}, nil
 }
 
-func malformed(message string) error {
-	return fault.NotRun(fault.CodeKeyInvalid, message, "append an id of your own to a prefix of /v1/entries")
+func invalidKey(message string) error {
+	return fault.NotRun(fault.CodeKeyInvalid, message, "append your own id to a prefix from /v1/entries")
 }
 
 func validCallerID(id string) bool {
@@ -110,48 +109,49 @@
 	return true
 }
 
-// Issuer makes the prefixes of one incarnation of a home and knows them again.
+// Issuer issues and authenticates the prefixes of one incarnation of a home.
 type Issuer struct {
 	node        core.NodeID
 	incarnation uint64
 	secret      []byte
 }
 
-// NewIssuer makes an issuer. The secret must be random and stay in this process;
-// the incarnation must be random too: were it a clock's reading, a restart after
-// the clock was set back could take an earlier process's keys for forged ones
-// and call them "not run" falsely.
+// NewIssuer makes an issuer. The secret must be random and must not leave this process.
+// The incarnation must be random too: if it were taken from a clock, a process
+// restarted after the clock was set back could treat keys of an earlier process as
+// forged and wrongly answer "not run".
 func NewIssuer(node core.NodeID, incarnation uint64, secret []byte) *Issuer {
 	return &Issuer{node: node, incarnation: incarnation, secret: secret}
 }
 
-// Prefix issues a prefix at the home's time now.
+// Prefix issues a prefix at time now on the home's clock.
 func (i *Issuer) Prefix(now core.Time) string {
-	signed := string(i.node) + separator + strconv.FormatUint(i.incarnation, radix) + separator + strconv.FormatUint(uint64(now/tickUnit), radix)
-	return signed + separator + i.mac(signed)
+	signedText := string(i.node) + separator + strconv.FormatUint(i.incarnation, radix) + separator + strconv.FormatUint(uint64(now/timestampUnit), radix)
+	return signedText + separator + i.mac(signedText)
 }
 
-// Issued reports whether this incarnation is the one that the key names.
+// Issued reports whether the key names this node and incarnation.
 func (i *Issuer) Issued(key Key) bool {
 	return key.Node == i.node && key.Incarnation == i.incarnation
 }
 
-// Authentic reports whether this issuer made the key's prefix. The texts are
-// compared, not the decoded bytes: two texts that decode alike would be two keys.
+// Authentic reports whether this issuer made the key's prefix. It compares the MAC
+// texts, not the decoded bytes: two texts that decode to the same bytes would be two
+// keys.
 func (i *Issuer) Authentic(key Key) bool {
-	return i.Issued(key) && hmac.Equal([]byte(key.mac), []byte(i.mac(key.signed)))
+	return i.Issued(key) && hmac.Equal([]byte(key.mac), []byte(i.mac(key.signedText)))
 }
 
-func (i *Issuer) mac(signed string) string {
+func (i *Issuer) mac(signedText string) string {
 	mac := hmac.New(sha256.New, i.secret)
-	mac.Write([]byte(signed))
+	mac.Write([]byte(signedText))
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:macBytes])
 }
 
-// Digest identifies a request's content.
+// Digest is a hash of a request's content.
 type Digest [sha256.Size]byte
 
-// DigestOf covers customer, service and payload, each with its length.
+// DigestOf hashes customer, service and payload, each preceded by its length.
 func DigestOf(customer core.Customer, service string, payload []byte) Digest {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(customer), []byte(service), payload} {
--- a/internal/core/once/ledger.go
+++ b/internal/core/once/ledger.go
@@ -7,59 +7,61 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// Ledger is a home's memory of keys. It is not safe for concurrent use.
+// Ledger holds the keys of a home and their outcomes. It is not safe for concurrent
+// use.
 type Ledger struct {
 	limits    Limits
 	issuer    *Issuer
 	entries   map[string]*entry
-	accounts  map[core.Customer]*account
-	inherited inheritance
-	alarms    alarms
+	usages    map[core.Customer]*customerUsage
+	inherited inheritedOutcomes
+	timers    timerHeap
 	bytes     int
 	running   int
 	nextSend  SendID
 	stopping  bool
-	// retired is the newest tick of a key refused because the ledger was full.
-	retired core.Time
-	actions []Action
+	// refusedUpTo is the newest prefix time of a key that was refused because the
+	// ledger was full.
+	refusedUpTo core.Time
+	actions     []Action
 }
 
 // NewLedger makes an empty ledger for one incarnation of a home.
 func NewLedger(issuer *Issuer, limits Limits) *Ledger {
 	return &Ledger{
-		limits:    limits,
-		issuer:    issuer,
-		entries:   map[string]*entry{},
-		accounts:  map[core.Customer]*account{},
-		inherited: newInheritance(limits),
-		retired:   never,
+		limits:      limits,
+		issuer:      issuer,
+		entries:     map[string]*entry{},
+		usages:      map[core.Customer]*customerUsage{},
+		inherited:   newInheritedOutcomes(limits),
+		refusedUpTo: noneRefused,
 	}
 }
 
-// Entries is the number of keys kept.
+// Entries returns the number of keys in the ledger.
 func (l *Ledger) Entries() int { return len(l.entries) }
 
-// Bytes is what the kept keys are charged, with room for outcomes to come.
+// Bytes returns the bytes charged for the keys, including space reserved for outcomes.
 func (l *Ledger) Bytes() int { return l.bytes }
 
-// Running is the number of requests without an outcome.
+// Running returns the number of requests without an outcome.
 func (l *Ledger) Running() int { return l.running }
 
-// Step takes one event and returns what to do. The slice is valid until the
-// next Step.
+// Step handles one event and returns the resulting actions. The slice is valid until
+// the next Step.
 func (l *Ledger) Step(now core.Time, event Event) []Action {
 	l.actions = l.actions[:0]
 	switch e := event.(type) {
 	case Submitted:
-		l.asked(now, e)
+		l.submitted(now, e)
 	case Withdrawn:
 		l.withdrawn(e)
 	case SendEnded:
-		l.ended(now, e)
+		l.sendEnded(now, e)
 	case Stopping:
 		l.stopping = true
 	}
-	l.wake(now)
+	l.fireTimers(now)
 	return l.actions
 }
 
@@ -67,13 +69,13 @@
 	l.actions = append(l.actions, Answer{Waiter: waiter, Reply: reply})
 }
 
-func (l *Ledger) asked(now core.Time, e Submitted) {
+func (l *Ledger) submitted(now core.Time, e Submitted) {
 	if !l.issuer.Issued(e.Key) {
 		l.answer(e.Waiter, l.inherited.lookup(now, e))
 		return
 	}
 	if !l.issuer.Authentic(e.Key) {
-		l.answer(e.Waiter, refusal(fault.CodeKeyInvalid, "the key's prefix was not issued here", 0))
+		l.answer(e.Waiter, refusal(fault.CodeKeyInvalid, "the key's prefix is not authentic: this node did not issue it", 0))
 		return
 	}
 	digest := DigestOf(e.Customer, e.Service, e.Payload)
@@ -85,7 +87,7 @@
 		l.fire(now, known, event, &e, nil)
 		return
 	}
-	if refused := l.refuseNew(now, e); refused != nil {
+	if refused := l.newKeyRefusal(now, e); refused != nil {
 		l.answer(e.Waiter, *refused)
 		return
 	}
@@ -100,7 +102,7 @@
 	known.run.waiters = slices.DeleteFunc(known.run.waiters, func(waiter WaiterID) bool { return waiter == e.Waiter })
 }
 
-func (l *Ledger) ended(now core.Time, e SendEnded) {
+func (l *Ledger) sendEnded(now core.Time, e SendEnded) {
 	known := l.entries[e.Key]
 	if known == nil || known.send != e.Send {
 		return
--- a/internal/core/once/lifecycle.go
+++ b/internal/core/once/lifecycle.go
@@ -6,32 +6,32 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// step is what the chart's guards and actions work on.
-type step struct {
-	ledger *Ledger
-	entry  *entry
-	now    core.Time
-	asked  *Submitted
-	ended  *SendEnded
+// transition is the subject of the state chart's guards and actions.
+type transition struct {
+	ledger    *Ledger
+	entry     *entry
+	now       core.Time
+	submitted *Submitted
+	sendEnded *SendEnded
 }
 
-// lifeCycle is one key in the ledger of its home.
-var lifeCycle = chart.Must(chart.Source("once"), chart.Bindings[*step]{
-	Guards: map[string]func(*step) bool{
-		"in_time":     (*step).inTime,
-		"may_reroute": (*step).mayReroute,
+// lifeCycle is the state chart of one key in the ledger of its home.
+var lifeCycle = chart.Must(chart.Source("once"), chart.Bindings[*transition]{
+	Guards: map[string]func(*transition) bool{
+		"in_time":     (*transition).inTime,
+		"may_reroute": (*transition).mayReroute,
 	},
-	Actions: map[string]func(*step){
-		"send":         (*step).send,
-		"join":         (*step).join,
-		"refuse_reuse": (*step).refuseReuse,
-		"reroute":      (*step).reroute,
-		"finish":       (*step).finish,
-		"finish_late":  (*step).finishLate,
-		"give_up":      (*step).giveUp,
-		"repeat":       (*step).repeat,
-		"amend":        (*step).amend,
-		"forget":       (*step).forget,
+	Actions: map[string]func(*transition){
+		"send":         (*transition).send,
+		"join":         (*transition).join,
+		"refuse_reuse": (*transition).refuseReuse,
+		"reroute":      (*transition).reroute,
+		"finish":       (*transition).finish,
+		"finish_late":  (*transition).finishLate,
+		"give_up":      (*transition).giveUp,
+		"repeat":       (*transition).repeat,
+		"amend":        (*transition).amend,
+		"forget":       (*transition).forget,
 	},
 })
 
@@ -46,31 +46,32 @@
 	eventWindowOver   = lifeCycle.Event("window_over")
 )
 
-// fire moves an entry's life cycle on. asked and ended are set for the events
-// that come with one.
-func (l *Ledger) fire(now core.Time, e *entry, event chart.Event, asked *Submitted, ended *SendEnded) {
-	e.state = lifeCycle.Fire(e.state, event, &step{ledger: l, entry: e, now: now, asked: asked, ended: ended})
+// fire applies an event to an entry's state chart. submitted and sendEnded are set for
+// the events that carry them.
+func (l *Ledger) fire(now core.Time, e *entry, event chart.Event, submitted *Submitted, sendEnded *SendEnded) {
+	e.state = lifeCycle.Fire(e.state, event, &transition{ledger: l, entry: e, now: now, submitted: submitted, sendEnded: sendEnded})
 }
 
-// inTime is the guard against a home that was paused between taking a request
-// and sending it: a send whose time has passed by the home's own clock is not
-// made, and nothing was sent before it.
-func (s *step) inTime() bool { return s.entry.run.deadline > s.now }
+// inTime guards against a home whose process was paused between receiving a request and
+// sending it: past the deadline on the home's own clock the request is not sent. No
+// earlier send of it can have run.
+func (s *transition) inTime() bool { return s.entry.run.deadline > s.now }
 
-// mayReroute holds when the send is proven not run because it met no owner.
-func (s *step) mayReroute() bool {
+// mayReroute reports whether a send that is proven not run may be rerouted: it did not
+// reach an owner, and send limit and deadline allow another one.
+func (s *transition) mayReroute() bool {
 	run := s.entry.run
-	moved := s.ended.Reason == core.ReasonNotOwner || s.ended.Reason == core.ReasonPeerUnreached
-	return moved && run.sends < s.ledger.limits.MaxSends && s.now+s.ledger.limits.ReroutePause < run.deadline
+	noOwner := s.sendEnded.Reason == core.ReasonNotOwner || s.sendEnded.Reason == core.ReasonPeerUnreached
+	return noOwner && run.sendCount < s.ledger.limits.MaxSends && s.now+s.ledger.limits.ReroutePause < run.deadline
 }
 
-func (s *step) send() {
+func (s *transition) send() {
 	l, run := s.ledger, s.entry.run
 	l.nextSend++
-	run.sends++
+	run.sendCount++
 	run.resendAt = 0
 	s.entry.send = l.nextSend
-	l.alarms.add(alarm{at: run.deadline + l.limits.ReplyGrace, entry: s.entry})
+	l.timers.add(timer{at: run.deadline + l.limits.ReplyGrace, entry: s.entry})
 	l.actions = append(l.actions, Send{
 		Key:      s.entry.key,
 		Send:     s.entry.send,
@@ -78,74 +79,75 @@
 		Service:  run.service,
 		Payload:  run.payload,
 		Deadline: run.deadline,
-		Rank:     run.rank,
+		Rank:     run.ownerRank,
 	})
 }
 
-// reroute waits a little for views to settle. An owner that cannot be reached
-// is passed over for the next in order; one that refused is asked by the new view.
-func (s *step) reroute() {
+// reroute schedules the next send after a delay in which membership views can converge.
+// If an owner could not be reached, the next one in order is used; if it refused, the
+// first one in the new view.
+func (s *transition) reroute() {
 	run := s.entry.run
-	run.rank = 0
-	if s.ended.Reason == core.ReasonPeerUnreached {
-		run.rank = run.sends
+	run.ownerRank = 0
+	if s.sendEnded.Reason == core.ReasonPeerUnreached {
+		run.ownerRank = run.sendCount
 	}
 	s.entry.send = 0
 	run.resendAt = s.now + s.ledger.limits.ReroutePause
-	s.ledger.alarms.add(alarm{at: run.resendAt, entry: s.entry})
+	s.ledger.timers.add(timer{at: run.resendAt, entry: s.entry})
 }
 
-func (s *step) join() { s.entry.run.waiters = append(s.entry.run.waiters, s.asked.Waiter) }
+func (s *transition) join() { s.entry.run.waiters = append(s.entry.run.waiters, s.submitted.Waiter) }
 
-func (s *step) refuseReuse() {
-	s.ledger.answer(s.asked.Waiter, refusal(fault.CodeKeyReused, "the key belongs to a request of another customer, service or payload", 0))
+func (s *transition) refuseReuse() {
+	s.ledger.answer(s.submitted.Waiter, refusal(fault.CodeKeyReused, "the key was already used for a request with another customer, service or payload", 0))
 }
 
-func (s *step) repeat() {
-	kept := s.entry.reply
-	kept.Repeated = true
-	s.ledger.answer(s.asked.Waiter, kept)
+func (s *transition) repeat() {
+	stored := s.entry.reply
+	stored.Repeated = true
+	s.ledger.answer(s.submitted.Waiter, stored)
 }
 
-func (s *step) finishLate() {
-	s.settle(refusal(fault.CodePastDeadline, "the deadline passed before the request was sent", 0))
+func (s *transition) finishLate() {
+	s.complete(refusal(fault.CodePastDeadline, "the deadline passed before the request was sent", 0))
 }
 
-func (s *step) finish() { s.settle(endedReply(s.ended)) }
+func (s *transition) finish() { s.complete(sendEndReply(s.sendEnded)) }
 
-func (s *step) giveUp() {
+func (s *transition) giveUp() {
 	s.ledger.actions = append(s.ledger.actions, CancelSend{Send: s.entry.send})
-	s.settle(Reply{Outcome: core.Unknown, Code: fault.CodeLost, Message: "no reply came from the owner in time: the request may have run"})
+	s.complete(Reply{Outcome: core.Unknown, Code: fault.CodeLost, Message: "the owner did not reply in time: the request may have run"})
 }
 
-// amend replaces "unknown" by what a late reply proves. Neither outcome makes
-// the earlier "unknown" false.
-func (s *step) amend() { s.keep(endedReply(s.ended)) }
+// amend replaces "unknown" by the outcome of a late reply. "Unknown" was correct when
+// it was reported, and either outcome is consistent with it.
+func (s *transition) amend() { s.storeReply(sendEndReply(s.sendEnded)) }
 
-// settle gives the outcome to all who wait and keeps it.
-func (s *step) settle(outcome Reply) {
+// complete sends the outcome to all waiters and stores it.
+func (s *transition) complete(outcome Reply) {
 	for _, waiter := range s.entry.run.waiters {
 		s.ledger.answer(waiter, outcome)
 	}
 	s.entry.run = nil
 	s.ledger.running--
-	s.keep(outcome)
-	s.ledger.alarms.add(alarm{at: max(s.entry.forgetAt, s.now), entry: s.entry})
+	s.storeReply(outcome)
+	s.ledger.timers.add(timer{at: max(s.entry.expiresAt, s.now), entry: s.entry})
 }
 
-func (s *step) keep(outcome Reply) {
+func (s *transition) storeReply(outcome Reply) {
 	if len(outcome.Payload) > s.ledger.limits.MaxReplyBytes {
 		outcome.Payload = nil
-		outcome.Message = "the payload was too large to keep"
+		outcome.Message = "the reply payload was too large to store"
 	}
 	s.entry.reply = outcome
-	s.ledger.charge(s.entry, entryBytes+len(s.entry.key)+len(outcome.Message)+len(outcome.Payload))
+	s.ledger.charge(s.entry, entryOverheadBytes+len(s.entry.key)+len(outcome.Message)+len(outcome.Payload))
 }
 
-func (s *step) forget() {
+func (s *transition) forget() {
 	l, e := s.ledger, s.entry
 	l.charge(e, 0)
 	delete(l.entries, e.key)
-	l.accounts[e.customer].entries--
-	l.closeAccount(s.now, e.customer)
+	l.usages[e.customer].entries--
+	l.dropUnusedUsage(s.now, e.customer)
 }
--- a/internal/core/once/limits.go
+++ b/internal/core/once/limits.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Limits are the bounds of a ledger.
+// Limits are the limits of a ledger.
 type Limits struct {
-	// AcceptAge is the age of a prefix up to which a new key may run.
+	// AcceptAge is the maximum age of a prefix at which a new key may run.
 	AcceptAge time.Duration
-	// RetainAge is the age of a prefix up to which its keys are kept. It must
-	// exceed Accept + MaxRun + Grace: a key that is not in the ledger between
-	// the two ages has then provably never run.
+	// RetainAge is the age of a prefix up to which outcomes of its keys are retained.
+	// It must exceed AcceptAge + MaxRunTime + ReplyGrace: a key between AcceptAge and
+	// RetainAge that is not in the ledger is then proven never to have run.
 	RetainAge time.Duration
-	// MaxRunTime bounds one request's time, whatever its caller gives.
+	// MaxRunTime limits the time of one request, whatever deadline its caller sets.
 	MaxRunTime time.Duration
-	// ReplyGrace is how long after its deadline a run's outcome is awaited.
+	// ReplyGrace is how long after the deadline of a request its outcome is awaited.
 	ReplyGrace time.Duration
-	// MaxSends bounds the sends of a request, each but the last proven not run.
+	// MaxSends limits the sends of a request. Each send but the last must be proven not
+	// run.
 	MaxSends int
-	// ReroutePause is the wait before a request is routed anew.
+	// ReroutePause is the delay before a request is rerouted.
 	ReroutePause time.Duration
-	// MaxEntries and Bytes bound the ledger, the other two each customer's share.
+	// MaxEntries and MaxBytes limit the ledger; MaxCustomerEntries and MaxCustomerBytes
+	// limit each customer.
 	MaxEntries         int
 	MaxBytes           int
 	MaxCustomerEntries int
 	MaxCustomerBytes   int
-	// MaxReplyBytes is the largest payload kept with an outcome. A larger one goes
-	// to those who wait for it; a later retry learns the outcome without it.
+	// MaxReplyBytes is the largest payload stored with an outcome. A larger payload is
+	// sent to the current waiters; a later retry receives the outcome without it.
 	MaxReplyBytes int
 }
 
-// DefaultLimits are sized for the 64 MB that a node has.
+// DefaultLimits returns limits for a node with 64 MB of memory.
 func DefaultLimits() Limits {
 	return Limits{
 		AcceptAge:          2 * time.Minute,
--- a/internal/core/once/message.go
+++ b/internal/core/once/message.go
@@ -7,13 +7,13 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// WaiterID names one asker that waits for a reply.
+// WaiterID identifies a waiter for a reply.
 type WaiterID uint64
 
-// SendID names one send to an owner.
+// SendID identifies one send to an owner.
 type SendID uint64
 
-// Reply is what a caller is told about a key.
+// Reply is the reply to a caller for a key.
 type Reply struct {
 	Outcome core.Outcome
 	// Code is empty when the outcome is done.
@@ -21,50 +21,50 @@
 	Message    string
 	Payload    []byte
 	RetryAfter time.Duration
-	// Repeated marks an outcome that was kept from an earlier try.
+	// Repeated marks an outcome that was stored by an earlier attempt.
 	Repeated bool
-	// ThisAttempt is NotRun when this try alone is proven not to have run while the
-	// key's outcome is unknown.
+	// ThisAttempt is NotRun when this attempt is proven not to have run, while the
+	// outcome of the key is unknown.
 	ThisAttempt core.Outcome
 }
 
-// Event is something that happened to the ledger.
+// Event is an input of the ledger.
 type Event interface{ isEvent() }
 
-// Submitted is a request for a key.
+// Submitted reports that a request with a key was received.
 type Submitted struct {
 	Waiter   WaiterID
 	Key      Key
 	Customer core.Customer
 	Service  string
 	Payload  []byte
-	// Deadline is the receipt time plus the time left, on the home's clock.
+	// Deadline is the receipt time plus the remaining time, on the home's clock.
 	Deadline core.Time
 }
 
-// Withdrawn says that an asker has gone. What runs goes on.
+// Withdrawn reports that a waiter no longer waits. A running request continues.
 type Withdrawn struct {
 	Key    string
 	Waiter WaiterID
 }
 
-// SendEnded is the end of a send.
+// SendEnded reports the end of a send.
 type SendEnded struct {
 	Key     string
 	Send    SendID
 	Outcome core.Outcome
 	Reason  core.Reason
-	// Code and Message replace those of the reason, when set.
+	// Code and Message, if set, replace those derived from Reason.
 	Code       fault.Code
 	Message    string
 	Payload    []byte
 	RetryAfter time.Duration
 }
 
-// Woken is the alarm that a WakeAt asked for.
+// Woken reports that the time requested by WakeAt has come.
 type Woken struct{}
 
-// Stopping begins a planned stop: no new key runs any longer.
+// Stopping starts a planned stop. No new key is run after it.
 type Stopping struct{}
 
 func (Submitted) isEvent() {}
@@ -73,10 +73,10 @@
 func (Woken) isEvent()     {}
 func (Stopping) isEvent()  {}
 
-// Action is something the ledger wants done.
+// Action is an output of the ledger for the caller to execute.
 type Action interface{ isAction() }
 
-// Send sends the request to the owner of its shard, once.
+// Send requests one send of the request to the owner of its shard.
 type Send struct {
 	Key      string
 	Send     SendID
@@ -84,20 +84,21 @@
 	Service  string
 	Payload  []byte
 	Deadline core.Time
-	// Rank is the place in the order of owners.
+	// Rank is the position of the owner in the order of owners.
 	Rank int
 }
 
-// CancelSend withdraws a send whose reply is overdue; unsent, it must stay so.
+// CancelSend cancels a send whose reply is overdue. If it has not left yet, it must not
+// be sent.
 type CancelSend struct{ Send SendID }
 
-// Answer replies to an asker.
+// Answer sends a reply to a waiter.
 type Answer struct {
 	Waiter WaiterID
 	Reply  Reply
 }
 
-// WakeAt asks for a Woken event; a later WakeAt replaces it.
+// WakeAt requests a Woken event. A later WakeAt replaces it.
 type WakeAt struct{ At core.Time }
 
 func (Send) isAction()       {}
--- a/internal/core/once/search_test.go
+++ b/internal/core/once/search_test.go
@@ -10,42 +10,41 @@
 )
 
 const (
-	searchDepth  = 7
-	searchTries  = 2
-	randomMoves  = 60
-	randomTries  = 6
-	randomRuns   = "2000"
-	rareOneIn    = 10
-	leastVisited = 10_000
+	searchDepth      = 7
+	searchAttempts   = 2
+	randomMoves      = 60
+	randomAttempts   = 6
+	randomRuns       = "2000"
+	rareOneIn        = 10
+	minVisitedStates = 10_000
 )
 
-// search visits every order of moves up to a depth. States with the same future
-// are visited once, at the greatest depth left.
+// search visits every order of moves up to a depth. States with the same future are
+// visited again only with a greater remaining depth.
 type search struct {
 	t       *testing.T
 	visited map[string]int
 	orders  int
 }
 
-// TestEveryOrderOfMoves: an invoice is sent through two entries while messages
-// are lost or late, the owner pauses, the home restarts or stops. However these
-// follow each other, it must be recorded at most once and no caller may be told
-// what is not so.
+// TestEveryOrderOfMoves submits one key through two entries while messages are lost or
+// late, the owner pauses, and the home restarts or stops. In every order of these
+// events the request must run at most once and every reported outcome must be true.
 func TestEveryOrderOfMoves(t *testing.T) {
 	s := &search{t: t, visited: map[string]int{}}
 	s.from(nil, searchDepth)
 	for _, beginning := range []string{"done", "overloaded"} {
-		s.from(finished(beginning), searchDepth)
+		s.from(pathToOutcome(beginning), searchDepth)
 	}
-	t.Logf("%d states, %d orders of moves, depth %d, %d tries", len(s.visited), s.orders, searchDepth, searchTries)
-	require.Greater(t, len(s.visited), leastVisited)
+	t.Logf("%d states, %d orders of moves, depth %d, %d attempts", len(s.visited), s.orders, searchDepth, searchAttempts)
+	require.Greater(t, len(s.visited), minVisitedStates)
 }
 
 func (s *search) from(path []int, left int) {
-	w, names := replay(path)
+	sim, names := replay(path)
 	s.orders++
-	require.Empty(s.t, w.check(), "after: %s", strings.Join(names, "; "))
-	state := w.fingerprint()
+	require.Empty(s.t, sim.check(), "after: %s", strings.Join(names, "; "))
+	state := sim.fingerprint()
 	if seen, ok := s.visited[state]; ok && seen >= left {
 		return
 	}
@@ -53,18 +52,18 @@
 	if left == 0 {
 		return
 	}
-	for i := range w.moves() {
+	for i := range sim.moves() {
 		s.from(append(path[:len(path):len(path)], i), left-1)
 	}
 }
 
-// finished is the shortest way to an outcome that the home keeps, from which the
-// search reaches what may follow it.
-func finished(end string) []int {
+// pathToOutcome returns the shortest path to an outcome stored by the home. Searching
+// from there reaches the states after it.
+func pathToOutcome(end string) []int {
 	var path []int
-	for _, wanted := range []string{"caller tries", "deliver ask 1", "owner: " + end + " 1", "deliver reply 1"} {
-		w, _ := replay(path)
-		for i, next := range w.moves() {
+	for _, wanted := range []string{"caller submits", "deliver request 1", "owner: " + end + " 1", "deliver reply 1"} {
+		sim, _ := replay(path)
+		for i, next := range sim.moves() {
 			if next.name == wanted {
 				path = append(path, i)
 			}
@@ -73,33 +72,33 @@
 	return path
 }
 
-func replay(path []int) (*world, []string) {
-	w := newWorld(searchTries)
+func replay(path []int) (*simulation, []string) {
+	sim := newSimulation(searchAttempts)
 	var names []string
 	for _, i := range path {
-		next := w.moves()[i]
+		next := sim.moves()[i]
 		names = append(names, next.name)
 		next.do()
 	}
-	return w, names
+	return sim, names
 }
 
-// TestRandomMoves goes deeper than the search, with more tries.
+// TestRandomMoves makes more moves than the search, with more attempts.
 func TestRandomMoves(t *testing.T) {
 	made := 0
 	require.NoError(t, flag.Set("rapid.checks", randomRuns))
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWorld(randomTries)
+		sim := newSimulation(randomAttempts)
 		var names []string
 		for range randomMoves {
-			next, ok := drawMove(r, w.moves())
+			next, ok := drawMove(r, sim.moves())
 			if !ok {
 				return
 			}
 			made++
 			names = append(names, next.name)
 			next.do()
-			if broken := w.check(); broken != "" {
+			if broken := sim.check(); broken != "" {
 				r.Fatalf("%s, after: %s", broken, strings.Join(names, "; "))
 			}
 		}
@@ -107,7 +106,7 @@
 	t.Logf("%d moves", made)
 }
 
-// drawMove draws rare moves less often, so that much happens between them.
+// drawMove draws rare moves less often, so that more moves are made between them.
 func drawMove(r *rapid.T, moves []move) (move, bool) {
 	if len(moves) == 0 {
 		return move{}, false
--- a/internal/core/once/submission.go
+++ b/internal/core/once/submission.go
@@ -10,10 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Successor is the node that holds the outcomes of a home that has left: the
-// first by rendezvous hashing of the home's name over the other nodes. The home
-// and the entries find it alike from their views; where views differ an entry
-// asks a node that holds nothing and the outcome is unknown, never a second run.
+// Successor returns the node that holds the outcomes of a home that has left: the first
+// by rendezvous hashing of the home's name over the other nodes. The home and the
+// entries compute it independently from their views. Where views differ, an entry may
+// ask a node without the outcomes; the outcome is then unknown, and the request is
+// never run again.
 func Successor(view *route.View, home core.NodeID) (route.Node, bool) {
 	var best route.Node
 	var bestWeight uint64
@@ -33,9 +34,9 @@
 // Holder is a node that an entry asks for the outcome of a key.
 type Holder uint8
 
-// The holders of an outcome.
+// The kinds of holders.
 const (
-	// HolderNone means that nobody is left to be asked.
+	// HolderNone means that no holder is left to ask.
 	HolderNone Holder = iota
 	// HolderHome is the node that the key names.
 	HolderHome
@@ -43,88 +44,92 @@
 	HolderSuccessor
 )
 
-// HolderResult is how the ask of one holder ended.
+// HolderResult is the result of one request to a holder.
 type HolderResult struct {
-	// Reply is nil when the holder gave none.
+	// Reply is nil when the holder did not reply.
 	Reply *Reply
-	// Outcome is NotRun when this ask is proven not to have reached the holder or
-	// to have been refused there unread.
+	// Outcome is NotRun when the request is proven not to have reached the holder, or
+	// to have been refused there without being read.
 	Outcome core.Outcome
 }
 
 const (
-	// maxHomeAsks bounds the asks of one home, the first one included.
-	maxHomeAsks = 3
-	// askAgainAfter is the pause between two asks of one home.
-	askAgainAfter = 20 * time.Millisecond
+	// maxHomeAttempts limits the requests to one home, including the first.
+	maxHomeAttempts = 3
+	// homeRetryDelay is the delay between two requests to one home.
+	homeRetryDelay = 20 * time.Millisecond
 )
 
-// Submission is an entry's asks on behalf of one key: the home, again when the
-// link to it breaks (safe: the home joins equal keys), then the home's successor,
-// which only looks up and never runs.
+// Submission is the sequence of requests that an entry makes for one key: to the home,
+// again when the link to it breaks (safe, because the home joins requests with equal
+// keys), then to the home's successor, which only looks up outcomes and never runs a
+// request.
 //
-// What it concludes must hold for the key, not for this try alone: an earlier
-// try through another entry may have run. So an unreached home is "unknown", with
-// Reply.ThisTry telling a caller that made no other try that nothing ran.
+// The resulting outcome must hold for the key, not only for this attempt, because an
+// earlier attempt through another entry may have run. So an unreachable home gives
+// "unknown"; for a caller that made no other attempt, Reply.ThisAttempt states that
+// nothing ran.
 type Submission struct {
-	homeAsks int
-	// reached is set when an ask may have arrived at a home that may run it.
-	reached bool
-	asked   Holder
+	homeAttempts int
+	// mayHaveReachedHome is set when a request may have reached a home that may run it.
+	mayHaveReachedHome bool
+	lastHolder         Holder
 }
 
-// FirstHolder returns whom to ask first.
+// FirstHolder returns the first holder to ask.
 func (s *Submission) FirstHolder(homeListed bool) Holder {
 	if !homeListed {
-		return s.ask(HolderSuccessor)
+		return s.setHolder(HolderSuccessor)
 	}
-	s.homeAsks = 1
-	return s.ask(HolderHome)
+	s.homeAttempts = 1
+	return s.setHolder(HolderHome)
 }
 
-func (s *Submission) ask(holder Holder) Holder {
-	s.asked = holder
+func (s *Submission) setHolder(holder Holder) Holder {
+	s.lastHolder = holder
 	return holder
 }
 
-// NextHolder takes the end of an ask. It returns whom to ask next with a pause before
-// it, or HolderNone with the reply for the caller.
-func (s *Submission) NextHolder(answered HolderResult) (Holder, time.Duration, Reply) {
-	if s.asked == HolderSuccessor {
-		return HolderNone, 0, s.conclude(answered)
+// NextHolder handles the result of a request. It returns the next holder and the delay
+// before asking it, or HolderNone with the reply for the caller.
+func (s *Submission) NextHolder(result HolderResult) (Holder, time.Duration, Reply) {
+	if s.lastHolder == HolderSuccessor {
+		return HolderNone, 0, s.successorReply(result)
 	}
-	if told(answered) {
-		return HolderNone, 0, *answered.Reply
+	if hasOutcome(result) {
+		return HolderNone, 0, *result.Reply
 	}
-	if answered.Reply != nil {
-		return s.ask(HolderSuccessor), 0, Reply{}
+	if result.Reply != nil {
+		return s.setHolder(HolderSuccessor), 0, Reply{}
 	}
-	s.reached = s.reached || answered.Outcome != core.NotRun
-	if s.homeAsks < maxHomeAsks {
-		s.homeAsks++
-		return s.ask(HolderHome), askAgainAfter, Reply{}
+	s.mayHaveReachedHome = s.mayHaveReachedHome || result.Outcome != core.NotRun
+	if s.homeAttempts < maxHomeAttempts {
+		s.homeAttempts++
+		return s.setHolder(HolderHome), homeRetryDelay, Reply{}
 	}
-	return s.ask(HolderSuccessor), 0, Reply{}
+	return s.setHolder(HolderSuccessor), 0, Reply{}
 }
 
-// told reports whether the holder knows what became of the key.
-func told(answered HolderResult) bool {
-	return answered.Reply != nil && answered.Reply.Code != fault.CodeHomeGone
+// hasOutcome reports whether the holder replied with an outcome or refusal of the key,
+// not with "home gone".
+func hasOutcome(result HolderResult) bool {
+	return result.Reply != nil && result.Reply.Code != fault.CodeHomeGone
 }
 
-// conclude words what holds after the successor was asked.
-func (s *Submission) conclude(answered HolderResult) Reply {
-	if told(answered) {
-		return *answered.Reply
+// successorReply returns the reply to the caller after the successor was asked.
+func (s *Submission) successorReply(result HolderResult) Reply {
+	if hasOutcome(result) {
+		return *result.Reply
 	}
-	reply := Reply{Outcome: core.Unknown, Code: fault.CodeHomeGone, Message: "the home of this key cannot be asked: an earlier try with the key may have run"}
-	if !s.reached {
+	reply := Reply{Outcome: core.Unknown, Code: fault.CodeHomeGone, Message: "the home node of this key cannot be reached: an earlier attempt with the key may have run"}
+	if !s.mayHaveReachedHome {
 		reply.ThisAttempt = core.NotRun
 	}
 	return reply
 }
 
-// TimeoutReply is the reply when the caller's time ends during an ask.
+// TimeoutReply is the reply when the caller's deadline passes before a holder has
+// replied.
 func (s *Submission) TimeoutReply() Reply {
-	return Reply{Outcome: core.Unknown, Code: fault.CodeLost, Message: "no outcome in time: the request may be running; ask again with the same key", RetryAfter: askAgainAfter}
+	return Reply{Outcome: core.Unknown, Code: fault.CodeLost, Message: "no outcome before the deadline: the request may be running; retry with the same key", RetryAfter: homeRetryDelay}
 }
--- a/internal/core/once/unknown_test.go
+++ b/internal/core/once/unknown_test.go
@@ -9,119 +9,120 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// The model of an ordinary day. Rates are per node and second.
+// Model of an ordinary day. Rates are per node and second, durations in seconds.
 const (
-	day           = 86_400.0
-	dayNodes      = 780.0
-	failureRate   = 16 / dayNodes / day
-	restartRate   = 1600 / dayNodes / day
-	prefixAge     = 10.0 // uniform up to the time that callers keep /v1/entries, s
-	meanRun       = 0.04 // exponential, s
-	lostAnswers   = 0.01 // share of callers whose answer is lost, who retry
-	retryAfter    = 30.0 // uniform, s
-	sampled       = 5_000_000
-	rateScale     = 100 // events are drawn this much more often and counted back
-	per           = 100_000.0
-	unknownSeed   = 7
-	leastLowering = 100
+	daySeconds           = 86_400.0
+	nodeCount            = 780.0
+	failureRate          = 16 / nodeCount / daySeconds
+	restartRate          = 1600 / nodeCount / daySeconds
+	maxPrefixAgeSeconds  = 10.0 // uniform; at most the time that callers cache /v1/entries
+	meanRunSeconds       = 0.04 // mean of an exponential distribution
+	lostReplyShare       = 0.01 // share of callers whose reply is lost; they retry
+	maxRetryDelaySeconds = 30.0 // uniform
+	submitSamples        = 5_000_000
+	rateScale            = 100 // events are drawn this many times more often; the count is divided by it
+	rateSubmits          = 100_000.0
+	unknownSeed          = 7
+	minReduction         = 100
 )
 
-// place is when an event meets a submit.
-type place int
+// eventPhase is the phase of a submit in which an event happens.
+type eventPhase int
 
 const (
-	beforeHome place = iota
+	beforeHome eventPhase = iota
 	duringHome
 	duringOwner
 	beforeRetry
-	places
+	phaseCount
 )
 
-// policy is what of the design is in use.
-type policy struct {
-	name     string
-	finish   bool // a planned stop finishes what runs
-	handOver bool // a planned stop hands outcomes over
-	conclude bool // a caller concludes from "this try did not run"
+// design selects the measures that are in use.
+type design struct {
+	name           string
+	finish         bool // a planned stop waits for running requests
+	handOver       bool // a planned stop hands outcomes over to the successor
+	useThisAttempt bool // a caller relies on this_try "not_run"
 }
 
-var policies = []policy{
+var designs = []design{
 	{name: "none"},
 	{name: "finish in flight", finish: true},
 	{name: "and hand over", finish: true, handOver: true},
-	{name: "and conclude from this_try", finish: true, handOver: true, conclude: true},
+	{name: "and rely on this_try", finish: true, handOver: true, useThisAttempt: true},
 }
 
-// endsUnknown plays one event through the machines: is the caller left without
-// knowing, after a retry?
-func endsUnknown(p policy, at place, planned bool) bool {
-	w := newWorld(2)
+// endsUnknown simulates one event and reports whether the caller does not know the
+// outcome after a retry.
+func endsUnknown(d design, at eventPhase, planned bool) bool {
+	sim := newSimulation(2)
 	leave := func() {
-		if planned && p.handOver {
-			w.successor.Inherit(w.now, w.home.Records(w.now))
+		if planned && d.handOver {
+			sim.successor.Inherit(sim.now, sim.home.Records(sim.now))
 		}
-		w.restart()
+		sim.restartHome()
 	}
 	switch at {
 	case beforeHome:
 		leave()
 	case duringHome:
-		w.callerTries()
-		w.deliverAsk(0)
-		if planned && p.finish {
-			w.deliverSend(0, "done")
-			w.deliverReply(0, w.replies[0])
-			return w.last.Outcome == core.Unknown
+		sim.callerSubmits()
+		sim.deliverRequest(0)
+		if planned && d.finish {
+			sim.deliverSend(0, "done")
+			sim.deliverReply(0, sim.replies[0])
+			return sim.last.Outcome == core.Unknown
 		}
 		leave()
 	case duringOwner:
-		w.callerTries()
-		w.deliverAsk(0)
-		if planned && p.finish {
-			w.deliverSend(0, "done")
+		sim.callerSubmits()
+		sim.deliverRequest(0)
+		if planned && d.finish {
+			sim.deliverSend(0, "done")
 		} else {
-			w.deliverSend(0, "ran, reply lost")
+			sim.deliverSend(0, "ran, reply lost")
 		}
-		w.deliverReply(0, w.replies[0])
-		return w.last.Outcome == core.Unknown
+		sim.deliverReply(0, sim.replies[0])
+		return sim.last.Outcome == core.Unknown
 	case beforeRetry:
-		w.callerTries()
-		w.deliverAsk(0)
-		w.deliverSend(0, "done")
-		w.deliverReply(0, w.replies[0])
+		sim.callerSubmits()
+		sim.deliverRequest(0)
+		sim.deliverSend(0, "done")
+		sim.deliverReply(0, sim.replies[0])
 		leave()
 	}
-	w.callerTries()
-	for len(w.asks) > 0 {
-		w.deliverAsk(0)
+	sim.callerSubmits()
+	for len(sim.pendingRequests) > 0 {
+		sim.deliverRequest(0)
 	}
-	concluded := p.conclude && w.settled
-	return w.last.Outcome == core.Unknown && !concluded
+	concluded := d.useThisAttempt && sim.callerSettled
+	return sim.last.Outcome == core.Unknown && !concluded
 }
 
-// unknowns draws submits and returns how many per 100,000 end unknown.
-func unknowns(p policy) float64 {
-	var table [places][2]bool
-	for at := range places {
-		table[at] = [2]bool{endsUnknown(p, at, false), endsUnknown(p, at, true)}
+// unknownRate samples submits and returns how many per 100,000 end with "unknown".
+func unknownRate(d design) float64 {
+	var table [phaseCount][2]bool
+	for at := range phaseCount {
+		table[at] = [2]bool{endsUnknown(d, at, false), endsUnknown(d, at, true)}
 	}
 	random := rand.New(rand.NewPCG(unknownSeed, unknownSeed))
 	count := 0
-	for range sampled {
-		run := random.ExpFloat64() * meanRun
-		exposure := [places]float64{random.Float64() * prefixAge, run, run, 0}
-		if random.Float64() < lostAnswers {
-			exposure[beforeRetry] = random.Float64() * retryAfter
+	for range submitSamples {
+		run := random.ExpFloat64() * meanRunSeconds
+		exposure := [phaseCount]float64{random.Float64() * maxPrefixAgeSeconds, run, run, 0}
+		if random.Float64() < lostReplyShare {
+			exposure[beforeRetry] = random.Float64() * maxRetryDelaySeconds
 		}
-		if drawn(random, exposure, table) {
+		if drawnEventEndsUnknown(random, exposure, table) {
 			count++
 		}
 	}
-	return float64(count) / rateScale / sampled * per
+	return float64(count) / rateScale / submitSamples * rateSubmits
 }
 
-// drawn draws the events that meet one submit.
-func drawn(random *rand.Rand, exposure [places]float64, table [places][2]bool) bool {
+// drawnEventEndsUnknown draws the events during one submit and reports whether one of
+// them makes it end with "unknown".
+func drawnEventEndsUnknown(random *rand.Rand, exposure [phaseCount]float64, table [phaseCount][2]bool) bool {
 	for at, seconds := range exposure {
 		chance := seconds * rateScale * (failureRate + restartRate)
 		if random.Float64() >= chance {
@@ -138,12 +139,12 @@
 	return false
 }
 
-// TestUnknownOnAnOrdinaryDay measures how often "unknown" is the last word.
+// TestUnknownOnAnOrdinaryDay measures how often "unknown" is the final outcome.
 func TestUnknownOnAnOrdinaryDay(t *testing.T) {
 	var rates []float64
-	for _, p := range policies {
-		rates = append(rates, unknowns(p))
-		t.Logf("%-28s %.4f unknown per 100,000 submits", p.name, rates[len(rates)-1])
+	for _, d := range designs {
+		rates = append(rates, unknownRate(d))
+		t.Logf("%-28s %.4f unknown per 100,000 submits", d.name, rates[len(rates)-1])
 	}
-	require.Less(t, rates[len(rates)-1]*leastLowering, rates[0])
+	require.Less(t, rates[len(rates)-1]*minReduction, rates[0])
 }
--- a/internal/core/once/wording.go
+++ b/internal/core/once/wording.go
@@ -5,22 +5,22 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// endedReply words the end of a send for callers.
-func endedReply(e *SendEnded) Reply {
+// sendEndReply builds the reply to callers from the end of a send.
+func sendEndReply(e *SendEnded) Reply {
 	if e.Outcome == core.Done {
 		return Reply{Outcome: core.Done, Payload: e.Payload, Message: e.Message}
 	}
 	reply := Reply{Outcome: e.Outcome, Code: e.Code, Message: e.Message, RetryAfter: e.RetryAfter}
 	if reply.Code == "" {
-		reply.Code = codeOf(e.Outcome, e.Reason)
+		reply.Code = failureCode(e.Outcome, e.Reason)
 	}
 	if reply.Message == "" {
-		reply.Message = "the request ended with " + string(e.Reason)
+		reply.Message = "the send ended with reason " + string(e.Reason)
 	}
 	return reply
 }
 
-func codeOf(outcome core.Outcome, reason core.Reason) fault.Code {
+func failureCode(outcome core.Outcome, reason core.Reason) fault.Code {
 	switch {
 	case outcome != core.NotRun:
 		return fault.CodeLost
