--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -9,69 +9,66 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// A request is judged by the replicas that ended while it was in work there, wherever in the fleet that was seen.
+// A request is judged by the replicas that ended while it was in flight there, at whichever node that was observed.
 //
-// The failure: a request that ends each replica that begins to run it comes again and again, at any
-// node. Judged try by try it ends all replicas of a service each time. Judged too quickly, the requests
-// that were in work beside it, or at replicas that lost their VM, would be refused though they harm nobody.
+// This guards against a request that ends each replica that runs it and is repeated again and again, at any node. If
+// each attempt were judged alone, it would end all replicas of a service each time. If requests were rejected too soon,
+// harmless requests would be rejected too: those that were in flight beside it, or at replicas that lost their VM.
 //
-// The rule holds since it rests on what only such a request brings about. First, replicas end under it, and none ever
-// answers it: one answer clears a request. Second, they also end under trials: while a request is suspected it is
-// sent to one replica at a time, and nothing else of it is in work. Other requests come through their trials,
-// which cost them one answer time. Third, where several suspected requests were in work at a replica that
-// ended, its end counts against the one under which most replicas have ended, and against none where that is
-// not one alone.
+// The rule relies on effects that only such a request has. First, replicas end under it and none ever answers it: one
+// answer clears a request. Second, replicas also end under trials: while a request is suspect it is sent to one replica
+// at a time, with no other send of it in flight. Other requests pass their trials, at the cost of one answer time.
+// Third, where several suspect requests were in flight at a replica that ended, the end counts only against the request
+// under which the most replicas have ended, and against none if several have equally many.
 
 const (
-	// enoughEnded is the number of replicas that must have ended under a request that is set aside.
-	enoughEnded = 3
-	// enoughTrials of them must have ended under trials; one may be chance where replicas end in series.
-	enoughTrials = 2
-	// mostTrials is the number of trials without an answer that a request gets, whatever came of them: a trial may
-	// end a replica without any node seeing that.
-	mostTrials = 3
-	// enoughVariants is the number of exact names under which replicas must have ended for the requests that bear
-	// their broad one to be set aside.
-	enoughVariants = 2
-	// maxRecords bounds the names that are remembered, maxFacts the replicas of each and maxVariants the exact
-	// names of a broad one.
+	// minEnded is the number of replicas that must have ended under a request before it is set aside.
+	minEnded = 3
+	// minEndedTrials is how many of them must have ended under trials. One may be chance where replicas end in series.
+	minEndedTrials = 2
+	// maxTrials is the number of unanswered trials after which a request is set aside, whether or not their replicas
+	// are known to have ended: a trial may end a replica without any node observing it.
+	maxTrials = 3
+	// minVariants is the number of exact names under which replicas must have ended before requests with their broad
+	// name are set aside.
+	minVariants = 2
+	// maxRecords limits the stored names, maxFacts the replicas of each and maxVariants the exact names of a broad one.
 	maxRecords  = 512
 	maxFacts    = 64
 	maxVariants = 8
-	// lasts is how long a request that does not come again is remembered.
-	lasts = time.Hour
+	// retention is how long a request is stored after it was last received.
+	retention = time.Hour
 )
 
 // Ledger holds the records of a node. It is not safe for concurrent use.
 type Ledger struct {
 	records map[Key]*Record
-	// heads counts the records by their requests without the body.
-	heads map[Key]int
-	// at are the requests known of each incarnation.
-	at map[Incarnation][]Key
+	// headCounts counts the records by head, the key of the request without its body.
+	headCounts map[Key]int
+	// keysByIncarnation lists the requests that have a fact for each incarnation.
+	keysByIncarnation map[Incarnation][]Key
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{records: map[Key]*Record{}, heads: map[Key]int{}, at: map[Incarnation][]Key{}}
+	return &Ledger{records: map[Key]*Record{}, headCounts: map[Key]int{}, keysByIncarnation: map[Incarnation][]Key{}}
 }
 
-// Len is the number of requests that are remembered.
+// Len returns the number of stored records.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// HasHead reports whether any request is remembered that differs by its body alone, by its broad name or its exact
-// one.
+// HasHead reports whether a record exists for a request that has the same exact or broad name without the body.
 func (l *Ledger) HasHead(heads Names) bool {
-	return l.heads[heads.Exact] > 0 || l.heads[heads.Broad] > 0
+	return l.headCounts[heads.Exact] > 0 || l.headCounts[heads.Broad] > 0
 }
 
-// Observe is the standing of a request that has come, the more severe one of its names. It is remembered from now
-// on for as long again.
+// Observe returns the standing of an incoming request, the more severe one of its two names, and renews the retention
+// of their records.
 func (l *Ledger) Observe(names Names, now core.Time) Standing {
-	return max(l.see(names.Exact, now), l.see(names.Broad, now))
+	return max(l.observe(names.Exact, now), l.observe(names.Broad, now))
 }
 
-func (l *Ledger) see(key Key, now core.Time) Standing {
+func (l *Ledger) observe(key Key, now core.Time) Standing {
 	known := l.records[key]
 	if known == nil {
 		return Trusted
@@ -82,186 +79,187 @@
 
 // StandingAtShard returns the standing of an incoming request at one shard: the more severe one of its two names.
 func (l *Ledger) StandingAtShard(names Names, shard Shard) Standing {
-	return max(l.seeShard(names.Exact, shard), l.seeShard(names.Broad, shard))
+	return max(l.standingAtShard(names.Exact, shard), l.standingAtShard(names.Broad, shard))
 }
 
-func (l *Ledger) seeShard(key Key, shard Shard) Standing {
+func (l *Ledger) standingAtShard(key Key, shard Shard) Standing {
 	if known := l.records[key]; known != nil {
 		return known.ShardStanding(shard)
 	}
 	return Trusted
 }
 
-// Get finds the record of a request; nil is none.
+// Get returns the record of a request, or nil.
 func (l *Ledger) Get(key Key) *Record { return l.records[key] }
 
-// Merge takes facts up, this node's own or another one's, and returns what changed by them: the record itself, and others
-// whose standing they change.
-func (l *Ledger) Merge(told Record, now core.Time) []Change {
-	known := l.records[told.Key]
-	if known == nil && len(told.Facts) == 0 {
+// Merge adds facts of this node or another one. It returns the resulting changes: of the record itself, and of other
+// records whose standing they change.
+func (l *Ledger) Merge(update Record, now core.Time) []Change {
+	known := l.records[update.Key]
+	if known == nil && len(update.Facts) == 0 {
 		return nil
 	}
 	if known == nil {
-		known = l.begin(told, now)
+		known = l.newRecord(update, now)
 	}
-	known.SeenAt = max(known.SeenAt, told.SeenAt)
-	fresh := known.addVariants(told.Variants)
+	known.SeenAt = max(known.SeenAt, update.SeenAt)
+	fresh := known.addVariants(update.Variants)
 	affected := map[Shard]bool{}
-	if len(known.Facts)+len(told.Facts) > maxFacts {
-		// Facts of other shards may have to make room.
+	if len(known.Facts)+len(update.Facts) > maxFacts {
+		// Facts of other shards may be evicted.
 		affected = known.allShards()
 	}
-	for life, fact := range told.Facts {
-		if l.add(known, life, told.Shards[life], fact) {
+	for incarnation, fact := range update.Facts {
+		if l.addFact(known, incarnation, update.Shards[incarnation], fact) {
 			fresh = true
-			affected[known.Shards[life]] = true
+			affected[known.Shards[incarnation]] = true
 		}
 	}
 	if !fresh {
 		return nil
 	}
-	if len(affected) == 0 || len(told.Variants) > 0 {
+	if len(affected) == 0 || len(update.Variants) > 0 {
 		affected = known.allShards()
 	}
-	return l.judge(known, affected)
+	return l.updateStandings(known, affected)
 }
 
-// MarkAnswered records that a replica of the shard has answered a request. It clears both names of the request as a whole
-// and at that shard, but not at other shards.
+// MarkAnswered records that a replica of the shard has answered a request. It clears both names of the request as a
+// whole and at that shard, but not at other shards.
 func (l *Ledger) MarkAnswered(names Names, shard Shard) []Change {
-	return append(l.answered(names.Exact, shard), l.answered(names.Broad, shard)...)
+	return append(l.markAnswered(names.Exact, shard), l.markAnswered(names.Broad, shard)...)
 }
 
-func (l *Ledger) answered(key Key, shard Shard) []Change {
+func (l *Ledger) markAnswered(key Key, shard Shard) []Change {
 	known := l.records[key]
 	if known == nil {
 		return nil
 	}
 	fresh := false
-	for life, fact := range known.Facts {
+	for incarnation, fact := range known.Facts {
 		cleared := fact | Cleared
-		if held := known.Shards[life]; held == shard || held == 0 {
+		if held := known.Shards[incarnation]; held == shard || held == 0 {
 			cleared |= ShardCleared
 		}
 		fresh = fresh || cleared != fact
-		known.Facts[life] = cleared
+		known.Facts[incarnation] = cleared
 	}
 	if !fresh {
 		return nil
 	}
-	return l.judge(known, map[Shard]bool{shard: true})
+	return l.updateStandings(known, map[Shard]bool{shard: true})
 }
 
-func (l *Ledger) begin(told Record, now core.Time) *Record {
+func (l *Ledger) newRecord(update Record, now core.Time) *Record {
 	if len(l.records) >= maxRecords {
 		l.evict()
 	}
-	begun := &Record{Key: told.Key, Head: told.Head, Description: told.Description, Level: told.Level, Facts: map[Incarnation]Fact{}, Shards: map[Incarnation]Shard{}, Variants: map[uint64]struct{}{}, FirstAt: now, SeenAt: told.SeenAt, shards: map[Shard]Standing{}}
-	l.records[told.Key] = begun
-	l.heads[told.Head]++
-	return begun
+	record := &Record{Key: update.Key, Head: update.Head, Description: update.Description, Level: update.Level, Facts: map[Incarnation]Fact{}, Shards: map[Incarnation]Shard{}, Variants: map[uint64]struct{}{}, FirstAt: now, SeenAt: update.SeenAt, shards: map[Shard]Standing{}}
+	l.records[update.Key] = record
+	l.headCounts[update.Head]++
+	return record
 }
 
-// add takes one fact up and reports whether it was not known. Of too many replicas those of trials stay, and of
-// the others those with the lowest names, so that nodes which hear of them in another order keep the same.
-func (l *Ledger) add(r *Record, life Incarnation, shard Shard, fact Fact) bool {
-	known, held := r.Facts[life]
-	shardLearned := held && r.Shards[life] == 0 && shard != 0
+// addFact adds one fact and reports whether it is new. If there are too many, it keeps those with a trial and, of the
+// others, those with the lowest incarnation values, so that all nodes keep the same ones in whatever order they receive
+// them.
+func (l *Ledger) addFact(r *Record, incarnation Incarnation, shard Shard, fact Fact) bool {
+	known, held := r.Facts[incarnation]
+	shardLearned := held && r.Shards[incarnation] == 0 && shard != 0
 	if held && known|fact == known && !shardLearned {
 		return false
 	}
-	if !held && len(r.Facts) >= maxFacts && !l.makeRoom(r, life, fact) {
+	if !held && len(r.Facts) >= maxFacts && !l.makeRoom(r, incarnation, fact) {
 		return false
 	}
-	r.Facts[life] = known | fact
+	r.Facts[incarnation] = known | fact
 	if shard != 0 {
-		r.Shards[life] = shard
+		r.Shards[incarnation] = shard
 	}
 	if !held {
-		l.at[life] = append(l.at[life], r.Key)
+		l.keysByIncarnation[incarnation] = append(l.keysByIncarnation[incarnation], r.Key)
 	}
 	return true
 }
 
-func (l *Ledger) makeRoom(r *Record, life Incarnation, fact Fact) bool {
+func (l *Ledger) makeRoom(r *Record, incarnation Incarnation, fact Fact) bool {
 	worst, found := Incarnation(0), false
 	for other, held := range r.Facts {
 		if held&(Trial|ShardTrial) == 0 && (!found || other > worst) {
 			worst, found = other, true
 		}
 	}
-	if !found || fact&(Trial|ShardTrial) == 0 && life > worst {
+	if !found || fact&(Trial|ShardTrial) == 0 && incarnation > worst {
 		return false
 	}
 	delete(r.Facts, worst)
 	delete(r.Shards, worst)
-	l.leave(worst, r.Key)
+	l.removeKey(worst, r.Key)
 	return true
 }
 
-func (l *Ledger) leave(life Incarnation, key Key) {
-	keys := slices.DeleteFunc(l.at[life], func(one Key) bool { return one == key })
+func (l *Ledger) removeKey(incarnation Incarnation, key Key) {
+	keys := slices.DeleteFunc(l.keysByIncarnation[incarnation], func(other Key) bool { return other == key })
 	if len(keys) == 0 {
-		delete(l.at, life)
+		delete(l.keysByIncarnation, incarnation)
 		return
 	}
-	l.at[life] = keys
+	l.keysByIncarnation[incarnation] = keys
 }
 
-// evict forgets a request: of those that are treated mildest the one that was seen longest ago.
+// evict removes the record with the lowest severity; of several, the one that was seen longest ago.
 func (l *Ledger) evict() {
-	var first *Record
-	for _, one := range l.records {
-		if first == nil || cmp.Or(cmp.Compare(one.Severity(), first.Severity()), cmp.Compare(one.SeenAt, first.SeenAt), slices.Compare(one.Key[:], first.Key[:])) < 0 {
-			first = one
+	var victim *Record
+	for _, record := range l.records {
+		if victim == nil || cmp.Or(cmp.Compare(record.Severity(), victim.Severity()), cmp.Compare(record.SeenAt, victim.SeenAt), slices.Compare(record.Key[:], victim.Key[:])) < 0 {
+			victim = record
 		}
 	}
-	l.forget(first)
+	l.remove(victim)
 }
 
-func (l *Ledger) forget(r *Record) {
+func (l *Ledger) remove(r *Record) {
 	delete(l.records, r.Key)
-	if l.heads[r.Head]--; l.heads[r.Head] <= 0 {
-		delete(l.heads, r.Head)
+	if l.headCounts[r.Head]--; l.headCounts[r.Head] <= 0 {
+		delete(l.headCounts, r.Head)
 	}
-	for life := range r.Facts {
-		l.leave(life, r.Key)
+	for incarnation := range r.Facts {
+		l.removeKey(incarnation, r.Key)
 	}
 }
 
-// Expire forgets the requests that have not come for long.
+// Expire removes the records whose retention has ended.
 func (l *Ledger) Expire(now core.Time) {
-	for _, one := range l.records {
-		if now-one.SeenAt >= lasts {
-			l.forget(one)
+	for _, record := range l.records {
+		if now-record.SeenAt >= retention {
+			l.remove(record)
 		}
 	}
 }
 
-// judge updates the standings of a record whose facts changed at the affected shards, and of records that share
-// replicas with it.
-func (l *Ledger) judge(changed *Record, affected map[Shard]bool) []Change {
-	changes := []Change{{Record: changed, Previous: l.judgeOne(changed, affected), New: true}}
+// updateStandings updates the standings of a record whose facts changed at the affected shards, and of records that
+// share replicas with it.
+func (l *Ledger) updateStandings(changed *Record, affected map[Shard]bool) []Change {
+	changes := []Change{{Record: changed, Previous: l.updateRecord(changed, affected), New: true}}
 	seen := map[Key]bool{changed.Key: true}
-	for life := range changed.Facts {
-		for _, key := range l.at[life] {
+	for incarnation := range changed.Facts {
+		for _, key := range l.keysByIncarnation[incarnation] {
 			other := l.records[key]
 			if seen[key] {
 				continue
 			}
 			seen[key] = true
-			if former := l.judgeOne(other, affected); former != other.Severity() {
-				changes = append(changes, Change{Record: other, Previous: former})
+			if previous := l.updateRecord(other, affected); previous != other.Severity() {
+				changes = append(changes, Change{Record: other, Previous: previous})
 			}
 		}
 	}
 	return changes
 }
 
-// judgeOne updates the standings of a record as a whole and at the given shards, and returns its former severity.
-func (l *Ledger) judgeOne(r *Record, shards map[Shard]bool) (former Standing) {
-	former = r.Severity()
+// updateRecord updates the standings of a record as a whole and at the given shards, and returns its previous severity.
+func (l *Ledger) updateRecord(r *Record, shards map[Shard]bool) (previous Standing) {
+	previous = r.Severity()
 	r.standing = l.standing(r, requestScope())
 	for shard := range shards {
 		if shard == 0 {
@@ -273,41 +271,42 @@
 			delete(r.shards, shard)
 		}
 	}
-	return former
+	return previous
 }
 
 func (l *Ledger) standing(r *Record, within scope) Standing {
-	weight := r.ended(within)
-	if weight == 0 || r.broad() && weight < enoughEnded {
+	weight := r.endedIn(within)
+	if weight == 0 || r.isBroad() && weight < minEnded {
 		return Trusted
 	}
-	if r.broad() && len(r.Variants) < enoughVariants {
+	if r.isBroad() && len(r.Variants) < minVariants {
 		return Suspect
 	}
 	trials, ended := 0, 0
-	for life, fact := range r.Facts {
-		if !within.includes(r, life) || !fact.counts(within.trial, within.cleared) || l.contested(r, within, weight, life) {
+	for incarnation, fact := range r.Facts {
+		if !within.covers(r, incarnation) || !fact.hasUncleared(within.trial, within.cleared) || l.isContested(r, within, weight, incarnation) {
 			continue
 		}
 		trials++
-		if fact.counts(Ended, within.cleared) {
+		if fact.hasUncleared(Ended, within.cleared) {
 			ended++
 		}
 	}
-	if weight >= enoughEnded && (ended >= enoughTrials || trials >= mostTrials && within.countsUnconfirmedTrials(r)) {
+	if weight >= minEnded && (ended >= minEndedTrials || trials >= maxTrials && within.countsUnconfirmedTrials(r)) {
 		return SetAside
 	}
 	return Suspect
 }
 
-// contested reports whether another request was in work at a replica that ended, under which as many have ended.
-func (l *Ledger) contested(r *Record, within scope, weight int, life Incarnation) bool {
-	for _, key := range l.at[life] {
+// isContested reports whether another request was in flight at the incarnation when it ended, and at least as many
+// replicas have ended under that request.
+func (l *Ledger) isContested(r *Record, within scope, weight int, incarnation Incarnation) bool {
+	for _, key := range l.keysByIncarnation[incarnation] {
 		other := l.records[key]
-		if key == r.Key || other.broad() != r.broad() || other.Level != r.Level {
+		if key == r.Key || other.isBroad() != r.isBroad() || other.Level != r.Level {
 			continue
 		}
-		if other.Facts[life].counts(Ended, within.cleared) && other.ended(within) >= weight {
+		if other.Facts[incarnation].hasUncleared(Ended, within.cleared) && other.endedIn(within) >= weight {
 			return true
 		}
 	}
@@ -317,19 +316,19 @@
 // Count returns the number of names whose severity is the given standing.
 func (l *Ledger) Count(standing Standing) int {
 	total := 0
-	for _, one := range l.records {
-		if one.Severity() == standing {
+	for _, record := range l.records {
+		if record.Severity() == standing {
 			total++
 		}
 	}
 	return total
 }
 
-// Records lists what is remembered, the most severe and the last seen first.
+// Records returns all records, the most severe first and then the last seen first.
 func (l *Ledger) Records() []*Record {
 	list := make([]*Record, 0, len(l.records))
-	for _, one := range l.records {
-		list = append(list, one)
+	for _, record := range l.records {
+		list = append(list, record)
 	}
 	slices.SortFunc(list, func(a, b *Record) int {
 		return cmp.Or(cmp.Compare(b.Severity(), a.Severity()), cmp.Compare(b.SeenAt, a.SeenAt), slices.Compare(a.Key[:], b.Key[:]))
@@ -337,17 +336,17 @@
 	return list
 }
 
-// Digest sums up the facts on the requests that are set aside; 0 is none. Nodes that know the same of them have
-// the same one, in whatever order they heard of it.
+// Digest is a hash of the facts of all requests that are set aside; 0 if there are none. Nodes with the same facts have
+// the same digest, in whatever order they received them.
 func (l *Ledger) Digest() uint64 {
 	var digest uint64
-	for _, one := range l.records {
-		if one.Severity() != SetAside {
+	for _, record := range l.records {
+		if record.Severity() != SetAside {
 			continue
 		}
-		seed := core.Mix64(binary.BigEndian.Uint64(one.Key[:]))
-		for life, fact := range one.Facts {
-			digest ^= core.Mix64(seed ^ core.Mix64(uint64(life)) ^ uint64(fact))
+		seed := core.Mix64(binary.BigEndian.Uint64(record.Key[:]))
+		for incarnation, fact := range record.Facts {
+			digest ^= core.Mix64(seed ^ core.Mix64(uint64(incarnation)) ^ uint64(fact))
 		}
 	}
 	return digest
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -13,230 +13,232 @@
 
 func exactKey(name string) Key { return Identity{Path: name}.Names().Exact }
 
-func fact(name string, life Incarnation, marks Fact) Record {
-	return Record{Key: exactKey(name), Head: exactKey(name), Description: name, Facts: map[Incarnation]Fact{life: marks}}
+func newFact(name string, incarnation Incarnation, marks Fact) Record {
+	return Record{Key: exactKey(name), Head: exactKey(name), Description: name, Facts: map[Incarnation]Fact{incarnation: marks}}
 }
 
-func (l *Ledger) tell(name string, life Incarnation, marks Fact) { l.Merge(fact(name, life, marks), 0) }
+func (l *Ledger) merge(name string, id Incarnation, marks Fact) { l.Merge(newFact(name, id, marks), 0) }
 
-func (l *Ledger) of(name string) Standing { return l.see(exactKey(name), 0) }
+func (l *Ledger) standingOf(name string) Standing { return l.observe(exactKey(name), 0) }
 
-// A request ends the replicas of its first sends, then of one trial, then of a second one.
+// Guards against setting a request aside without confirmation: it takes the ends of two trials in addition to those of
+// its first sends.
 func TestARequestThatEndsReplicasUnderTrialsIsSetAside(t *testing.T) {
 	l := NewLedger()
-	for life := range Incarnation(20) {
-		l.tell("deadly", life, Ended)
+	for incarnation := range Incarnation(20) {
+		l.merge("deadly", incarnation, Ended)
 	}
-	require.Equal(t, Suspect, l.of("deadly"))
-	l.tell("deadly", 20, Trial|Ended)
-	require.Equal(t, Suspect, l.of("deadly"), "one trial may be chance")
-	l.tell("deadly", 21, Trial|Ended)
-	require.Equal(t, SetAside, l.of("deadly"))
+	require.Equal(t, Suspect, l.standingOf("deadly"))
+	l.merge("deadly", 20, Trial|Ended)
+	require.Equal(t, Suspect, l.standingOf("deadly"), "one ended trial may be chance")
+	l.merge("deadly", 21, Trial|Ended)
+	require.Equal(t, SetAside, l.standingOf("deadly"))
 }
 
-// A data centre loses hundreds of replicas at once, with the same popular question in work at each. However many they
-// are, it is not refused for that.
+// Guards against rejecting a frequent query because a data centre lost hundreds of replicas while it was in flight at
+// each of them: without trials it stays suspect, however many replicas ended.
 func TestManyEndsAtOnceRefuseNothing(t *testing.T) {
 	l := NewLedger()
-	for life := range Incarnation(300) {
-		l.tell("popular", life, Ended)
+	for incarnation := range Incarnation(300) {
+		l.merge("popular", incarnation, Ended)
 	}
-	require.Equal(t, Suspect, l.of("popular"))
+	require.Equal(t, Suspect, l.standingOf("popular"))
 	l.MarkAnswered(Identity{Path: "popular"}.Names(), 0)
-	require.Equal(t, Trusted, l.of("popular"))
+	require.Equal(t, Trusted, l.standingOf("popular"))
 }
 
-// An innocent request is on trial at the replicas that the deadly one ends next. The ends count against the one
-// that has more of them, and once it is known the other is not refused.
+// Guards against rejecting a harmless request whose trials run at replicas that the harmful request ends: such ends
+// count against the request with more ends.
 func TestEndsCountAgainstTheRequestThatHasMostOfThem(t *testing.T) {
 	l := NewLedger()
-	for life := range Incarnation(20) {
-		l.tell("deadly", life, Ended)
+	for incarnation := range Incarnation(20) {
+		l.merge("deadly", incarnation, Ended)
 	}
-	for life := range Incarnation(5) {
-		l.tell("beside", life, Ended)
+	for incarnation := range Incarnation(5) {
+		l.merge("beside", incarnation, Ended)
 	}
-	for life := Incarnation(30); life < 33; life++ {
-		l.tell("beside", life, Trial|Ended)
-		l.tell("deadly", life, Trial|Ended)
+	for incarnation := Incarnation(30); incarnation < 33; incarnation++ {
+		l.merge("beside", incarnation, Trial|Ended)
+		l.merge("deadly", incarnation, Trial|Ended)
 	}
-	require.Equal(t, Suspect, l.of("beside"))
-	require.Equal(t, SetAside, l.of("deadly"))
+	require.Equal(t, Suspect, l.standingOf("beside"))
+	require.Equal(t, SetAside, l.standingOf("deadly"))
 }
 
-// The innocent request's trials are heard of before the deadly one's ends at the same replicas: it is not refused any
-// more once these are known.
-func TestARefusalEndsWithTheFactsThatExplainIt(t *testing.T) {
+// Guards against a lasting rejection of a harmless request whose trials become known before the ends of the harmful
+// request at the same replicas: the rejection must end once those are known.
+func TestARefusalEndsOnceAnotherRequestExplainsTheTrials(t *testing.T) {
 	l := NewLedger()
-	l.tell("beside", 1, Ended)
-	l.tell("beside", 2, Trial|Ended)
-	l.tell("beside", 3, Trial|Ended)
-	require.Equal(t, SetAside, l.of("beside"))
-	for life := Incarnation(2); life < 9; life++ {
-		l.tell("deadly", life, Ended)
+	l.merge("beside", 1, Ended)
+	l.merge("beside", 2, Trial|Ended)
+	l.merge("beside", 3, Trial|Ended)
+	require.Equal(t, SetAside, l.standingOf("beside"))
+	for incarnation := Incarnation(2); incarnation < 9; incarnation++ {
+		l.merge("deadly", incarnation, Ended)
 	}
-	require.Equal(t, Suspect, l.of("beside"))
+	require.Equal(t, Suspect, l.standingOf("beside"))
 }
 
-// A trial may end a replica without any node seeing that. The trials of a request that ended three are bounded all
-// the same.
+// Guards against unlimited trials where no node observes that a trial ended a replica: the trials of a request under
+// which three replicas ended are limited too.
 func TestTrialsWithoutAnAnswerAreBounded(t *testing.T) {
 	l := NewLedger()
-	for life := range Incarnation(3) {
-		l.tell("deadly", life, Ended)
+	for incarnation := range Incarnation(3) {
+		l.merge("deadly", incarnation, Ended)
 	}
-	l.tell("deadly", 10, Trial)
-	l.tell("deadly", 11, Trial)
-	require.Equal(t, Suspect, l.of("deadly"))
-	l.tell("deadly", 12, Trial)
-	require.Equal(t, SetAside, l.of("deadly"))
+	l.merge("deadly", 10, Trial)
+	l.merge("deadly", 11, Trial)
+	require.Equal(t, Suspect, l.standingOf("deadly"))
+	l.merge("deadly", 12, Trial)
+	require.Equal(t, SetAside, l.standingOf("deadly"))
 }
 
-// Two nodes hear the same facts in different orders, and twice. They treat the requests alike and have the same digest.
+// Two nodes receive the same facts in different orders, one of them twice. Standings and digests must be equal.
 func TestTheOrderOfFactsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var facts []Record
 		for range rapid.IntRange(1, 60).Draw(t, "facts") {
 			name := fmt.Sprint("request-", rapid.IntRange(0, 3).Draw(t, "request"))
-			one := fact(name, Incarnation(rapid.IntRange(0, 12).Draw(t, "life")), Fact(rapid.IntRange(1, 31).Draw(t, "marks")))
-			for life := range one.Facts {
-				one.Shards = map[Incarnation]Shard{life: Shard(life % 3)}
+			record := newFact(name, Incarnation(rapid.IntRange(0, 12).Draw(t, "life")), Fact(rapid.IntRange(1, 31).Draw(t, "marks")))
+			for incarnation := range record.Facts {
+				record.Shards = map[Incarnation]Shard{incarnation: Shard(incarnation % 3)}
 			}
 			if rapid.Bool().Draw(t, "broad") {
-				one.Key, one.Variants = exactKey(name+" broad"), map[uint64]struct{}{rapid.Uint64Range(0, 3).Draw(t, "variant"): {}}
+				record.Key, record.Variants = exactKey(name+" broad"), map[uint64]struct{}{rapid.Uint64Range(0, 3).Draw(t, "variant"): {}}
 			}
-			facts = append(facts, one)
+			facts = append(facts, record)
 		}
-		one, other := NewLedger(), NewLedger()
-		for _, told := range facts {
-			one.Merge(told, 0)
+		first, second := NewLedger(), NewLedger()
+		for _, update := range facts {
+			first.Merge(update, 0)
 		}
 		order := rapid.Permutation(facts).Draw(t, "order")
-		for _, told := range append(order, facts...) {
-			other.Merge(told, 0)
+		for _, update := range append(order, facts...) {
+			second.Merge(update, 0)
 		}
-		for _, told := range facts {
-			require.Equal(t, one.see(told.Key, 0), other.see(told.Key, 0))
+		for _, update := range facts {
+			require.Equal(t, first.observe(update.Key, 0), second.observe(update.Key, 0))
 			for shard := range Shard(3) {
-				require.Equal(t, one.seeShard(told.Key, shard), other.seeShard(told.Key, shard))
+				require.Equal(t, first.standingAtShard(update.Key, shard), second.standingAtShard(update.Key, shard))
 			}
 		}
-		require.Equal(t, one.Digest(), other.Digest())
+		require.Equal(t, first.Digest(), second.Digest())
 	})
 }
 
-// A caller sends ten thousand different deadly requests. What is remembered stays bounded, and what is set aside and
-// still comes is not forgotten for it.
+// Guards against unbounded memory when a caller sends ten thousand different harmful requests, and against evicting a
+// request that is set aside in favour of them.
 func TestManyDeadlyRequestsStayWithinBounds(t *testing.T) {
 	l := NewLedger()
-	for life := range Incarnation(3) {
-		l.tell("known", life, Trial|Ended)
+	for incarnation := range Incarnation(3) {
+		l.merge("known", incarnation, Trial|Ended)
 	}
-	require.Equal(t, SetAside, l.of("known"))
+	require.Equal(t, SetAside, l.standingOf("known"))
 	for i := range 10000 {
-		l.Merge(fact(fmt.Sprint("other-", i), Incarnation(100+i), Ended), core.Time(i))
+		l.Merge(newFact(fmt.Sprint("other-", i), Incarnation(100+i), Ended), core.Time(i))
 	}
 	require.LessOrEqual(t, l.Len(), maxRecords)
-	require.LessOrEqual(t, len(l.at), maxRecords*maxFacts)
-	require.LessOrEqual(t, len(l.heads), maxRecords)
-	require.Equal(t, SetAside, l.of("known"))
+	require.LessOrEqual(t, len(l.keysByIncarnation), maxRecords*maxFacts)
+	require.LessOrEqual(t, len(l.headCounts), maxRecords)
+	require.Equal(t, SetAside, l.standingOf("known"))
 }
 
-// One request over very many shards ends thousands of replicas. The trials are kept, since they decide.
-func TestTheReplicasOfOneRequestAreBounded(t *testing.T) {
+// Guards against unbounded facts when one request over many shards ends thousands of replicas. Facts of trials must be
+// kept, because the standing depends on them.
+func TestReplicasOfOneRequestAreBounded(t *testing.T) {
 	l := NewLedger()
-	l.tell("deadly", 1<<40, Trial|Ended)
-	l.tell("deadly", 1<<41, Trial|Ended)
-	for life := range Incarnation(5000) {
-		l.tell("deadly", life, Ended)
+	l.merge("deadly", 1<<40, Trial|Ended)
+	l.merge("deadly", 1<<41, Trial|Ended)
+	for incarnation := range Incarnation(5000) {
+		l.merge("deadly", incarnation, Ended)
 	}
 	require.LessOrEqual(t, len(l.Get(exactKey("deadly")).Facts), maxFacts)
-	require.Equal(t, SetAside, l.of("deadly"))
+	require.Equal(t, SetAside, l.standingOf("deadly"))
 }
 
-// A request that does not come for long is forgotten; one that comes is not.
-func TestWhatDoesNotComeIsForgotten(t *testing.T) {
+// A record expires if its request is not received for an hour; each request received renews it.
+func TestRequestsNotSeenForAnHourExpire(t *testing.T) {
 	l := NewLedger()
-	for life := range Incarnation(3) {
-		l.tell("deadly", life, Trial|Ended)
-		l.tell("gone", 10+life, Trial|Ended)
+	for incarnation := range Incarnation(3) {
+		l.merge("deadly", incarnation, Trial|Ended)
+		l.merge("gone", 10+incarnation, Trial|Ended)
 	}
 	names := Names{Exact: exactKey("deadly")}
 	require.Equal(t, SetAside, l.Observe(names, 50*time.Minute))
 	l.Expire(70 * time.Minute)
 	require.Equal(t, SetAside, l.Observe(names, 70*time.Minute))
-	require.Equal(t, Trusted, l.of("gone"))
-	require.Len(t, l.at, 3)
+	require.Equal(t, Trusted, l.standingOf("gone"))
+	require.Len(t, l.keysByIncarnation, 3)
 }
 
-// The same request comes with another query each time. Others on the same path are suspected until one of them is
-// answered, and never refused.
-func TestABroadNameIsClearedByWhateverBearsIt(t *testing.T) {
+// The same request is repeated with another query each time. Other requests to the same path are suspect until one of
+// them is answered, and are not rejected while replicas ended under one exact name only.
+func TestABroadNameIsClearedByAnyRequestThatHasIt(t *testing.T) {
 	search := func(query string) Names { return Identity{Path: "/search", Query: query}.Names() }
-	tell := func(l *Ledger, query string, life Incarnation, marks Fact) {
+	merge := func(l *Ledger, query string, incarnation Incarnation, marks Fact) {
 		names := search(query)
-		l.Merge(Record{Key: names.Exact, Facts: map[Incarnation]Fact{life: marks}}, 0)
-		l.Merge(Record{Key: names.Broad, Facts: map[Incarnation]Fact{life: marks}, Variants: map[uint64]struct{}{uint64(names.Exact[0]): {}}}, 0)
+		l.Merge(Record{Key: names.Exact, Facts: map[Incarnation]Fact{incarnation: marks}}, 0)
+		l.Merge(Record{Key: names.Broad, Facts: map[Incarnation]Fact{incarnation: marks}, Variants: map[uint64]struct{}{uint64(names.Exact[0]): {}}}, 0)
 	}
 	l := NewLedger()
-	for life := range Incarnation(20) {
-		tell(l, "q=bad", life, Ended)
+	for incarnation := range Incarnation(20) {
+		merge(l, "q=bad", incarnation, Ended)
 	}
-	tell(l, "q=bad", 20, Trial|Ended)
-	tell(l, "q=bad", 21, Trial|Ended)
+	merge(l, "q=bad", 20, Trial|Ended)
+	merge(l, "q=bad", 21, Trial|Ended)
 	require.Equal(t, SetAside, l.Observe(search("q=bad"), 0))
-	require.Equal(t, Suspect, l.Observe(search("q=good"), 0), "under one exact name alone nobody else is refused")
+	require.Equal(t, Suspect, l.Observe(search("q=good"), 0), "replicas ended under one exact name only: other requests are not rejected")
 	l.MarkAnswered(search("q=good"), 0)
 	require.Equal(t, Trusted, l.Observe(search("q=better"), 0))
 	require.Equal(t, SetAside, l.Observe(search("q=bad"), 0))
-	for life := Incarnation(30); life < 33; life++ {
-		tell(l, fmt.Sprint("q=bad&page=", life), life, Trial|Ended)
+	for incarnation := Incarnation(30); incarnation < 33; incarnation++ {
+		merge(l, fmt.Sprint("q=bad&page=", incarnation), incarnation, Trial|Ended)
 	}
 	require.Equal(t, SetAside, l.Observe(search("q=bad&page=99"), 0))
 }
 
-// Parts of one identity must not run into each other, or one request could be given the name of another.
+// Guards against parts of an identity running into each other, which would give two requests the same name.
 func TestDifferentRequestsHaveDifferentNames(t *testing.T) {
 	seen := map[Key]Identity{}
-	for _, one := range []Identity{
+	for _, identity := range []Identity{
 		{}, {Method: "GET"}, {Host: "GET"}, {Path: "a", Query: "b"}, {Path: "ab"}, {Path: "a", Caller: "b"}, {Path: "a", Body: []byte("b")}, {Query: "a", Body: []byte("b")}, {Query: "ab"},
 	} {
-		key := one.Names().Exact
+		key := identity.Names().Exact
 		require.NotContains(t, seen, key)
-		seen[key] = one
+		seen[key] = identity
 	}
 }
 
-// BenchmarkNames is what a request costs while any other one is remembered.
+// BenchmarkNames measures the cost of a request while another request has a record.
 func BenchmarkNames(b *testing.B) {
-	one := Identity{Method: "GET", Host: "search.example", Path: "/all/9dfa92", Query: "page=13&sort=new", Caller: "Accept: */*\nUser-Agent: sdk-client/1.9.3\n"}
+	identity := Identity{Method: "GET", Host: "search.example", Path: "/all/9dfa92", Query: "page=13&sort=new", Caller: "Accept: */*\nUser-Agent: sdk-client/1.9.3\n"}
 	ledger := NewLedger()
-	ledger.tell("deadly", 1, Ended)
+	ledger.merge("deadly", 1, Ended)
 	b.ReportAllocs()
 	for b.Loop() {
-		if ledger.HasHead(one.HeadNames()) {
-			b.Fatal("it is not known")
+		if ledger.HasHead(identity.HeadNames()) {
+			b.Fatal("the ledger has a record of this request")
 		}
 	}
 }
 
-func shardFact(name string, life Incarnation, shard string, marks Fact) Record {
-	one := fact(name, life, marks)
-	one.Shards = map[Incarnation]Shard{life: ShardOf(shard)}
-	return one
+func newShardFact(name string, incarnation Incarnation, shard string, marks Fact) Record {
+	record := newFact(name, incarnation, marks)
+	record.Shards = map[Incarnation]Shard{incarnation: ShardOf(shard)}
+	return record
 }
 
 // Guards against answers of other shards clearing a request at the shard whose replicas it ends.
 func TestAnswersOfOtherShardsDoNotClearARequestAtTheShardThatItEnds(t *testing.T) {
 	l := NewLedger()
 	names := Names{Exact: exactKey("deadly")}
-	l.Merge(shardFact("deadly", 1, "a", Ended), 0)
+	l.Merge(newShardFact("deadly", 1, "a", Ended), 0)
 	l.MarkAnswered(names, ShardOf("b"))
 	require.Equal(t, Trusted, l.Observe(names, 0))
 	require.Equal(t, Suspect, l.StandingAtShard(names, ShardOf("a")))
 	require.Equal(t, Trusted, l.StandingAtShard(names, ShardOf("b")))
-	for life := Incarnation(2); life < 4; life++ {
-		l.Merge(shardFact("deadly", life, "a", Ended|ShardTrial), 0)
+	for incarnation := Incarnation(2); incarnation < 4; incarnation++ {
+		l.Merge(newShardFact("deadly", incarnation, "a", Ended|ShardTrial), 0)
 		l.MarkAnswered(names, ShardOf("b"))
 	}
 	require.Equal(t, Trusted, l.Observe(names, 0))
@@ -250,9 +252,9 @@
 // between two crashes clears them there.
 func TestRepeatedCrashesOfAShardSetNothingAside(t *testing.T) {
 	l := NewLedger()
-	for life := range Incarnation(50) {
+	for incarnation := range Incarnation(50) {
 		for _, name := range []string{"popular", "other"} {
-			l.Merge(shardFact(name, life, "a", Ended|ShardTrial), 0)
+			l.Merge(newShardFact(name, incarnation, "a", Ended|ShardTrial), 0)
 			require.NotEqual(t, SetAside, l.StandingAtShard(Names{Exact: exactKey(name)}, ShardOf("a")))
 		}
 		l.MarkAnswered(Names{Exact: exactKey("popular")}, ShardOf("a"))
@@ -265,15 +267,15 @@
 func TestAnUnresponsiveShardDoesNotSetABroadNameAside(t *testing.T) {
 	l := NewLedger()
 	search := func(query string) Names { return Identity{Path: "/search", Query: query}.Names() }
-	for life := range Incarnation(6) {
-		names := search(fmt.Sprint("q=", life))
+	for incarnation := range Incarnation(6) {
+		names := search(fmt.Sprint("q=", incarnation))
 		marks := Ended
-		if life >= 3 {
+		if incarnation >= 3 {
 			marks = ShardTrial
 		}
 		l.Merge(Record{
-			Key: names.Broad, Facts: map[Incarnation]Fact{life: marks}, Shards: map[Incarnation]Shard{life: ShardOf("a")},
-			Variants: map[uint64]struct{}{uint64(life): {}},
+			Key: names.Broad, Facts: map[Incarnation]Fact{incarnation: marks}, Shards: map[Incarnation]Shard{incarnation: ShardOf("a")},
+			Variants: map[uint64]struct{}{uint64(incarnation): {}},
 		}, 0)
 	}
 	require.Equal(t, Suspect, l.StandingAtShard(search("q=new"), ShardOf("a")))
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -10,10 +10,10 @@
 // RetryAfter is the retry delay returned when a request that is set aside is rejected.
 const RetryAfter = time.Minute
 
-// Standing is how a request is treated.
+// Standing determines how a request is treated.
 type Standing uint8
 
-// The standings of a request, by rising severity.
+// The standings of a request, by increasing severity.
 const (
 	// Trusted requests are sent as usual.
 	Trusted Standing = iota
@@ -23,26 +23,25 @@
 	SetAside
 )
 
-// String names the standing.
+// String returns the name of the standing.
 func (s Standing) String() string {
 	return [...]string{"trusted", "suspect", "set_aside"}[s]
 }
 
-// Incarnation names an incarnation of a replica by a hash of its id and start.
+// Incarnation identifies an incarnation of a replica by a hash of its id and start time.
 type Incarnation uint64
 
-// Fact is what came of a request at one incarnation of a replica. Each mark is only ever set, so that
-// facts from several nodes give the same in any order.
+// Fact is a set of marks for a request at one incarnation of a replica. Marks are only ever added, so that facts merged
+// from several nodes give the same result in any order.
 type Fact uint8
 
-// The marks of a fact.
+// Marks of a fact.
 const (
-	// Ended marks a replica that ended while the request was in work there.
+	// Ended marks a replica that ended while the request was in flight there.
 	Ended Fact = 1 << iota
-	// Trial marks a replica that the request was sent to while nothing else of it was in work, and that did not
-	// answer.
+	// Trial marks a replica that did not answer the request while it had no other send in flight.
 	Trial
-	// Cleared marks what no longer speaks against the request: it was answered later, or did not run.
+	// Cleared marks a fact that no longer counts against the request: it was answered later, or did not run.
 	Cleared
 	// ShardTrial marks a replica that did not answer the request while it had no other send in flight at that shard.
 	ShardTrial
@@ -50,15 +49,15 @@
 	ShardCleared
 )
 
-// counts reports whether the fact has all the marks and does not have the cleared mark.
-func (f Fact) counts(marks, cleared Fact) bool { return f&marks == marks && f&cleared == 0 }
+// hasUncleared reports whether the fact has all the marks and does not have the cleared mark.
+func (f Fact) hasUncleared(marks, cleared Fact) bool { return f&marks == marks && f&cleared == 0 }
 
 // Shard is a hash that identifies the shard of a replica; 0 is unknown.
 type Shard uint64
 
 // ShardOf returns the Shard for a name. A service that is not split has one shard, named after it.
 func ShardOf(name string) Shard {
-	key := join(name)
+	key := hashParts(name)
 	return Shard(binary.BigEndian.Uint64(key[:]))
 }
 
@@ -79,26 +78,25 @@
 	return scope{shard: shard, trial: ShardTrial, cleared: ShardCleared}
 }
 
-// includes reports whether the fact of an incarnation belongs to the scope.
-func (s scope) includes(r *Record, life Incarnation) bool {
-	return s.shard == 0 || r.Shards[life] == s.shard
-}
+// covers reports whether the fact of an incarnation belongs to the scope.
+func (s scope) covers(r *Record, id Incarnation) bool { return s.shard == 0 || r.Shards[id] == s.shard }
 
-// Record is what is known of one request.
+// Record holds the facts about one request.
 type Record struct {
 	Key Key
 	// Head is the key of the request without its body.
 	Head Key
-	// Description describes the request to operators.
+	// Description describes the request for operators.
 	Description string
 	// Level is Identity.Level. Records of different levels may be of one request and do not contest each other.
 	Level uint8
 	Facts map[Incarnation]Fact
 	// Shards maps incarnations to their shards, where known.
 	Shards map[Incarnation]Shard
-	// Variants are hashes of the exact names under which replicas ended, where Key is a broad one; none otherwise.
+	// Variants are hashes of the exact names under which replicas ended if Key is a broad name; otherwise it is empty.
 	Variants map[uint64]struct{}
-	// FirstAt is when this node first heard of it, SeenAt when it or news of it came last.
+	// FirstAt is when this node created the record. SeenAt is when the request, or an update about it, was last
+	// received.
 	FirstAt core.Time
 	SeenAt  core.Time
 	// standing and shards are maintained by the ledger. shards holds only shards where the request is not trusted.
@@ -132,52 +130,52 @@
 	return total
 }
 
-// EndedCount counts the replicas that ended under the request and were not cleared both as a whole and at their shard.
+// EndedCount counts the replicas that ended under the request and are not cleared both as a whole and at their shard.
 func (r *Record) EndedCount() int {
 	total := 0
 	for _, fact := range r.Facts {
-		if fact.counts(Ended, Cleared) || fact.counts(Ended, ShardCleared) {
+		if fact.hasUncleared(Ended, Cleared) || fact.hasUncleared(Ended, ShardCleared) {
 			total++
 		}
 	}
 	return total
 }
 
-// ended counts the replicas in a scope that ended under the request and were not cleared there.
-func (r *Record) ended(within scope) int {
+// endedIn counts the replicas in a scope that ended under the request and are not cleared there.
+func (r *Record) endedIn(within scope) int {
 	total := 0
-	for life, fact := range r.Facts {
-		if within.includes(r, life) && fact.counts(Ended, within.cleared) {
+	for incarnation, fact := range r.Facts {
+		if within.covers(r, incarnation) && fact.hasUncleared(Ended, within.cleared) {
 			total++
 		}
 	}
 	return total
 }
 
-// Change is a record whose facts or standing changed.
+// Change is a record with changed facts or standing.
 type Change struct {
 	Record *Record
 	// Previous is the severity before the change.
 	Previous Standing
-	// New is set when the change holds facts that were not known.
+	// New is set when the change adds facts.
 	New bool
 }
 
 // allShards returns the shards of all facts of the record.
 func (r *Record) allShards() map[Shard]bool {
 	all := map[Shard]bool{}
-	for life := range r.Facts {
-		all[r.Shards[life]] = true
+	for incarnation := range r.Facts {
+		all[r.Shards[incarnation]] = true
 	}
 	return all
 }
 
-// addVariants takes up exact names of a broad one and reports whether any was not known.
-func (r *Record) addVariants(told map[uint64]struct{}) bool {
+// addVariants adds exact names of a broad one and reports whether any of them is new.
+func (r *Record) addVariants(names map[uint64]struct{}) bool {
 	fresh := false
-	for one := range told {
-		if _, held := r.Variants[one]; !held && len(r.Variants) < maxVariants {
-			r.Variants[one] = struct{}{}
+	for name := range names {
+		if _, held := r.Variants[name]; !held && len(r.Variants) < maxVariants {
+			r.Variants[name] = struct{}{}
 			fresh = true
 		}
 	}
@@ -186,6 +184,6 @@
 
 // countsUnconfirmedTrials reports whether trials count even if no replica is known to have ended in them. For a broad name
 // at one shard they don't: a shard that stops responding after a crash would have unrelated requests set aside.
-func (s scope) countsUnconfirmedTrials(r *Record) bool { return s.shard == 0 || !r.broad() }
+func (s scope) countsUnconfirmedTrials(r *Record) bool { return s.shard == 0 || !r.isBroad() }
 
-func (r *Record) broad() bool { return len(r.Variants) > 0 }
+func (r *Record) isBroad() bool { return len(r.Variants) > 0 }
