--- a/internal/core/once/ledger_test.go
+++ b/internal/core/once/ledger_test.go
@@ -56,7 +56,7 @@
 	return sends, replies
 }
 
-func (h *harness) reply(key Key, payload string) Reply {
+func (h *harness) replyTo(key Key, payload string) Reply {
 	sends, replies := h.step(h.submitted(key, payload))
 	require.Empty(h.t, sends)
 	require.Len(h.t, replies, 1)
@@ -114,10 +114,10 @@
 	other := NewIssuer("dc1.vm-1", 11, []byte("guess"))
 	forged, err := ParseKey(other.Prefix(0) + ".a")
 	require.NoError(t, err)
-	requireNotRun(t, h.reply(forged, "12"), fault.CodeKeyInvalid)
+	requireNotRun(t, h.replyTo(forged, "12"), fault.CodeKeyInvalid)
 	later, err := ParseKey(strings.Replace(genuine.Text, ".0.", ".zz.", 1))
 	require.NoError(t, err)
-	requireNotRun(t, h.reply(later, "12"), fault.CodeKeyInvalid)
+	requireNotRun(t, h.replyTo(later, "12"), fault.CodeKeyInvalid)
 	require.Zero(t, h.ledger.Entries())
 }
 
@@ -131,12 +131,12 @@
 	sends, replies := h.step(h.submitted(key, "12"))
 	require.Empty(t, sends)
 	require.Empty(t, replies)
-	requireNotRun(t, h.reply(key, "13"), fault.CodeKeyReused)
+	requireNotRun(t, h.replyTo(key, "13"), fault.CodeKeyReused)
 	_, replies = h.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.Done, Payload: []byte("kept")})
 	require.Len(t, replies, 2)
-	kept := h.reply(key, "12")
+	kept := h.replyTo(key, "12")
 	require.Equal(t, Reply{Outcome: core.Done, Payload: []byte("kept"), Repeated: true}, kept)
-	requireNotRun(t, h.reply(key, "13"), fault.CodeKeyReused)
+	requireNotRun(t, h.replyTo(key, "13"), fault.CodeKeyReused)
 }
 
 // Guards against a wrong "not run" for an old key. Before RetainAge the stored outcome
@@ -148,12 +148,12 @@
 	ran, never := h.key("ran"), h.key("never")
 	h.runOnce(ran)
 	h.now = limits.AcceptAge + time.Second
-	require.Equal(t, core.Done, h.reply(ran, "12").Outcome)
-	requireNotRun(t, h.reply(never, "12"), fault.CodeKeyExpired)
+	require.Equal(t, core.Done, h.replyTo(ran, "12").Outcome)
+	requireNotRun(t, h.replyTo(never, "12"), fault.CodeKeyExpired)
 	h.now = limits.RetainAge + time.Second
 	h.step(Woken{})
 	for _, key := range []Key{ran, never} {
-		reply := h.reply(key, "12")
+		reply := h.replyTo(key, "12")
 		require.Equal(t, core.Unknown, reply.Outcome)
 		require.Equal(t, fault.CodeKeyExpired, reply.Code)
 	}
@@ -172,19 +172,19 @@
 	h.runOnce(h.key("a"))
 	h.now = limits.RetainAge - time.Minute
 	refused := h.key("b")
-	reply := h.reply(refused, "12")
+	reply := h.replyTo(refused, "12")
 	requireNotRun(t, reply, fault.CodeOverloaded)
 	require.Positive(t, reply.RetryAfter)
 	h.now = limits.RetainAge + time.Second
 	h.step(Woken{})
 	require.Zero(t, h.ledger.Entries())
-	requireNotRun(t, h.reply(refused, "12"), fault.CodeOverloaded)
+	requireNotRun(t, h.replyTo(refused, "12"), fault.CodeOverloaded)
 	h.runOnce(h.key("c"))
 	for _, limit := range []func(*Limits){func(l *Limits) { l.MaxEntries = 0 }, func(l *Limits) { l.MaxBytes = 100 }, func(l *Limits) { l.MaxCustomerBytes = 100 }} {
 		limits := DefaultLimits()
 		limit(&limits)
 		full := newHarness(t, limits)
-		requireNotRun(t, full.reply(full.key("a"), "12"), fault.CodeOverloaded)
+		requireNotRun(t, full.replyTo(full.key("a"), "12"), fault.CodeOverloaded)
 	}
 }
 
@@ -199,7 +199,7 @@
 	sends, replies := h.step(submitted)
 	require.Empty(t, sends)
 	requireNotRun(t, replies[0], fault.CodePastDeadline)
-	requireNotRun(t, h.reply(key, "12"), fault.CodePastDeadline)
+	requireNotRun(t, h.replyTo(key, "12"), fault.CodePastDeadline)
 
 	permit := NewPermit(time.Second)
 	_, refusal := permit.Acquire(time.Minute, true)
@@ -242,10 +242,10 @@
 	}
 	_, replies := h.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.Unknown, Reason: core.ReasonPeerLost})
 	require.Equal(t, core.Unknown, replies[0].Outcome)
-	require.Equal(t, core.Unknown, h.reply(key, "12").Outcome)
+	require.Equal(t, core.Unknown, h.replyTo(key, "12").Outcome)
 	_, replies = h.step(SendEnded{Key: key.Text, Send: send.Send, Outcome: core.Done})
 	require.Empty(t, replies)
-	require.Equal(t, core.Done, h.reply(key, "12").Outcome, "a late reply replaces the unknown outcome")
+	require.Equal(t, core.Done, h.replyTo(key, "12").Outcome, "a late reply replaces the unknown outcome")
 }
 
 // Guards against running a key of a home that restarted or stopped as planned: a retry
@@ -256,24 +256,24 @@
 	h.runOnce(key)
 	h.send(open, "12")
 	h.step(Stopping{})
-	requireNotRun(t, h.reply(h.key("c"), "12"), fault.CodeDraining)
+	requireNotRun(t, h.replyTo(h.key("c"), "12"), fault.CodeDraining)
 
 	restarted := &harness{t: t, ledger: NewLedger(NewIssuer("dc1.vm-1", 12, []byte("new")), DefaultLimits())}
-	reply := restarted.reply(key, "12")
+	reply := restarted.replyTo(key, "12")
 	require.Equal(t, core.Unknown, reply.Outcome)
 	require.Equal(t, fault.CodeHomeGone, reply.Code)
 
 	successor := &harness{t: t, ledger: NewLedger(NewIssuer("vm-2", 3, []byte("new")), DefaultLimits())}
 	h.now = time.Minute
 	require.Equal(t, 2, successor.ledger.Inherit(0, h.ledger.Records(h.now)))
-	kept := successor.reply(key, "12")
+	kept := successor.replyTo(key, "12")
 	require.Equal(t, core.Done, kept.Outcome)
 	require.True(t, kept.Repeated)
-	require.Equal(t, core.Unknown, successor.reply(open, "12").Outcome)
-	requireNotRun(t, successor.reply(key, "13"), fault.CodeKeyReused)
+	require.Equal(t, core.Unknown, successor.replyTo(open, "12").Outcome)
+	requireNotRun(t, successor.replyTo(key, "13"), fault.CodeKeyReused)
 	require.Len(t, successor.ledger.Records(0), 2, "a successor that stops hands them over again")
 	successor.now = DefaultLimits().RetainAge - time.Minute + time.Second
-	require.Equal(t, core.Unknown, successor.reply(key, "12").Outcome)
+	require.Equal(t, core.Unknown, successor.replyTo(key, "12").Outcome)
 }
 
 // Guards against the home and the entries choosing different successors, before and
