--- a/internal/core/night/night.go
+++ b/internal/core/night/night.go
@@ -1,9 +1,9 @@
-// Package night decides when a replica without traffic is probed, so that a
-// service that dies while nobody asks is seen before somebody does.
+// Package night schedules probes of replicas without traffic, so that a dead service
+// without requests is detected before the next request for it.
 //
-// Replicas that answer real requests are never probed. The others are probed
-// once a sweep, spread evenly; a failed probe is confirmed soon after before
-// anything is reported.
+// Replicas that answer real requests are never probed. The others are probed once per
+// sweep, evenly spread over it. A failed probe is confirmed by a second one before the
+// replica is reported.
 package night
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// The life of a watched replica, in internal/chart/charts/idle_replica.yaml.
+// State chart of a watched replica, in internal/chart/charts/idle_replica.yaml.
 var (
-	lifeCycle = chart.Must(chart.Source("idle_replica"), chart.Bindings[*turn]{
-		Actions: map[string]func(*turn){
-			"wait_sweep":   (*turn).waitSweep,
-			"confirm_soon": (*turn).confirmSoon,
-			"report":       (*turn).report,
-			"take_back":    (*turn).takeBack,
+	lifeCycle = chart.Must(chart.Source("idle_replica"), chart.Bindings[*transition]{
+		Actions: map[string]func(*transition){
+			"wait_sweep":   (*transition).waitSweep,
+			"confirm_soon": (*transition).confirmSoon,
+			"report":       (*transition).report,
+			"take_back":    (*transition).takeBack,
 		},
 	})
 	stateDown     = lifeCycle.State("down")
@@ -34,38 +34,39 @@
 	Address string
 }
 
-// Config paces the probes.
+// Config sets the rate of the probes.
 type Config struct {
 	// SweepInterval is the time in which each idle replica is probed once.
 	SweepInterval time.Duration
-	// ConfirmDelay is the time from a failed probe to the next of the same replica.
+	// ConfirmDelay is the time from a first failed probe to the next probe of the same
+	// replica.
 	ConfirmDelay time.Duration
-	// MinSpacing is the least time between two probes of this node.
+	// MinSpacing is the minimum time between the starts of two probes of this node.
 	MinSpacing time.Duration
-	// MaxInFlight is how many probes run at once.
+	// MaxInFlight is the maximum number of probes in flight.
 	MaxInFlight int
 }
 
-// Event is what happened.
+// Event is an input of the machine.
 type Event interface{ isEvent() }
 
-// TargetsAssigned lists the replicas that this node is to watch, in a stable order.
+// TargetsAssigned lists the replicas that this node watches, in a stable order.
 type TargetsAssigned struct{ Targets []Target }
 
-// ProbeSkipped says that a replica answered real traffic at a time, instead of the
-// probe that was wanted.
+// ProbeSkipped reports that a requested probe was not sent, because the replica
+// answered real traffic at a given time.
 type ProbeSkipped struct {
 	Target Target
 	At     core.Time
 }
 
-// ProbeEnded is the end of a probe.
+// ProbeEnded reports the result of a probe.
 type ProbeEnded struct {
 	Target Target
 	Alive  bool
 }
 
-// Woken says that the time asked for by WakeAt has come.
+// Woken reports that the time requested by WakeAt has come.
 type Woken struct{}
 
 func (TargetsAssigned) isEvent() {}
@@ -73,26 +74,26 @@
 func (ProbeEnded) isEvent()      {}
 func (Woken) isEvent()           {}
 
-// Action is what is to be done.
+// Action is an output of the machine for the caller to execute.
 type Action interface{ isAction() }
 
-// StartProbe asks for one probe, to be answered by Probed or Answered.
+// StartProbe requests one probe. ProbeEnded or ProbeSkipped must follow.
 type StartProbe struct{ Target Target }
 
-// ReplicaDown reports a replica, again with each further failed probe, once a
-// sweep.
+// ReplicaDown reports that a replica is down. It is repeated with each further failed
+// probe, once per sweep.
 type ReplicaDown struct{ Target Target }
 
-// ReplicaUp takes the report back.
+// ReplicaUp withdraws the report of ReplicaDown.
 type ReplicaUp struct{ Target Target }
 
-// ShardStalled reports a shard none of whose replicas answers.
+// ShardStalled reports a shard of which all replicas are down.
 type ShardStalled struct{ Ref core.ShardRef }
 
-// ShardRecovered takes the report back.
+// ShardRecovered withdraws the report of ShardStalled.
 type ShardRecovered struct{ Ref core.ShardRef }
 
-// WakeAt asks for Woken at a time. A step without it asks for none.
+// WakeAt requests Woken at a time. A step without WakeAt requests no wake-up.
 type WakeAt struct{ At core.Time }
 
 func (StartProbe) isAction()     {}
@@ -102,80 +103,80 @@
 func (ShardRecovered) isAction() {}
 func (WakeAt) isAction()         {}
 
-// replica is what is known of one target.
+// replica is the state of one target.
 type replica struct {
 	target  Target
-	due     core.Time
+	dueAt   core.Time
 	probing bool
 	state   chart.State
 }
 
-func (r *replica) down() bool { return r.state == stateDown }
+func (r *replica) isDown() bool { return r.state == stateDown }
 
-// turn is one event of one replica, the subject of its chart. at is when the
-// replica was asked or answered.
-type turn struct {
+// transition is one event of one replica, the subject of its state chart. at is when
+// the replica was probed or answered.
+type transition struct {
 	machine *Machine
 	replica *replica
 	at      core.Time
 }
 
-// waitSweep sets the next probe. It holds for replicas that are down too: many
-// of them probed again at the pace of confirmations would crowd out the first
-// probes of the others, which would then be reported late.
-func (t *turn) waitSweep() { t.replica.due = t.at + t.machine.config.SweepInterval }
+// waitSweep schedules the next probe one sweep later, for replicas that are down too:
+// probing many of them at the interval of confirmations would delay the first probes of
+// other replicas, and these would be reported late.
+func (t *transition) waitSweep() { t.replica.dueAt = t.at + t.machine.config.SweepInterval }
 
-func (t *turn) confirmSoon() { t.replica.due = t.at + t.machine.config.ConfirmDelay }
+func (t *transition) confirmSoon() { t.replica.dueAt = t.at + t.machine.config.ConfirmDelay }
 
-func (t *turn) report() { t.machine.act(ReplicaDown{Target: t.replica.target}) }
+func (t *transition) report() { t.machine.emit(ReplicaDown{Target: t.replica.target}) }
 
-func (t *turn) takeBack() { t.machine.act(ReplicaUp{Target: t.replica.target}) }
+func (t *transition) takeBack() { t.machine.emit(ReplicaUp{Target: t.replica.target}) }
 
-// Machine watches the replicas of one node.
+// Machine schedules the probes of the replicas that one node watches.
 type Machine struct {
-	config   Config
-	replicas map[Target]*replica
-	order    []*replica
-	stalled  map[core.ShardRef]bool
-	nextAt   core.Time
-	inFlight int
-	actions  []Action
+	config      Config
+	replicas    map[Target]*replica
+	order       []*replica
+	stalled     map[core.ShardRef]bool
+	nextProbeAt core.Time
+	inFlight    int
+	actions     []Action
 }
 
-// New makes a machine that watches nothing yet.
+// New returns a machine without targets.
 func New(config Config) *Machine {
 	return &Machine{config: config, replicas: map[Target]*replica{}, stalled: map[core.ShardRef]bool{}}
 }
 
-// Step takes one event.
+// Step handles one event and returns the resulting actions.
 func (m *Machine) Step(now core.Time, e Event) []Action {
 	m.actions = nil
 	switch e := e.(type) {
 	case TargetsAssigned:
-		m.owned(now, e.Targets)
+		m.assign(now, e.Targets)
 	case ProbeSkipped:
-		m.ended(e.Target)
+		m.clearInFlight(e.Target)
 		m.fire(e.Target, eventAnswered, e.At)
 	case ProbeEnded:
-		m.ended(e.Target)
-		m.probed(now, e)
+		m.clearInFlight(e.Target)
+		m.handleProbeEnd(now, e)
 	}
-	m.start(now)
-	m.wake(now)
+	m.startDueProbe(now)
+	m.requestWake(now)
 	return m.actions
 }
 
-func (m *Machine) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// owned takes up new targets, their first probes spread over a sweep, and
-// forgets those that another node watches from now on.
-func (m *Machine) owned(now core.Time, targets []Target) {
+// assign replaces the watched targets. The first probes of new targets are spread over
+// a sweep; targets that another node watches now are removed.
+func (m *Machine) assign(now core.Time, targets []Target) {
 	kept := make(map[Target]*replica, len(targets))
 	m.order = m.order[:0]
 	for i, target := range targets {
 		known := m.replicas[target]
 		if known == nil {
-			known = &replica{target: target, due: now + m.config.SweepInterval*time.Duration(i)/time.Duration(len(targets))}
+			known = &replica{target: target, dueAt: now + m.config.SweepInterval*time.Duration(i)/time.Duration(len(targets))}
 		}
 		kept[target] = known
 		m.order = append(m.order, known)
@@ -189,22 +190,22 @@
 		if known.probing {
 			m.inFlight--
 		}
-		if known.down() {
-			m.act(ReplicaUp{Target: target})
+		if known.isDown() {
+			m.emit(ReplicaUp{Target: target})
 		}
-		m.judge(target.Ref)
+		m.updateShardReport(target.Ref)
 	}
 }
 
-// ended notes that a probe is over, whatever its result.
-func (m *Machine) ended(target Target) {
+// clearInFlight records that a probe has ended, whatever its result.
+func (m *Machine) clearInFlight(target Target) {
 	if known := m.replicas[target]; known != nil && known.probing {
 		known.probing = false
 		m.inFlight--
 	}
 }
 
-func (m *Machine) probed(now core.Time, e ProbeEnded) {
+func (m *Machine) handleProbeEnd(now core.Time, e ProbeEnded) {
 	if e.Alive {
 		m.fire(e.Target, eventAnswered, now)
 	} else {
@@ -212,28 +213,30 @@
 	}
 }
 
-// fire moves a replica's chart and, when its report changed, its shard's.
+// fire applies an event to a replica's state chart and updates the report of its shard
+// if the replica is or was down.
 func (m *Machine) fire(target Target, event chart.Event, at core.Time) {
 	known := m.replicas[target]
 	if known == nil {
 		return
 	}
-	wasDown := known.down()
-	known.state = lifeCycle.Fire(known.state, event, &turn{machine: m, replica: known, at: at})
-	if wasDown || known.down() {
-		m.judge(target.Ref)
+	wasDown := known.isDown()
+	known.state = lifeCycle.Fire(known.state, event, &transition{machine: m, replica: known, at: at})
+	if wasDown || known.isDown() {
+		m.updateShardReport(target.Ref)
 	}
 }
 
-// judge compares what is reported of a shard with what its replicas show.
-func (m *Machine) judge(ref core.ShardRef) {
+// updateShardReport reports a shard as stalled if all its replicas are down, and
+// withdraws the report otherwise.
+func (m *Machine) updateShardReport(ref core.ShardRef) {
 	total, down := 0, 0
 	for _, known := range m.order {
 		if known.target.Ref != ref {
 			continue
 		}
 		total++
-		if known.down() {
+		if known.isDown() {
 			down++
 		}
 	}
@@ -241,51 +244,53 @@
 	switch {
 	case stalled:
 		m.stalled[ref] = true
-		m.act(ShardStalled{Ref: ref})
+		m.emit(ShardStalled{Ref: ref})
 	case m.stalled[ref]:
 		delete(m.stalled, ref)
-		m.act(ShardRecovered{Ref: ref})
+		m.emit(ShardRecovered{Ref: ref})
 	}
 }
 
-// start begins the probe that is due for longest, when the pace allows one.
-func (m *Machine) start(now core.Time) {
-	if now < m.nextAt || m.inFlight >= m.config.MaxInFlight {
+// startDueProbe starts the most overdue probe if spacing and the limit in flight allow
+// one.
+func (m *Machine) startDueProbe(now core.Time) {
+	if now < m.nextProbeAt || m.inFlight >= m.config.MaxInFlight {
 		return
 	}
-	next := m.earliest()
-	if next == nil || next.due > now {
+	next := m.nextDue()
+	if next == nil || next.dueAt > now {
 		return
 	}
 	next.probing = true
 	m.inFlight++
-	m.nextAt = now + m.config.MinSpacing
-	m.act(StartProbe{Target: next.target})
+	m.nextProbeAt = now + m.config.MinSpacing
+	m.emit(StartProbe{Target: next.target})
 }
 
-// earliest is the replica due for longest, or next.
-func (m *Machine) earliest() *replica {
+// nextDue returns the replica with the earliest due time that is not being probed, or
+// nil.
+func (m *Machine) nextDue() *replica {
 	var best *replica
 	for _, r := range m.order {
-		if !r.probing && (best == nil || r.due < best.due) {
+		if !r.probing && (best == nil || r.dueAt < best.dueAt) {
 			best = r
 		}
 	}
 	return best
 }
 
-// wake asks to be woken for the next probe. With all probes in flight, the end
-// of one of them does it.
-func (m *Machine) wake(now core.Time) {
-	next := m.earliest()
+// requestWake requests a wake-up for the next probe. With the maximum of probes in
+// flight, the end of one of them triggers the next step instead.
+func (m *Machine) requestWake(now core.Time) {
+	next := m.nextDue()
 	if next == nil || m.inFlight >= m.config.MaxInFlight {
 		return
 	}
-	m.act(WakeAt{At: max(next.due, m.nextAt, now)})
+	m.emit(WakeAt{At: max(next.dueAt, m.nextProbeAt, now)})
 }
 
-// Parts of the time within which a dead replica is reported: a sweep finds it,
-// one probe fails, and a second one confirms it.
+// Fractions of the time within which a dead replica must be reported: it is found
+// within a sweep, its first probe fails, and a second one confirms the failure.
 const (
 	sweepNumerator     = 7
 	sweepDenominator   = 12
@@ -294,10 +299,10 @@
 	spacingDenominator = 1200
 )
 
-// ConfigFor derives the pace from the time within which a dead replica is to be
-// reported. With 16 probes in flight the promise holds for up to 700 replicas a
-// node, of which up to 130 fall silent at once. With more, the spacing makes a
-// sweep longer, or all probes in flight wait for silent replicas.
+// ConfigFor derives the configuration from the time within which a dead replica must be
+// reported. With 16 probes in flight this time is kept for up to 700 replicas per node,
+// of which up to 130 stop responding at once. With more, the spacing makes a sweep
+// longer, or all probes in flight wait for unresponsive replicas.
 func ConfigFor(reportWithin time.Duration, inFlight int) Config {
 	return Config{
 		SweepInterval: reportWithin * sweepNumerator / sweepDenominator,
@@ -307,8 +312,7 @@
 	}
 }
 
-// ProbeTimeout is the longest that one probe may take, of those that Paced
-// counts on.
+// ProbeTimeout returns the time-out of one probe that ConfigFor assumes.
 func ProbeTimeout(reportWithin time.Duration) time.Duration {
 	return reportWithin / probeDenominator
 }
--- a/internal/core/night/night_test.go
+++ b/internal/core/night/night_test.go
@@ -11,95 +11,96 @@
 )
 
 const (
-	reportGoal     = time.Minute
-	never          = core.Time(1<<63 - 1)
+	reportWithin   = time.Minute
+	noWake         = core.Time(1<<63 - 1)
 	silentReplicas = 130
 )
 
-func defaults() Config { return ConfigFor(reportGoal, 16) }
-
-// bench runs a machine in virtual time. Replicas named in dead never answer.
-type bench struct {
-	t       *testing.T
-	machine *Machine
-	now     core.Time
-	wake    core.Time
-	ends    map[Target]core.Time
-	dead    map[string]bool
-	busy    map[string]bool
-	downAt  map[Target]core.Time
-	stalled map[core.ShardRef]bool
-	probes  map[Target]int
-	peak    int
+func defaults() Config { return ConfigFor(reportWithin, 16) }
+
+// harness runs a machine in virtual time. Replicas listed in dead never answer probes;
+// those in busy answer real traffic.
+type harness struct {
+	t            *testing.T
+	machine      *Machine
+	now          core.Time
+	wakeAt       core.Time
+	probeEnds    map[Target]core.Time
+	dead         map[string]bool
+	busy         map[string]bool
+	downAt       map[Target]core.Time
+	stalled      map[core.ShardRef]bool
+	probes       map[Target]int
+	peakInFlight int
 }
 
-func newBench(t *testing.T, config Config, targets []Target) *bench {
-	b := &bench{t: t, machine: New(config), ends: map[Target]core.Time{}, dead: map[string]bool{}, busy: map[string]bool{},
+func newHarness(t *testing.T, config Config, targets []Target) *harness {
+	h := &harness{t: t, machine: New(config), probeEnds: map[Target]core.Time{}, dead: map[string]bool{}, busy: map[string]bool{},
 		downAt: map[Target]core.Time{}, stalled: map[core.ShardRef]bool{}, probes: map[Target]int{}}
-	b.step(TargetsAssigned{Targets: targets})
-	return b
+	h.step(TargetsAssigned{Targets: targets})
+	return h
 }
 
-func (b *bench) step(e Event) {
-	b.wake = never
-	for _, action := range b.machine.Step(b.now, e) {
+func (h *harness) step(e Event) {
+	h.wakeAt = noWake
+	for _, action := range h.machine.Step(h.now, e) {
 		switch a := action.(type) {
 		case StartProbe:
-			b.probe(a.Target)
+			h.probe(a.Target)
 		case ReplicaDown:
-			if _, ok := b.downAt[a.Target]; !ok {
-				b.downAt[a.Target] = b.now
+			if _, ok := h.downAt[a.Target]; !ok {
+				h.downAt[a.Target] = h.now
 			}
 		case ReplicaUp:
-			delete(b.downAt, a.Target)
+			delete(h.downAt, a.Target)
 		case ShardStalled:
-			b.stalled[a.Ref] = true
+			h.stalled[a.Ref] = true
 		case ShardRecovered:
-			delete(b.stalled, a.Ref)
+			delete(h.stalled, a.Ref)
 		case WakeAt:
-			b.wake = a.At
+			h.wakeAt = a.At
 		}
 	}
 }
 
-func (b *bench) probe(target Target) {
-	b.probes[target]++
-	b.ends[target] = b.now + time.Millisecond
-	if b.dead[target.Address] {
-		b.ends[target] = b.now + ProbeTimeout(reportGoal)
+func (h *harness) probe(target Target) {
+	h.probes[target]++
+	h.probeEnds[target] = h.now + time.Millisecond
+	if h.dead[target.Address] {
+		h.probeEnds[target] = h.now + ProbeTimeout(reportWithin)
 	}
-	b.peak = max(b.peak, len(b.ends))
+	h.peakInFlight = max(h.peakInFlight, len(h.probeEnds))
 }
 
-// run lets virtual time pass until the given time.
-func (b *bench) run(until core.Time) {
+// run advances virtual time to the given time.
+func (h *harness) run(until core.Time) {
 	for {
-		at, target := b.wake, Target{}
-		for ending, end := range b.ends {
+		at, target := h.wakeAt, Target{}
+		for ending, end := range h.probeEnds {
 			if end < at || (end == at && ending.Address < target.Address) {
 				at, target = end, ending
 			}
 		}
 		if at > until {
-			b.now = until
+			h.now = until
 			return
 		}
-		b.now = at
-		b.pass(target)
+		h.now = at
+		h.deliver(target)
 	}
 }
 
-// pass lets one thing happen: the end of the target's probe, or the wake-up when
-// there is no target.
-func (b *bench) pass(target Target) {
-	delete(b.ends, target)
+// deliver delivers one event: the end of the target's probe, or the wake-up if there is
+// no target.
+func (h *harness) deliver(target Target) {
+	delete(h.probeEnds, target)
 	switch {
 	case target.Address == "":
-		b.step(Woken{})
-	case b.busy[target.Address]:
-		b.step(ProbeSkipped{Target: target, At: b.now})
+		h.step(Woken{})
+	case h.busy[target.Address]:
+		h.step(ProbeSkipped{Target: target, At: h.now})
 	default:
-		b.step(ProbeEnded{Target: target, Alive: !b.dead[target.Address]})
+		h.step(ProbeEnded{Target: target, Alive: !h.dead[target.Address]})
 	}
 }
 
@@ -113,66 +114,66 @@
 	return list
 }
 
-// Nobody asks at night. Both replicas of a shard stop answering at 01:00; the
-// supervisors would find out in the morning. Cause: a service without traffic
-// fails no request, so nothing showed that it was dead.
+// Guards against a dead shard staying unnoticed while it has no traffic: without
+// requests, no request fails. Both replicas of a shard stop answering an hour after the
+// start.
 func TestADeadShardIsReportedWithinAMinuteAndClearedAfterItRecovers(t *testing.T) {
-	b := newBench(t, defaults(), targets(350, 2))
-	b.run(time.Hour)
-	require.Empty(t, b.downAt)
-	b.dead["10.0.7.0:80"], b.dead["10.0.7.1:80"] = true, true
-	b.run(time.Hour + reportGoal)
-	require.Len(t, b.downAt, 2)
-	require.Contains(t, b.stalled, core.ShardRef{Service: "stems", Shard: 7})
-	clear(b.dead)
-	b.run(time.Hour + 2*reportGoal)
-	require.Empty(t, b.downAt)
-	require.Empty(t, b.stalled)
+	h := newHarness(t, defaults(), targets(350, 2))
+	h.run(time.Hour)
+	require.Empty(t, h.downAt)
+	h.dead["10.0.7.0:80"], h.dead["10.0.7.1:80"] = true, true
+	h.run(time.Hour + reportWithin)
+	require.Len(t, h.downAt, 2)
+	require.Contains(t, h.stalled, core.ShardRef{Service: "stems", Shard: 7})
+	clear(h.dead)
+	h.run(time.Hour + 2*reportWithin)
+	require.Empty(t, h.downAt)
+	require.Empty(t, h.stalled)
 }
 
-// Every upstream falls silent at once. Each probe now takes its whole time-out,
-// so the probes in flight reach their bound; all must still be found in time.
+// Guards against late reports when all replicas stop responding at once: each probe
+// then takes its whole time-out, so the probes in flight reach their limit.
 func TestASilentFleetIsReportedInTimeAndInFlightProbesStayBounded(t *testing.T) {
 	list := targets(silentReplicas/2, 2)
-	b := newBench(t, defaults(), list)
-	b.run(time.Hour)
+	h := newHarness(t, defaults(), list)
+	h.run(time.Hour)
 	for _, target := range list {
-		b.dead[target.Address] = true
+		h.dead[target.Address] = true
 	}
-	b.run(time.Hour + reportGoal)
-	require.Len(t, b.downAt, len(list))
-	require.LessOrEqual(t, b.peak, defaults().MaxInFlight)
+	h.run(time.Hour + reportWithin)
+	require.Len(t, h.downAt, len(list))
+	require.LessOrEqual(t, h.peakInFlight, defaults().MaxInFlight)
 }
 
 func TestIdleReplicasAreProbedOnceASweep(t *testing.T) {
 	list := targets(10, 2)
-	b := newBench(t, defaults(), list)
-	b.run(10 * time.Minute)
+	h := newHarness(t, defaults(), list)
+	h.run(10 * time.Minute)
 	for _, target := range list {
-		require.InDelta(t, float64(10*time.Minute/defaults().SweepInterval), b.probes[target], 1)
+		require.InDelta(t, float64(10*time.Minute/defaults().SweepInterval), h.probes[target], 1)
 	}
 }
 
-// The owner changes while a replica is reported down and a probe is under way:
-// the former owner must take its report back, or it would stand for ever.
-func TestALostReplicaIsForgotten(t *testing.T) {
+// Guards against a stale report after a change of owner: the former owner must withdraw
+// its report of a replica, also while a probe of it is in flight.
+func TestReportsAreWithdrawnWhenTheOwnerChanges(t *testing.T) {
 	list := targets(1, 1)
-	b := newBench(t, defaults(), list)
-	b.dead[list[0].Address] = true
-	b.run(2 * reportGoal)
-	require.Len(t, b.downAt, 1)
-	b.step(TargetsAssigned{})
-	require.Empty(t, b.downAt)
-	require.Empty(t, b.stalled)
+	h := newHarness(t, defaults(), list)
+	h.dead[list[0].Address] = true
+	h.run(2 * reportWithin)
+	require.Len(t, h.downAt, 1)
+	h.step(TargetsAssigned{})
+	require.Empty(t, h.downAt)
+	require.Empty(t, h.stalled)
 }
 
-// A replica's probe fails, then real traffic reaches it: the traffic clears it.
+// Guards against a replica staying reported as down after it has answered real traffic.
 func TestTrafficClearsADownReplica(t *testing.T) {
 	list := targets(1, 1)
-	b := newBench(t, defaults(), list)
-	b.dead[list[0].Address] = true
-	b.run(2 * reportGoal)
-	b.busy[list[0].Address] = true
-	b.run(3 * reportGoal)
-	require.Empty(t, b.downAt)
+	h := newHarness(t, defaults(), list)
+	h.dead[list[0].Address] = true
+	h.run(2 * reportWithin)
+	h.busy[list[0].Address] = true
+	h.run(3 * reportWithin)
+	require.Empty(t, h.downAt)
 }
