--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -38,7 +38,7 @@
 		Nodes:       len(n.belief.View().Nodes()),
 		InFlight:    n.entry.InFlight(),
 		Paused:      n.belief.Paused(),
-		Drained:     n.belief.DrainedUpstreams(),
+		Drained:     n.belief.DrainingUpstreams(),
 		UptimeMs:    n.now().Milliseconds(),
 	}
 	if config := n.belief.Config(); config != nil {
--- a/internal/app/operate.go
+++ b/internal/app/operate.go
@@ -28,10 +28,10 @@
 		Problems:     n.problems,
 		Metrics:      n.metrics,
 		ReportWithin: n.settings.Probing.ReportWithin,
-		InFlight:     n.settings.Probing.InFlight,
+		MaxInFlight:  n.settings.Probing.InFlight,
 	})
-	n.upstream.Observe(n.prober.Observe)
-	n.upstream.OnDropped(n.droppedReply)
+	n.upstream.SetObserver(n.prober.Observe)
+	n.upstream.OnDroppedReply(n.droppedReply)
 	n.expiry = watchExpiry(n.problems, n.metrics, certificates, n.settings.TLS.WarnBefore)
 	n.watchMetrics()
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -50,7 +50,7 @@
 	for _, service := range text.Services {
 		for _, shard := range service.Shards {
 			for _, replica := range shard.Replicas {
-				caller.Limit(replica.Address, unlimited)
+				caller.SetConnectionShare(replica.Address, unlimited)
 			}
 		}
 	}
@@ -163,12 +163,12 @@
 			return
 		}
 		result := q.caller.Do(ctx, upstream.Call{
-			Address:   f.pick(shard),
-			Ref:       shard.Ref,
-			RequestID: q.id,
-			Customer:  q.request.Customer,
-			TimeLeft:  left,
-			Body:      upstream.Body{Question: json.RawMessage(`"pork shoulder"`), Dependencies: given},
+			Address:       f.pick(shard),
+			Ref:           shard.Ref,
+			RequestID:     q.id,
+			Customer:      q.request.Customer,
+			RemainingTime: left,
+			Body:          upstream.Body{Question: json.RawMessage(`"pork shoulder"`), Dependencies: given},
 		})
 		if result.Outcome == core.Done {
 			q.keep(shard.Ref, result)
--- a/internal/belief/belief.go
+++ b/internal/belief/belief.go
@@ -77,14 +77,14 @@
 // Self returns this node, which may be missing from the view while it leaves.
 func (s *Store) Self() route.Node { return s.self }
 
-// Drained reports whether an upstream was seen draining, by any node.
-func (s *Store) Drained(address string) bool {
+// Draining reports whether an upstream was seen draining, by any node.
+func (s *Store) Draining(address string) bool {
 	drains := s.drains.Load()
 	return drains != nil && (*drains)[address]
 }
 
-// DrainedUpstreams is the number of upstreams seen draining.
-func (s *Store) DrainedUpstreams() int {
+// DrainingUpstreams is the number of upstreams seen draining.
+func (s *Store) DrainingUpstreams() int {
 	drains := s.drains.Load()
 	if drains == nil {
 		return 0
@@ -92,8 +92,8 @@
 	return len(*drains)
 }
 
-// SetDrained replaces the set of upstreams seen draining.
-func (s *Store) SetDrained(addresses []string) {
+// SetDraining replaces the set of upstreams seen draining.
+func (s *Store) SetDraining(addresses []string) {
 	drains := make(map[string]bool, len(addresses))
 	for _, address := range addresses {
 		drains[address] = true
@@ -102,17 +102,17 @@
 	s.notify()
 }
 
-// OnDrainSeen sets who is told of upstreams that a role saw draining. It must
+// OnDrainingReported sets who is told of upstreams that a role saw draining. It must
 // not block.
-func (s *Store) OnDrainSeen(listener func(address string)) {
+func (s *Store) OnDrainingReported(listener func(address string)) {
 	s.onDrain.Store(&listener)
 }
 
-// SeeDrain says that an upstream's own reply told of its draining. A reply that
+// ReportDraining says that an upstream's own reply told of its draining. A reply that
 // does not say so proves nothing: it may have been on its way before.
-func (s *Store) SeeDrain(address string) {
+func (s *Store) ReportDraining(address string) {
 	listener := s.onDrain.Load()
-	if listener != nil && !s.Drained(address) {
+	if listener != nil && !s.Draining(address) {
 		(*listener)(address)
 	}
 }
@@ -134,9 +134,9 @@
 // beliefs since.
 func (s *Store) SetPaused(paused bool) { s.pause.paused.Store(paused) }
 
-// SignOfLife notes that the process runs. The first one begins the watch; a nil
+// RecordTick notes that the process runs. The first one begins the watch; a nil
 // clock ends it.
-func (s *Store) SignOfLife(now func() core.Time) {
+func (s *Store) RecordTick(now func() core.Time) {
 	if now == nil {
 		s.pause.now.Store(nil)
 		return
--- a/internal/edge/account.go
+++ b/internal/edge/account.go
@@ -15,13 +15,13 @@
 // no known data centre.
 func (n *Node) sentToNode(node core.NodeID, purpose traffic.Purpose, bytes int) {
 	known, _ := n.view().Node(node)
-	n.traffic.Add(traffic.Flow{Purpose: purpose, To: known.DataCentre}, bytes)
+	n.traffic.Add(traffic.Flow{Purpose: purpose, DataCentre: known.DataCentre}, bytes)
 }
 
 // tellTraffic writes the bytes so far between this data centre and others.
 func (n *Node) tellTraffic() {
 	fields := decisionlog.Fields{}
-	for purpose, bytes := range n.traffic.Far(n.settings.Load().DataCentre) {
+	for purpose, bytes := range n.traffic.RemoteBytes(n.settings.Load().DataCentre) {
 		fields["far_"+string(purpose)+"_bytes"] = bytes
 	}
 	n.log.Life("traffic", fields)
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -214,9 +214,9 @@
 	watch := func(name string, read func() int64) { observe.Watch(n.metrics.registry, name, read) }
 	watch("requests_in_flight", n.inFlight.Load)
 	watch("delegated_groups_running", n.delegated.Load)
-	watch("replica_connections", func() int64 { return int64(n.replicas.Open()) })
-	watch("replica_connections_opened_total", n.replicas.Opened)
-	watch("replica_connection_waiters", func() int64 { return int64(n.replicas.Waiting()) })
+	watch("replica_connections", func() int64 { return int64(n.replicas.OpenConnections()) })
+	watch("replica_connections_opened_total", n.replicas.ConnectionsOpened)
+	watch("replica_connection_waiters", func() int64 { return int64(n.replicas.WaitingRequests()) })
 	watch("log_lines_dropped_total", n.log.Dropped)
 	watch("peer_links", func() int64 { return int64(n.pool.Links()) })
 	watch("peer_links_inbound", n.server.Links)
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -61,7 +61,7 @@
 	identity peer.Identity
 	log      *decisionlog.Log
 	metrics  *nodeMetrics
-	traffic  *traffic.Account
+	traffic  *traffic.Counters
 	beliefs  *beliefs
 	registry *registry
 	views    *belief.Store
@@ -123,13 +123,13 @@
 	n.traffic = traffic.New(n.metrics.registry)
 	n.settings.Store(s)
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.replicas.OnEnded(n.replicaEnded)
+	n.replicas.OnReplicaEnded(n.replicaEnded)
 	n.quarantine = quarantine.New(quarantine.Options{
 		Now: n.now, Changed: n.standingChanged,
 		Self: n.identity.Node, Nodes: func() []route.Node { return n.view().Nodes() },
 	})
 	n.beliefs = newBeliefs(s.DataCentre, s.Regions, extra.Bound{}, n.now)
-	n.registry = &registry{beliefs: n.beliefs, log: n.log, metrics: n.metrics, heartbeat: func() time.Duration { return n.settings.Load().Heartbeat }, onConfig: n.configInForce, onRestart: n.replicas.End, onEvacuation: n.leaveUnwanted}
+	n.registry = &registry{beliefs: n.beliefs, log: n.log, metrics: n.metrics, heartbeat: func() time.Duration { return n.settings.Load().Heartbeat }, onConfig: n.configInForce, onRestart: n.replicas.CloseRestarted, onEvacuation: n.leaveUnwanted}
 	return n
 }
 
@@ -329,7 +329,7 @@
 
 // leaveUnwanted closes the connections to replicas that are to get nothing more.
 func (n *Node) leaveUnwanted() {
-	n.replicas.Forget(func(life replica.Incarnation) bool {
+	n.replicas.Retain(func(life replica.Incarnation) bool {
 		n.beliefs.mutex.Lock()
 		defer n.beliefs.mutex.Unlock()
 		return n.beliefs.outlook.Book.Wanted(life)
@@ -379,7 +379,7 @@
 	s := n.settings.Load()
 	state := map[string]any{
 		"node": s.Node, "data_centre": s.DataCentre, "stopping": n.stopping.Load(), "in_flight": n.inFlight.Load(),
-		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Reached().Era, "connections": n.replicas.Open(),
+		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Reached().Era, "connections": n.replicas.OpenConnections(),
 	}
 	if config := n.beliefs.config.Load(); config != nil {
 		state["config_version"] = config.Version
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -118,7 +118,7 @@
 	var named []endedRequest
 	fields := decisionlog.Fields{"replica": life.ID, "born": life.Born, "in_work": len(requests)}
 	for _, one := range requests {
-		work, ok := one.Work.(inWork)
+		work, ok := one.UserData.(inWork)
 		if !ok {
 			continue
 		}
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -250,9 +250,9 @@
 	wire := q.template
 	wire.Replica = one.send.Replica.Life()
 	wire.Address = one.send.Replica.Address
-	wire.Bytes = q.node.traffic.Counter(traffic.Flow{Purpose: traffic.Replicas, To: one.send.Replica.DataCentre})
-	wire.Work = inWork{request: q, send: one}
-	wire.Late = func(response *replicaconn.Response) { q.lateAnswer(one, response) }
+	wire.ByteCounter = q.node.traffic.Counter(traffic.Flow{Purpose: traffic.Replicas, DataCentre: one.send.Replica.DataCentre})
+	wire.UserData = inWork{request: q, send: one}
+	wire.OnLate = func(response *replicaconn.Response) { q.lateAnswer(one, response) }
 	wire.MaxConnections = q.node.connectionShare(q.config, one.send.Replica)
 	one.response, one.err = q.node.replicas.Do(ctx, &wire)
 	one.verdict = q.judge(one)
--- a/internal/experiment/responder.go
+++ b/internal/experiment/responder.go
@@ -201,7 +201,7 @@
 	defer r.close()
 	client := upstream.NewClient()
 	defer client.Close()
-	client.Limit(addresses[0], heldConnections)
+	client.SetConnectionShare(addresses[0], heldConnections)
 	before := memoryInUse()
 	failures := make(chan upstream.Result, heldConnections)
 	var open sync.WaitGroup
@@ -240,11 +240,11 @@
 
 func exampleCall(address string) upstream.Call {
 	return upstream.Call{
-		Address:   address,
-		Ref:       core.ShardRef{Service: "s-0"},
-		RequestID: "vm-0001-dh3k2l9x0a-123456",
-		Customer:  "large",
-		TimeLeft:  longTimeout,
-		Body:      upstream.Body{Question: []byte("null")},
+		Address:       address,
+		Ref:           core.ShardRef{Service: "s-0"},
+		RequestID:     "vm-0001-dh3k2l9x0a-123456",
+		Customer:      "large",
+		RemainingTime: longTimeout,
+		Body:          upstream.Body{Question: []byte("null")},
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -94,10 +94,10 @@
 		inbound: map[member.Ticket]*peer.Inbound{},
 		asked:   map[member.ProbeID]asked{},
 	}
-	options.Belief.OnDrainSeen(func(address string) {
+	options.Belief.OnDrainingReported(func(address string) {
 		d.events.TryPut(member.DrainSeen{Address: address, Draining: true})
 	})
-	options.Belief.SignOfLife(options.Now)
+	options.Belief.RecordTick(options.Now)
 	d.done.Add(2)
 	go func() {
 		defer d.done.Done()
@@ -114,7 +114,7 @@
 func (d *Duty) Close() {
 	d.stop()
 	d.done.Wait()
-	d.options.Belief.SignOfLife(nil)
+	d.options.Belief.RecordTick(nil)
 }
 
 // Rings reports the depth of the duty's ring.
@@ -155,7 +155,7 @@
 			d.clearOldPause()
 			// After the step, so that the pause is set before the sign of
 			// life is young again.
-			d.options.Belief.SignOfLife(d.options.Now)
+			d.options.Belief.RecordTick(d.options.Now)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 			d.options.Belief.SetView(a.View)
 			d.options.Log.WithFields(logrus.Fields{"event": "view_changed", "nodes": len(a.View.Nodes()), "view": a.View.ID()}).Info("routing view changed")
 		case member.PublishDrains:
-			d.options.Belief.SetDrained(a.Addresses)
+			d.options.Belief.SetDraining(a.Addresses)
 		case member.SetPaused:
 			d.setPaused(a)
 		case member.Split:
--- a/internal/night/night.go
+++ b/internal/night/night.go
@@ -18,9 +18,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// Customer is the customer that probes name towards upstreams. Their question
+// ProbeCustomer is the customer that probes name towards upstreams. Their question
 // is null.
-const Customer core.Customer = "probe"
+const ProbeCustomer core.Customer = "probe"
 
 const (
 	ringDepth = 256
@@ -41,8 +41,8 @@
 	Metrics  observe.Registry
 	// ReportWithin is the time within which a dead replica is reported.
 	ReportWithin time.Duration
-	// InFlight is how many probes run at once.
-	InFlight int
+	// MaxInFlight is how many probes run at once.
+	MaxInFlight int
 }
 
 // Prober runs the duty.
@@ -79,7 +79,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Prober{
 		options:  options,
-		machine:  night.New(night.Paced(options.ReportWithin, options.InFlight)),
+		machine:  night.New(night.Paced(options.ReportWithin, options.MaxInFlight)),
 		owners:   newOwners(),
 		events:   ring.New[ended](ringDepth),
 		changed:  make(chan struct{}, 1),
@@ -109,7 +109,7 @@
 
 // Observe takes the end of a call that the upstream client made.
 func (p *Prober) Observe(call upstream.Call, result upstream.Result) {
-	if call.Customer == Customer || result.Outcome != core.Done {
+	if call.Customer == ProbeCustomer || result.Outcome != core.Done {
 		return
 	}
 	target := night.Target{Ref: call.Ref, Address: call.Address}
--- a/internal/night/probe.go
+++ b/internal/night/probe.go
@@ -17,7 +17,7 @@
 
 // begin starts a probe, unless real traffic has answered in its place.
 func (p *Prober) begin(ctx context.Context, target night.Target) night.Event {
-	sweep := night.Paced(p.options.ReportWithin, p.options.InFlight).Sweep
+	sweep := night.Paced(p.options.ReportWithin, p.options.MaxInFlight).Sweep
 	p.mutex.Lock()
 	at, ok := p.answered[target]
 	p.mutex.Unlock()
@@ -61,12 +61,12 @@
 	}
 	started := p.options.Now()
 	result := p.options.Upstream.Do(ctx, upstream.Call{
-		Address:   target.Address,
-		Ref:       target.Ref,
-		RequestID: id,
-		Customer:  Customer,
-		TimeLeft:  limit - healthShare(limit),
-		Body:      upstream.Body{Question: json.RawMessage("null")},
+		Address:       target.Address,
+		Ref:           target.Ref,
+		RequestID:     id,
+		Customer:      ProbeCustomer,
+		RemainingTime: limit - healthShare(limit),
+		Body:          upstream.Body{Question: json.RawMessage("null")},
 	})
 	if answers(result) {
 		return true, ""
--- a/internal/owner/actions.go
+++ b/internal/owner/actions.go
@@ -54,7 +54,7 @@
 	call := work.call()
 	call.Address = a.Address
 	call.Ref = s.ref
-	call.TimeLeft = a.TimeLeft
+	call.RemainingTime = a.TimeLeft
 	l.tries.Add(1)
 	go func() {
 		defer l.tries.Done()
@@ -73,7 +73,7 @@
 	result := l.send(ctx, w, call)
 	l.recordOutcome(w, call, result)
 	if result.Draining {
-		l.options.Belief.SeeDrain(call.Address)
+		l.options.Belief.ReportDraining(call.Address)
 	}
 	return result
 }
--- a/internal/owner/shard.go
+++ b/internal/owner/shard.go
@@ -61,14 +61,14 @@
 	}
 	for _, replica := range written.Replicas {
 		l.limit(s.ref, replica.Address, share)
-		config.Replicas = append(config.Replicas, admit.ReplicaConfig{Address: replica.Address, DataCentre: replica.DataCentre, Draining: replica.Draining || l.options.Belief.Drained(replica.Address)})
+		config.Replicas = append(config.Replicas, admit.ReplicaConfig{Address: replica.Address, DataCentre: replica.DataCentre, Draining: replica.Draining || l.options.Belief.Draining(replica.Address)})
 	}
 	return config
 }
 
 // limit sets the connections to one replica. With a share of 0 it is not used.
 func (l *loop) limit(ref core.ShardRef, address string, share int) {
-	l.options.Upstream.Limit(address, share)
+	l.options.Upstream.SetConnectionShare(address, share)
 	if share > 0 {
 		return
 	}
@@ -153,7 +153,7 @@
 	if config != nil && !has(config.Catalog.Shard(s.ref), address) && listed(config.Catalog, address) {
 		return
 	}
-	l.options.Upstream.Forget(address)
+	l.options.Upstream.Remove(address)
 }
 
 func has(written *catalog.Shard, address string) bool {
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -129,7 +129,7 @@
 	if refusal != nil {
 		return upstream.Result{Outcome: refusal.Outcome, Reason: refusal.Reason, Load: -1}
 	}
-	call.TimeLeft = left
+	call.RemainingTime = left
 	result := l.options.Upstream.Do(ctx, call)
 	submit.ended(result.Outcome)
 	return result
--- a/internal/replicaconn/client.go
+++ b/internal/replicaconn/client.go
@@ -58,8 +58,8 @@
 	// Replica is the incarnation meant, Address where it listens.
 	Replica replica.Incarnation
 	Address string
-	// Bytes, when set, counts what a connection that is opened for the request carries.
-	Bytes metrics.Counter
+	// ByteCounter, when set, counts what a connection that is opened for the request carries.
+	ByteCounter metrics.Counter
 	// MaxConnections bounds this node's connections to the replica.
 	MaxConnections int
 	Method         string
@@ -75,11 +75,11 @@
 	Once bool
 	// Stream requests take a long answer in pieces: see Response.Rest.
 	Stream bool
-	// Late, when set, is told a whole answer that came after the context had ended:
+	// OnLate, when set, is told a whole answer that came after the context had ended:
 	// the replica is slow, not dead. It must not block.
-	Late func(*Response)
-	// Work is handed to Client.OnEnded as it is.
-	Work any
+	OnLate func(*Response)
+	// UserData is handed to Client.OnReplicaEnded as it is.
+	UserData any
 }
 
 // Response is an answer.
@@ -145,10 +145,10 @@
 	refuses func(h *host, request *Request) bool
 }
 
-// OnEnded sets who is told that a replica has ended while requests were in work there. It is told after the
+// OnReplicaEnded sets who is told that a replica has ended while requests were in work there. It is told after the
 // requests' own ends, also of those whose answers nobody waited for any more, and may be told again of
 // the same incarnation. It must be set before the first request, and must not block.
-func (c *Client) OnEnded(listener func(life replica.Incarnation, inWork []*Request)) {
+func (c *Client) OnReplicaEnded(listener func(life replica.Incarnation, inWork []*Request)) {
 	c.onEnded = listener
 }
 
@@ -159,15 +159,15 @@
 	return c
 }
 
-// Opened counts the connections opened since the start.
-func (c *Client) Opened() int64 {
+// ConnectionsOpened counts the connections opened since the start.
+func (c *Client) ConnectionsOpened() int64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.opened
 }
 
-// Open counts the connections that are open now.
-func (c *Client) Open() int {
+// OpenConnections counts the connections that are open now.
+func (c *Client) OpenConnections() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	total := 0
@@ -177,8 +177,8 @@
 	return total
 }
 
-// Waiting counts the requests that wait for a free connection.
-func (c *Client) Waiting() int {
+// WaitingRequests counts the requests that wait for a free connection.
+func (c *Client) WaitingRequests() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	total := 0
@@ -198,10 +198,10 @@
 	}
 }
 
-// Forget closes the idle connections to replicas that are not wanted any more, and tells who waits
+// Retain closes the idle connections to replicas that are not wanted any more, and tells who waits
 // for one that nothing was sent. Otherwise a request that waits for seconds at a busy replica would
 // reach it long after the replica began to leave.
-func (c *Client) Forget(wanted func(life replica.Incarnation) bool) {
+func (c *Client) Retain(wanted func(life replica.Incarnation) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for life, h := range c.hosts {
@@ -216,10 +216,10 @@
 	}
 }
 
-// End ends all connections to an incarnation that has started again since. No answer can come
+// CloseRestarted ends all connections to an incarnation that has started again since. No answer can come
 // on them any more: what was sent on one may have run, and who waits for one is told at once
 // in place of at its deadline.
-func (c *Client) End(life replica.Incarnation) {
+func (c *Client) CloseRestarted(life replica.Incarnation) {
 	c.mutex.Lock()
 	h := c.hosts[life]
 	if h == nil {
--- a/internal/replicaconn/client_test.go
+++ b/internal/replicaconn/client_test.go
@@ -60,7 +60,7 @@
 		require.Equal(t, http.StatusOK, response.Status)
 		require.Len(t, response.Body, 64)
 	}
-	require.EqualValues(t, 1, client.Opened())
+	require.EqualValues(t, 1, client.ConnectionsOpened())
 	seen := replica.Arrivals()[0]
 	require.Equal(t, "/a%2fb?q=1", seen.Target)
 	require.Equal(t, "i-1", seen.Header.Get("Pistachiopier-Target-Instance"))
@@ -112,7 +112,7 @@
 	_, err := do(t, client, request(replica, "r1"))
 	require.NoError(t, err)
 	replica.Close()
-	require.Eventually(t, func() bool { return client.Open() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return client.OpenConnections() == 0 }, 10*time.Second, time.Millisecond)
 	_, err = do(t, client, request(replica, "r2"))
 	var failed *replicaconn.Error
 	require.ErrorAs(t, err, &failed)
@@ -135,7 +135,7 @@
 	for range 3 {
 		require.NoError(t, <-errs)
 	}
-	require.EqualValues(t, 1, client.Opened())
+	require.EqualValues(t, 1, client.ConnectionsOpened())
 }
 
 // Another replica answered first. The loser's answer comes a moment later: it keeps the
@@ -145,7 +145,7 @@
 	replica.SetWork(20 * time.Millisecond)
 	late := make(chan *replicaconn.Response, 1)
 	one := request(replica, "r1")
-	one.Late = func(response *replicaconn.Response) { late <- response }
+	one.OnLate = func(response *replicaconn.Response) { late <- response }
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for len(replica.Arrivals()) == 0 {
@@ -158,7 +158,7 @@
 	require.Equal(t, http.StatusOK, (<-late).Status)
 	_, err = do(t, client, request(replica, "r2"))
 	require.NoError(t, err)
-	require.EqualValues(t, 1, client.Opened())
+	require.EqualValues(t, 1, client.ConnectionsOpened())
 }
 
 // A caller leaves while a replica hangs. The replica must be released: it drops the work
@@ -206,7 +206,7 @@
 			errs <- err
 		}()
 	}
-	require.Eventually(t, func() bool { return client.Waiting() == 3 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return client.WaitingRequests() == 3 }, 10*time.Second, time.Millisecond)
 	replica.Close()
 	for range 4 {
 		select {
@@ -234,7 +234,7 @@
 		require.NoError(t, err)
 		require.Equal(t, long, string(response.Body)+string(rest))
 	}
-	require.EqualValues(t, 1, client.Opened())
+	require.EqualValues(t, 1, client.ConnectionsOpened())
 	_, err := do(t, client, request(replica, "r3"))
 	require.NoError(t, err, "a request that does not stream takes up to 8 MB whole")
 }
@@ -254,7 +254,7 @@
 		if !forgotten {
 			require.NoError(t, response.Rest.Close())
 		}
-		require.Eventually(t, func() bool { return client.Open() == 0 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return client.OpenConnections() == 0 }, 10*time.Second, time.Millisecond)
 		_, err = io.ReadAll(response.Rest)
 		require.Error(t, err)
 	}
@@ -277,8 +277,8 @@
 			ended <- err
 		}()
 	}
-	require.Eventually(t, func() bool { return len(one.Arrivals()) == 1 && client.Waiting() == 1 }, 10*time.Second, time.Millisecond)
-	client.End(former.Replica)
+	require.Eventually(t, func() bool { return len(one.Arrivals()) == 1 && client.WaitingRequests() == 1 }, 10*time.Second, time.Millisecond)
+	client.CloseRestarted(former.Replica)
 	sent := 0
 	for range 2 {
 		var failed *replicaconn.Error
@@ -315,7 +315,7 @@
 		require.Eventually(t, func() bool { return len(one.Arrivals()) == i+1 }, 10*time.Second, time.Millisecond)
 		cancel()
 		require.Error(t, <-gone)
-		require.Eventually(t, func() bool { return client.Open() == 0 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return client.OpenConnections() == 0 }, 10*time.Second, time.Millisecond)
 	}
 	one.SetAct(always(platformtest.Answer))
 	_, err := do(t, client, request(one, "r4"))
@@ -342,8 +342,8 @@
 			waiting <- err
 		}()
 	}
-	require.Eventually(t, func() bool { return client.Waiting() == 2 }, 10*time.Second, time.Millisecond)
-	client.Forget(func(replica.Incarnation) bool { return false })
+	require.Eventually(t, func() bool { return client.WaitingRequests() == 2 }, 10*time.Second, time.Millisecond)
+	client.Retain(func(replica.Incarnation) bool { return false })
 	for range 2 {
 		var failed *replicaconn.Error
 		require.ErrorAs(t, <-waiting, &failed)
--- a/internal/replicaconn/conn.go
+++ b/internal/replicaconn/conn.go
@@ -264,8 +264,8 @@
 	c.writing = nil
 	late := one.timer != nil && one.timer.Stop()
 	c.mutex.Unlock()
-	if late && one.request.Late != nil {
-		one.request.Late(response)
+	if late && one.request.OnLate != nil {
+		one.request.OnLate(response)
 	}
 	if response.Rest != nil {
 		if late {
--- a/internal/replicaconn/doubt_test.go
+++ b/internal/replicaconn/doubt_test.go
@@ -18,7 +18,7 @@
 	defer client.Close()
 	client.hosts[life] = &host{connections: map[*conn]struct{}{}}
 	told := make(chan []*Request, 2)
-	client.OnEnded(func(_ replica.Incarnation, inWork []*Request) { told <- inWork })
+	client.OnReplicaEnded(func(_ replica.Incarnation, inWork []*Request) { told <- inWork })
 	asked, proceed := make(chan *Request, 2), make(chan bool, 2)
 	client.refuses = func(_ *host, request *Request) bool {
 		asked <- request
--- a/internal/replicaconn/ended_test.go
+++ b/internal/replicaconn/ended_test.go
@@ -14,7 +14,7 @@
 // ends collects what a client tells of replicas that ended: the ids of the requests in work.
 func ends(client *replicaconn.Client) <-chan []string {
 	told := make(chan []string, 16)
-	client.OnEnded(func(_ replica.Incarnation, inWork []*replicaconn.Request) {
+	client.OnReplicaEnded(func(_ replica.Incarnation, inWork []*replicaconn.Request) {
 		var ids []string
 		for _, one := range inWork {
 			ids = append(ids, one.ID)
--- a/internal/replicaconn/host.go
+++ b/internal/replicaconn/host.go
@@ -199,8 +199,8 @@
 		c.ended(life, nil)
 		return dialed{err: err}
 	}
-	if request.Bytes != nil {
-		stream = counted{stream, request.Bytes}
+	if request.ByteCounter != nil {
+		stream = counted{stream, request.ByteCounter}
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -29,31 +29,31 @@
 // Flow is one kind of bytes.
 type Flow struct {
 	Purpose Purpose
-	// To is the data centre at the other end, "" where it is not known.
-	To string
+	// DataCentre is the data centre at the other end, "" where it is not known.
+	DataCentre string
 }
 
-// Account counts bytes. It is safe for concurrent use.
-type Account struct {
+// Counters counts bytes. It is safe for concurrent use.
+type Counters struct {
 	registry observe.Registry
 	mutex    sync.RWMutex
 	flows    map[Flow]metrics.Counter
 }
 
 // New makes an account whose counters are in a registry, as bytes_total.
-func New(registry observe.Registry) *Account {
-	return &Account{registry: registry, flows: map[Flow]metrics.Counter{}}
+func New(registry observe.Registry) *Counters {
+	return &Counters{registry: registry, flows: map[Flow]metrics.Counter{}}
 }
 
 // Counter returns the counter of a flow. Its number is that of purposes times data centres.
-func (a *Account) Counter(flow Flow) metrics.Counter {
+func (a *Counters) Counter(flow Flow) metrics.Counter {
 	a.mutex.RLock()
 	counter := a.flows[flow]
 	a.mutex.RUnlock()
 	if counter != nil {
 		return counter
 	}
-	counter = observe.Counter(a.registry, observe.Labelled("bytes_total", "purpose", string(flow.Purpose), "data_centre", flow.To))
+	counter = observe.Counter(a.registry, observe.Labelled("bytes_total", "purpose", string(flow.Purpose), "data_centre", flow.DataCentre))
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.flows[flow] = counter
@@ -61,15 +61,15 @@
 }
 
 // Add counts bytes of a flow.
-func (a *Account) Add(flow Flow, bytes int) { a.Counter(flow).Inc(int64(bytes)) }
+func (a *Counters) Add(flow Flow, bytes int) { a.Counter(flow).Inc(int64(bytes)) }
 
-// Far sums by purpose what went to or came from other data centres than the given one.
-func (a *Account) Far(home string) map[Purpose]int64 {
+// RemoteBytes sums by purpose what went to or came from other data centres than the given one.
+func (a *Counters) RemoteBytes(home string) map[Purpose]int64 {
 	a.mutex.RLock()
 	defer a.mutex.RUnlock()
 	far := map[Purpose]int64{}
 	for flow, counter := range a.flows {
-		if flow.To != home {
+		if flow.DataCentre != home {
 			far[flow.Purpose] += counter.Count()
 		}
 	}
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -17,7 +17,7 @@
 	account.Add(Flow{Heartbeats, "b"}, 20)
 	account.Add(Flow{Heartbeats, "c"}, 3)
 	account.Counter(Flow{Replicas, "b"}).Inc(7)
-	require.Equal(t, map[Purpose]int64{Heartbeats: 23, Replicas: 7}, account.Far("a"))
+	require.Equal(t, map[Purpose]int64{Heartbeats: 23, Replicas: 7}, account.RemoteBytes("a"))
 	var text bytes.Buffer
 	observe.WriteText(&text, registry)
 	require.Contains(t, text.String(), `pistachiopier_bytes_total{purpose="heartbeats",data_centre="b"} 20`)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -42,9 +42,9 @@
 	Customer  core.Customer
 	// Version is the index version wanted; 0 takes the newest.
 	Version core.Version
-	// TimeLeft is the time to the caller's deadline.
-	TimeLeft time.Duration
-	Body     Body
+	// RemainingTime is the time to the caller's deadline.
+	RemainingTime time.Duration
+	Body          Body
 	// SubmitKey marks a must-not-repeat request. It is sent once.
 	SubmitKey string
 }
@@ -92,9 +92,9 @@
 	return &Client{hosts: map[string]*host{}, forgotten: map[string]struct{}{}, submitIdle: maxSubmitIdle}
 }
 
-// OnDropped sets who is told of each crossed or cut reply. It must not block and
+// OnDroppedReply sets who is told of each crossed or cut reply. It must not block and
 // must be set before the first call.
-func (c *Client) OnDropped(listener func(address, why string)) { c.onDropped = listener }
+func (c *Client) OnDroppedReply(listener func(address, why string)) { c.onDropped = listener }
 
 // DroppedReplies counts crossed or cut replies.
 func (c *Client) DroppedReplies() int64 { return c.dropped.Load() }
@@ -111,7 +111,7 @@
 
 func (c *Client) do(ctx context.Context, call Call) Result {
 	started := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, call.TimeLeft)
+	ctx, cancel := context.WithTimeout(ctx, call.RemainingTime)
 	defer cancel()
 	for {
 		result, stale := c.try(ctx, call)
@@ -220,7 +220,7 @@
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderRequestID, call.RequestID)
 	header.Set(HeaderCustomer, string(call.Customer))
-	header.Set(HeaderTimeLeft, strconv.FormatInt(call.TimeLeft.Milliseconds(), decimal))
+	header.Set(HeaderTimeLeft, strconv.FormatInt(call.RemainingTime.Milliseconds(), decimal))
 	if call.Version != 0 {
 		header.Set(HeaderVersion, strconv.FormatUint(uint64(call.Version), decimal))
 	}
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -21,10 +21,10 @@
 	client := upstream.NewClient()
 	client.DetectEnded()
 	t.Cleanup(client.Close)
-	client.Limit(one.Address(), 2)
+	client.SetConnectionShare(one.Address(), 2)
 	ask := func(question string) upstream.Result {
 		return client.Do(context.Background(), upstream.Call{
-			Address: one.Address(), Ref: core.ShardRef{Service: "s"}, RequestID: "r", TimeLeft: 5 * time.Second,
+			Address: one.Address(), Ref: core.ShardRef{Service: "s"}, RequestID: "r", RemainingTime: 5 * time.Second,
 			Body: upstream.Body{Question: json.RawMessage(question)},
 		})
 	}
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -17,8 +17,8 @@
 // Observer is told the end of each call. It must not block.
 type Observer func(call Call, result Result)
 
-// Observe sets the observer. It must be called before the first call.
-func (c *Client) Observe(observer Observer) { c.observer = observer }
+// SetObserver sets the observer. It must be called before the first call.
+func (c *Client) SetObserver(observer Observer) { c.observer = observer }
 
 // Health asks an upstream for its own word: the status with the start of its text, or the failure.
 func (c *Client) Health(ctx context.Context, address string, timeout time.Duration) (string, error) {
--- a/internal/upstream/share.go
+++ b/internal/upstream/share.go
@@ -148,10 +148,10 @@
 	return err
 }
 
-// Limit sets how many connections the client may hold to an address; 0 is none.
+// SetConnectionShare sets how many connections the client may hold to an address; 0 is none.
 // What runs keeps its connection; a new one is opened only while fewer than the
 // share are open, those of the former share included.
-func (c *Client) Limit(address string, connections int) {
+func (c *Client) SetConnectionShare(address string, connections int) {
 	connections = max(connections, 0)
 	if former := c.setLimit(address, connections); former != nil {
 		former.CloseIdleConnections()
@@ -176,8 +176,8 @@
 	return former
 }
 
-// Forget closes the idle connections to an address that has left the text.
-func (c *Client) Forget(address string) {
+// Remove closes the idle connections to an address that has left the text.
+func (c *Client) Remove(address string) {
 	if former := c.forget(address); former != nil {
 		former.CloseIdleConnections()
 		c.suspects.forget(address)
--- a/internal/upstream/share_test.go
+++ b/internal/upstream/share_test.go
@@ -51,7 +51,7 @@
 }
 
 func (r *countingReplica) call(id string, timeLeft time.Duration) upstream.Call {
-	return upstream.Call{Address: r.Listener.Addr().String(), Ref: core.ShardRef{Service: "prices"}, RequestID: id, TimeLeft: timeLeft}
+	return upstream.Call{Address: r.Listener.Addr().String(), Ref: core.ShardRef{Service: "prices"}, RequestID: id, RemainingTime: timeLeft}
 }
 
 // hold starts requests that stay in work; the function returned ends them.
@@ -93,12 +93,12 @@
 			client := upstream.NewClient()
 			t.Cleanup(client.Close)
 			address := replica.Listener.Addr().String()
-			client.Limit(address, 4)
+			client.SetConnectionShare(address, 4)
 			end := replica.hold(t, client, 4)
 			if forget {
-				client.Forget(address)
+				client.Remove(address)
 			}
-			client.Limit(address, 1)
+			client.SetConnectionShare(address, 1)
 			waited := client.Do(context.Background(), replica.call("waits", shortTime))
 			require.Equal(t, core.NotRun, waited.Outcome)
 			require.Equal(t, core.ReasonDeadline, waited.Reason)
@@ -121,11 +121,11 @@
 	client := upstream.NewClient()
 	t.Cleanup(client.Close)
 	address := replica.Listener.Addr().String()
-	client.Limit(address, 1)
+	client.SetConnectionShare(address, 1)
 	require.Equal(t, core.Done, client.Do(context.Background(), replica.call("first", longTime)).Outcome)
-	client.Limit(address, 0)
+	client.SetConnectionShare(address, 0)
 	require.Equal(t, core.NotRun, client.Do(context.Background(), replica.call("second", longTime)).Outcome)
 	require.EqualValues(t, 1, replica.accepted.Load())
-	client.Limit(address, 2)
+	client.SetConnectionShare(address, 2)
 	require.Equal(t, core.Done, client.Do(context.Background(), replica.call("third", longTime)).Outcome)
 }
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -98,10 +98,10 @@
 	f := startForwarder(t, replica.Address())
 	client := upstream.NewClient()
 	t.Cleanup(client.Close)
-	client.Limit(f.listener.Addr().String(), connections)
+	client.SetConnectionShare(f.listener.Addr().String(), connections)
 	told := make(chan bool, connections)
 	client.OnSilent(func(_ string, silent bool) { told <- silent })
-	call := upstream.Call{Address: f.listener.Addr().String(), Ref: core.ShardRef{Service: "stems"}, RequestID: "r", TimeLeft: 10 * time.Second}
+	call := upstream.Call{Address: f.listener.Addr().String(), Ref: core.ShardRef{Service: "stems"}, RequestID: "r", RemainingTime: 10 * time.Second}
 
 	var running sync.WaitGroup
 	for range connections {
@@ -112,7 +112,7 @@
 
 	f.silence()
 	short := call
-	short.TimeLeft = 200 * time.Millisecond
+	short.RemainingTime = 200 * time.Millisecond
 	first := client.Do(context.Background(), short)
 	require.Equal(t, core.Unknown, first.Outcome, "it was sent, and nobody knows whether it ran")
 	require.Equal(t, core.ReasonDeadline, first.Reason)
--- a/internal/upstream/submit_test.go
+++ b/internal/upstream/submit_test.go
@@ -77,7 +77,7 @@
 }
 
 func (s *breakingServer) call(id, key string) Call {
-	return Call{Address: s.listener.Addr().String(), RequestID: id, SubmitKey: key, TimeLeft: awaitLimit, Body: Body{Question: []byte(`1`)}}
+	return Call{Address: s.listener.Addr().String(), RequestID: id, SubmitKey: key, RemainingTime: awaitLimit, Body: Body{Question: []byte(`1`)}}
 }
 
 // A kitchen manager's invoice is recorded twice. A reused connection breaks
