--- a/internal/replicaconn/bench_test.go
+++ b/internal/replicaconn/bench_test.go
@@ -15,14 +15,14 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/replica"
 )
 
-// plainWire adds nothing and checks nothing.
+// plainWire is a Wire without headers of its own.
 type plainWire struct{}
 
 func (plainWire) Mark(http.Header, string, time.Duration) {}
 func (plainWire) EchoedID(http.Header) string             { return "" }
 func (plainWire) NotRun(int, http.Header) bool            { return false }
 
-// respond answers every request with the same 200 bytes, as cheaply as it can.
+// respond answers every request with the same 200 bytes at the least cost.
 func respond(listener net.Listener) {
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 200\r\nPistachiopier-Server-Stamp: 3e1b.07.5a2.600.0.c9f2a4d1\r\n\r\n" + strings.Repeat("r", 200))
 	for {
@@ -51,8 +51,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkSend is what one send to a replica over a kept connection costs, processor time of the
-// responder and the loopback included.
+// BenchmarkSend measures one send to a replica over a kept connection, including the processor
+// time of the responder and of the loopback interface.
 func BenchmarkSend(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/replicaconn/client_test.go
+++ b/internal/replicaconn/client_test.go
@@ -41,11 +41,11 @@
 	}
 }
 
-func do(t *testing.T, client *replicaconn.Client, one *replicaconn.Request) (*replicaconn.Response, error) {
+func do(t *testing.T, client *replicaconn.Client, req *replicaconn.Request) (*replicaconn.Response, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	return client.Do(ctx, one)
+	return client.Do(ctx, req)
 }
 
 func always(act platformtest.Act) func(platformtest.Seen) platformtest.Act {
@@ -67,8 +67,8 @@
 	require.Greater(t, seen.TimeLeft, 5*time.Second)
 }
 
-// A replica breaks an answer off, spoils it, or resets the connection within an answer
-// that has no length. A caller that took it for whole would show half a list.
+// Guards against an answer that was cut short, garbled or reset without a length being taken
+// for whole: the caller would show half a list.
 func TestAnswersThatAreNotWholeAreErrors(t *testing.T) {
 	for _, act := range []platformtest.Act{platformtest.Cut, platformtest.UnframedReset, platformtest.Garbage, platformtest.Lose} {
 		client, replica := start(t)
@@ -76,8 +76,8 @@
 		_, err := do(t, client, request(replica, "r1"))
 		var failed *replicaconn.Error
 		require.ErrorAs(t, err, &failed, "act %d", act)
-		require.True(t, failed.Sent, "it may have run")
-		require.Len(t, replica.Arrivals(), 1, "nothing is sent again behind the back of the budget")
+		require.True(t, failed.Sent, "the request may have run")
+		require.Len(t, replica.Arrivals(), 1, "the client must not resend on its own: that would bypass the retry budget")
 	}
 }
 
@@ -89,8 +89,8 @@
 	require.Len(t, response.Body, 64)
 }
 
-// A replica sends a second answer to one request. It lies in the connection where the
-// next request's answer is expected, and the next caller would get another's answer.
+// A replica sends a second answer to one request. It arrives where the next request's answer is
+// expected, and the next caller would get the answer to another request.
 func TestAnExtraAnswerIsNotTakenForTheNextOne(t *testing.T) {
 	for _, act := range []platformtest.Act{platformtest.Extra, platformtest.ExtraLater} {
 		client, replica := start(t)
@@ -105,8 +105,8 @@
 	}
 }
 
-// The replica closes an idle connection. The next request must not meet it and count
-// as sent: for an invoice that would mean "unknown".
+// The replica closes an idle connection. If the next request were sent on it, it would count as
+// sent, and the outcome of a request that must not be repeated would be "unknown".
 func TestAClosedIdleConnectionIsNotUsed(t *testing.T) {
 	client, replica := start(t)
 	_, err := do(t, client, request(replica, "r1"))
@@ -116,19 +116,19 @@
 	_, err = do(t, client, request(replica, "r2"))
 	var failed *replicaconn.Error
 	require.ErrorAs(t, err, &failed)
-	require.False(t, failed.Sent, "no connection was had, so it has not run")
+	require.False(t, failed.Sent, "without a connection the request has not run")
 }
 
-// Two requests want the one connection that the node may hold. The second waits for it
-// and is sent once, with the time that is then left.
-func TestRequestsBeyondTheConnectionsWait(t *testing.T) {
+// Three requests need the one connection that the node may hold. The others wait for it, and
+// each is sent once on the same connection.
+func TestRequestsBeyondTheConnectionLimitWait(t *testing.T) {
 	client, replica := start(t)
 	replica.SetWork(30 * time.Millisecond)
 	errs := make(chan error, 3)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		one := request(replica, id)
+		req := request(replica, id)
 		go func() {
-			_, err := client.Do(t.Context(), one)
+			_, err := client.Do(t.Context(), req)
 			errs <- err
 		}()
 	}
@@ -138,14 +138,14 @@
 	require.EqualValues(t, 1, client.ConnectionsOpened())
 }
 
-// Another replica answered first. The loser's answer comes a moment later: it keeps the
-// connection usable and says that the replica is alive.
-func TestALateAnswerIsToldAndItsConnectionKept(t *testing.T) {
+// The answer of the slower replica of a hedged request must still be received: it keeps the
+// connection usable and shows that the replica is alive.
+func TestALateAnswerIsReportedAndItsConnectionKept(t *testing.T) {
 	client, replica := start(t)
 	replica.SetWork(20 * time.Millisecond)
 	late := make(chan *replicaconn.Response, 1)
-	one := request(replica, "r1")
-	one.OnLate = func(response *replicaconn.Response) { late <- response }
+	req := request(replica, "r1")
+	req.OnLate = func(response *replicaconn.Response) { late <- response }
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for len(replica.Arrivals()) == 0 {
@@ -153,7 +153,7 @@
 		}
 		cancel()
 	}()
-	_, err := client.Do(ctx, one)
+	_, err := client.Do(ctx, req)
 	require.ErrorIs(t, err, context.Canceled)
 	require.Equal(t, http.StatusOK, (<-late).Status)
 	_, err = do(t, client, request(replica, "r2"))
@@ -161,8 +161,8 @@
 	require.EqualValues(t, 1, client.ConnectionsOpened())
 }
 
-// A caller leaves while a replica hangs. The replica must be released: it drops the work
-// when the connection closes.
+// The request's context ends while the replica hangs. The connection must be closed, as only
+// then does the replica stop the work.
 func TestAHangingExchangeIsClosedAfterItsCallerLeft(t *testing.T) {
 	client, replica := start(t)
 	replica.SetAct(always(platformtest.Hang))
@@ -173,10 +173,10 @@
 	require.Eventually(t, func() bool { return replica.Abandoned() == 1 }, 10*time.Second, time.Millisecond)
 }
 
-// A replica resets connections beyond its limit, which processes that lost power still
-// fill. Each request would open another one, be reset and be sent again: 38,000 resets in
-// ten seconds were seen. After a refusal nothing is opened for a moment, and a request
-// that finds none open has truthfully not run.
+// A replica resets connections beyond its limit, while processes that lost power still hold its
+// connections. Without a pause each request would open another one, be reset and be sent again:
+// 38,000 resets in ten seconds were seen. During the pause nothing is opened, and a request that
+// finds no open connection has not run.
 func TestAReplicaThatEndsNewConnectionsIsLeftAlone(t *testing.T) {
 	client, replica := start(t)
 	replica.SetAct(always(platformtest.Lose))
@@ -193,16 +193,16 @@
 	require.Less(t, len(replica.Arrivals()), 100)
 }
 
-// Requests wait for the one connection to a replica, which dies under the first of them. All
-// must learn of it at once; one alone was told, and the others waited to their deadlines.
-func TestAllWhoWaitLearnThatAReplicaIsGone(t *testing.T) {
+// Requests wait for the one connection to a replica, which ends during the first of them. All must
+// fail at once. A fault woke only one of them, and the others waited until their deadlines.
+func TestAllWaitingRequestsFailWhenAReplicaEnds(t *testing.T) {
 	client, replica := start(t)
 	replica.SetAct(always(platformtest.Hang))
 	errs := make(chan error, 4)
 	for _, id := range []string{"r1", "r2", "r3", "r4"} {
-		one := request(replica, id)
+		req := request(replica, id)
 		go func() {
-			_, err := client.Do(t.Context(), one)
+			_, err := client.Do(t.Context(), req)
 			errs <- err
 		}()
 	}
@@ -213,20 +213,20 @@
 		case err := <-errs:
 			require.Error(t, err)
 		case <-time.After(10 * time.Second):
-			require.Fail(t, "a request still waits")
+			require.Fail(t, "a request is still waiting")
 		}
 	}
 }
 
-// A long answer is read in pieces. The next request must wait for its end: it would
-// otherwise read the rest of it as its own answer.
+// A long answer is read in pieces. The next request must wait until it is read to its end;
+// otherwise it would read the rest of it as its own answer.
 func TestAConnectionIsFreeOnceALongAnswerIsRead(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 3<<20/16)
 	client, replica := startWith(t, long)
 	for _, id := range []string{"r1", "r2"} {
-		one := request(replica, id)
-		one.Stream = true
-		response, err := do(t, client, one)
+		req := request(replica, id)
+		req.Stream = true
+		response, err := do(t, client, req)
 		require.NoError(t, err)
 		require.NotNil(t, response.Rest)
 		require.EqualValues(t, len(long), response.Length)
@@ -236,20 +236,20 @@
 	}
 	require.EqualValues(t, 1, client.ConnectionsOpened())
 	_, err := do(t, client, request(replica, "r3"))
-	require.NoError(t, err, "a request that does not stream takes up to 8 MB whole")
+	require.NoError(t, err, "without Stream up to 8 MB are read into memory")
 }
 
-// A caller leaves in the middle of a long answer, or forgets its rest until the time of the
-// request is over. The connection must not be used again, and must not stay open either.
+// A caller leaves in the middle of a long answer, or does not read the rest before the deadline.
+// The connection must be closed and not reused.
 func TestALongAnswerThatIsNotReadEndsItsConnection(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 8<<20/16)
 	for _, forgotten := range []bool{false, true} {
 		client, replica := startWith(t, long)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		one := request(replica, "r1")
-		one.Stream = true
-		response, err := client.Do(ctx, one)
+		req := request(replica, "r1")
+		req.Stream = true
+		response, err := client.Do(ctx, req)
 		require.NoError(t, err)
 		if !forgotten {
 			require.NoError(t, response.Rest.Close())
@@ -260,15 +260,15 @@
 	}
 }
 
-// A replica dies in the dark while it works and starts again under its id. Its old connections
-// hang without a reset, and whoever waits on one would wait to the deadline for an answer that
-// cannot come.
+// A replica loses power while it works and starts again under its id. Its old connections hang
+// without a reset, and requests on them would wait until their deadlines for an answer that cannot
+// come.
 func TestNothingIsAwaitedFromAFormerLife(t *testing.T) {
-	client, one := start(t)
-	one.SetAct(always(platformtest.Hang))
+	client, server := start(t)
+	server.SetAct(always(platformtest.Hang))
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	former := request(one, "r-1")
+	former := request(server, "r-1")
 	ended := make(chan error, 2)
 	for range 2 {
 		// The second waits for the only connection.
@@ -277,7 +277,7 @@
 			ended <- err
 		}()
 	}
-	require.Eventually(t, func() bool { return len(one.Arrivals()) == 1 && client.WaitingRequests() == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(server.Arrivals()) == 1 && client.WaitingRequests() == 1 }, 10*time.Second, time.Millisecond)
 	client.CloseRestarted(former.Replica)
 	sent := 0
 	for range 2 {
@@ -287,58 +287,58 @@
 			sent++
 		}
 	}
-	require.Equal(t, 1, sent, "the one that was sent may have run, the other did not leave")
-	one.SetAct(always(platformtest.Answer))
-	again := request(one, "r-2")
+	require.Equal(t, 1, sent, "the one that was sent may have run, the other was not sent")
+	server.SetAct(always(platformtest.Answer))
+	again := request(server, "r-2")
 	again.Replica.Born = 7
 	response, err := client.Do(ctx, again)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.Status)
-	_, err = client.Do(ctx, request(one, "r-3"))
+	_, err = client.Do(ctx, request(server, "r-3"))
 	var failed *replicaconn.Error
 	require.ErrorAs(t, err, &failed)
 	require.False(t, failed.Sent)
 }
 
-// A request is given up and its connection closed by this node. That says nothing of whether the
-// replica takes connections.
-func TestWhatThisNodeGivesUpIsNoRefusal(t *testing.T) {
-	client, one := start(t)
-	one.SetAct(always(platformtest.Hang))
+// This node gives up a request and closes its connection. That must not count as a refusal of
+// connections by the replica.
+func TestConnectionsClosedLocallyAreNoRefusals(t *testing.T) {
+	client, server := start(t)
+	server.SetAct(always(platformtest.Hang))
 	for i, id := range []string{"r1", "r2", "r3"} {
 		ctx, cancel := context.WithCancel(t.Context())
 		gone := make(chan error, 1)
 		go func() {
-			_, err := client.Do(ctx, request(one, id))
+			_, err := client.Do(ctx, request(server, id))
 			gone <- err
 		}()
-		require.Eventually(t, func() bool { return len(one.Arrivals()) == i+1 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return len(server.Arrivals()) == i+1 }, 10*time.Second, time.Millisecond)
 		cancel()
 		require.Error(t, <-gone)
 		require.Eventually(t, func() bool { return client.OpenConnections() == 0 }, 10*time.Second, time.Millisecond)
 	}
-	one.SetAct(always(platformtest.Answer))
-	_, err := do(t, client, request(one, "r4"))
-	require.NoError(t, err, "it is not refused for former ends")
+	server.SetAct(always(platformtest.Answer))
+	_, err := do(t, client, request(server, "r4"))
+	require.NoError(t, err, "connections closed by this node must not cause a pause")
 }
 
-// A replica begins to leave while requests wait for its only connection. Left to wait, they would reach
-// it seconds later, when its operators count on it having no more work; nothing was sent, so that they
-// can go elsewhere at once. What is in work goes on.
+// A replica begins to drain while requests wait for its only connection. If they kept waiting, they
+// would reach it seconds later, when its operators expect it to have no more work. Nothing was sent,
+// so they must fail at once and can go to another replica. The request in flight goes on.
 func TestWhoWaitsForAReplicaThatLeavesIsToldAtOnce(t *testing.T) {
-	client, one := start(t)
-	one.SetAct(always(platformtest.Hang))
+	client, server := start(t)
+	server.SetAct(always(platformtest.Hang))
 	ctx, leave := context.WithCancel(t.Context())
 	first := make(chan error, 1)
 	go func() {
-		_, err := client.Do(ctx, request(one, "r1"))
+		_, err := client.Do(ctx, request(server, "r1"))
 		first <- err
 	}()
-	require.Eventually(t, func() bool { return len(one.Arrivals()) == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(server.Arrivals()) == 1 }, 10*time.Second, time.Millisecond)
 	waiting := make(chan error, 2)
 	for _, id := range []string{"r2", "r3"} {
 		go func() {
-			_, err := client.Do(ctx, request(one, id))
+			_, err := client.Do(ctx, request(server, id))
 			waiting <- err
 		}()
 	}
@@ -349,8 +349,8 @@
 		require.ErrorAs(t, <-waiting, &failed)
 		require.False(t, failed.Sent)
 	}
-	require.Empty(t, first, "what is in work goes on")
+	require.Empty(t, first, "the request in flight must go on")
 	leave()
 	require.ErrorIs(t, <-first, context.Canceled)
-	require.Len(t, one.Arrivals(), 1)
+	require.Len(t, server.Arrivals(), 1)
 }
--- a/internal/replicaconn/conn.go
+++ b/internal/replicaconn/conn.go
@@ -18,47 +18,47 @@
 )
 
 const (
-	readBuffer = 4 << 10
-	// maxStrayAnswers is how many answers to other requests are skipped on a
-	// connection before it is given up.
+	readBufferBytes = 4 << 10
+	// maxStrayAnswers is how many answers to other requests are skipped on a connection
+	// before it is closed.
 	maxStrayAnswers = 2
-	// inlineBody is the longest body that is written before the answer is looked
-	// at; it fits the smallest send buffer. A replica may answer before it reads a
-	// longer one, which is therefore written beside the reading.
-	inlineBody = 8 << 10
+	// maxInlineBodyBytes is the length up to which a body is written before the answer is
+	// read; it fits the smallest send buffer. A replica may answer before it has read a
+	// longer body, which is therefore written concurrently with the reading.
+	maxInlineBodyBytes = 8 << 10
 )
 
-// conn is one connection. One goroutine reads it for all its life, also while it
-// is idle: a close or a stray byte then shows at once, not at the next request.
+// conn is one connection. One goroutine reads it for its whole life, also while it is idle,
+// so that a close or an unexpected byte is noticed at once and not by the next request.
 type conn struct {
 	client  *Client
 	replica replica.Incarnation
 	stream  net.Conn
 	reader  *bufio.Reader
-	// answers counts the answers read; it belongs to the reading goroutine.
-	answers int
+	// answerCount counts the answers read; only the reading goroutine uses it.
+	answerCount int
 
-	// idleSince, idleLimit and lastID are guarded by the client's mutex while
-	// the connection is idle and belong to its call otherwise.
+	// idleSince, idleLimit and lastID are guarded by the client's mutex while the connection
+	// is idle, and belong to the exchange otherwise.
 	idleSince time.Time
 	idleLimit time.Duration
 	lastID    string
 
 	mutex   sync.Mutex
-	pending *call
+	pending *exchange
 	failure error
-	// writing is closed when a long body is written; nil when none is.
-	writing chan struct{}
+	// bodyWritten is closed once a long body is written; nil when none is being written.
+	bodyWritten chan struct{}
 }
 
-// call is one exchange.
-type call struct {
+// exchange is one request with its answer.
+type exchange struct {
 	request *Request
 	done    chan outcome
 	sentAt  time.Time
-	// deadline is when nobody waits for the answer any more; zero is never.
+	// deadline is the end of the request's context, after which the answer is not awaited; zero is none.
 	deadline time.Time
-	// timer runs when nobody waits for the answer any more.
+	// timer is set once the answer is no longer awaited; when it fires, the connection is closed.
 	timer *time.Timer
 }
 
@@ -67,37 +67,37 @@
 	err      error
 }
 
-func newConn(client *Client, life replica.Incarnation, stream net.Conn) *conn {
-	c := &conn{client: client, replica: life, stream: stream, reader: bufio.NewReaderSize(stream, readBuffer), idleLimit: defaultIdle}
+func newConn(client *Client, incarnation replica.Incarnation, stream net.Conn) *conn {
+	c := &conn{client: client, replica: incarnation, stream: stream, reader: bufio.NewReaderSize(stream, readBufferBytes), idleLimit: defaultIdleTimeout}
 	go c.read()
 	return c
 }
 
-// begin makes the call the one that the next answer belongs to.
-func (c *conn) begin(one *call) bool {
+// begin makes the exchange the pending one, to which the next answer belongs.
+func (c *conn) begin(ex *exchange) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failure != nil {
 		return false
 	}
-	one.sentAt = time.Now()
-	c.pending = one
-	c.lastID = one.request.ID
+	ex.sentAt = time.Now()
+	c.pending = ex
+	c.lastID = ex.request.ID
 	return true
 }
 
-// write sends head and body and returns how many bytes may have left. The head carries
-// the time that is left now: waiting for the connection may have used some of it.
-func (c *conn) write(ctx context.Context, one *call) (int, error) {
-	request := one.request
+// write sends head and body and returns how many bytes may have been sent. The head states the
+// remaining time as of now: waiting for the connection may have used some of it.
+func (c *conn) write(ctx context.Context, ex *exchange) (int, error) {
+	request := ex.request
 	header := request.Header.Clone()
 	if header == nil {
 		header = http.Header{}
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		one.deadline = deadline
+		ex.deadline = deadline
 		c.client.wire.Mark(header, request.Replica.ID, time.Until(deadline))
-		_ = c.stream.SetWriteDeadline(deadline.Add(linger))
+		_ = c.stream.SetWriteDeadline(deadline.Add(lingerTimeout))
 	}
 	var head bytes.Buffer
 	head.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
@@ -108,18 +108,18 @@
 		return 0, err
 	}
 	head.WriteString("\r\n")
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= maxInlineBodyBytes {
 		head.Write(request.Body)
 		return c.stream.Write(head.Bytes())
 	}
-	c.writeLong(head.Bytes(), request.Body)
+	c.writeLongBody(head.Bytes(), request.Body)
 	return head.Len(), nil
 }
 
-func (c *conn) writeLong(head, body []byte) {
+func (c *conn) writeLongBody(head, body []byte) {
 	written := make(chan struct{})
 	c.mutex.Lock()
-	c.writing = written
+	c.bodyWritten = written
 	c.mutex.Unlock()
 	go func() {
 		defer close(written)
@@ -132,30 +132,30 @@
 
 // read reads answers until the connection ends.
 func (c *conn) read() {
-	err := c.readAll()
+	err := c.readAnswers()
 	c.close(err)
-	c.client.ended(c.replica, c)
+	c.client.connectionEnded(c.replica, c)
 }
 
-func (c *conn) readAll() error {
+func (c *conn) readAnswers() error {
 	stray := 0
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
 			return err
 		}
-		one := c.current()
-		if one == nil {
-			return errUnasked
+		ex := c.pendingExchange()
+		if ex == nil {
+			return errUnsolicited
 		}
-		response, reusable, err := c.readAnswer(one)
+		response, reusable, err := c.readAnswer(ex)
 		if err != nil {
 			return err
 		}
-		c.answers++
-		if c.answers == 1 {
-			c.client.answered(c.replica)
+		c.answerCount++
+		if c.answerCount == 1 {
+			c.client.noteAnswered(c.replica)
 		}
-		belongs, err := c.belongs(one.request, response)
+		belongs, err := c.belongs(ex.request, response)
 		if err != nil {
 			return err
 		}
@@ -169,23 +169,23 @@
 			}
 			continue
 		}
-		if !c.finish(one, response, reusable) {
-			return errReplaced
+		if !c.finish(ex, response, reusable) {
+			return errAbandoned
 		}
 	}
 }
 
-func (c *conn) current() *call {
+func (c *conn) pendingExchange() *exchange {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.pending
 }
 
-// belongs reports whether an answer is to the request. A replica may send a second
-// answer to an earlier request late, in the place of this one's. Refusals may come
-// without an id. On a connection that has carried nothing else it can only be this
-// request's; on another one a stray refusal would make "not run" a lie, which only a
-// request that may run twice can stand.
+// belongs reports whether an answer is to the request. A replica may send a second answer to an
+// earlier request late, where this request's answer is expected. Refusals may come without an
+// id. On a connection that has carried no other answer, an answer without an id can only be to
+// this request. On any other connection a stray refusal could make "not run" false, which is
+// acceptable only for a request that may run twice.
 func (c *conn) belongs(request *Request, response *Response) (bool, error) {
 	echoed := c.client.wire.EchoedID(response.Header)
 	switch {
@@ -193,23 +193,23 @@
 		return true, nil
 	case echoed != "":
 		return false, nil
-	case c.answers == 1 || !request.Once && c.client.wire.NotRun(response.Status, response.Header):
+	case c.answerCount == 1 || !request.Once && c.client.wire.NotRun(response.Status, response.Header):
 		return true, nil
 	default:
 		return false, errOtherAnswer
 	}
 }
 
-// readAnswer reads one whole answer. An answer that ends before its length or its
-// last chunk, or whose connection is reset before its end, is an error.
-func (c *conn) readAnswer(one *call) (*Response, bool, error) {
-	asked := &http.Request{Method: one.request.Method}
+// readAnswer reads one whole answer. An answer that ends before its length or its last chunk, or
+// whose connection is reset before its end, is an error.
+func (c *conn) readAnswer(ex *exchange) (*Response, bool, error) {
+	httpRequest := &http.Request{Method: ex.request.Method}
 	limit := maxBodyBytes
-	if one.request.Stream {
-		limit = streamFrom
+	if ex.request.Stream {
+		limit = streamThresholdBytes
 	}
 	for {
-		answer, err := http.ReadResponse(c.reader, asked)
+		answer, err := http.ReadResponse(c.reader, httpRequest)
 		if err != nil {
 			return nil, false, err
 		}
@@ -223,23 +223,22 @@
 		c.noteIdleLimit(answer.Header)
 		framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 		response := &Response{Status: answer.StatusCode, Header: answer.Header, Body: body, Length: int64(len(body))}
-		if one.request.Method == http.MethodHead {
-			// What a GET would bring.
+		if ex.request.Method == http.MethodHead {
+			// A GET would have this length.
 			response.Length = answer.ContentLength
 		}
 		if len(body) > limit {
-			if !one.request.Stream {
+			if !ex.request.Stream {
 				return nil, false, errTooLong
 			}
 			response.Length = answer.ContentLength
-			response.Rest = newRest(c, answer.Body, one.deadline)
+			response.Rest = newRest(c, answer.Body, ex.deadline)
 		}
 		return response, framed && !answer.Close, nil
 	}
 }
 
-// noteIdleLimit reads after how many seconds the replica closes the connection
-// when it is idle.
+// noteIdleLimit reads after how many seconds of idleness the replica closes the connection.
 func (c *conn) noteIdleLimit(header http.Header) {
 	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -251,35 +250,35 @@
 	}
 }
 
-// finish hands the answer over and frees the connection. It reports false when the
-// connection cannot be used again.
-func (c *conn) finish(one *call, response *Response, reusable bool) bool {
+// finish delivers the answer and releases the connection. It reports false when the
+// connection cannot be reused.
+func (c *conn) finish(ex *exchange, response *Response, reusable bool) bool {
 	c.mutex.Lock()
-	if c.pending != one {
+	if c.pending != ex {
 		c.mutex.Unlock()
 		return false
 	}
 	c.pending = nil
-	writing := c.writing
-	c.writing = nil
-	late := one.timer != nil && one.timer.Stop()
+	bodyWritten := c.bodyWritten
+	c.bodyWritten = nil
+	late := ex.timer != nil && ex.timer.Stop()
 	c.mutex.Unlock()
-	if late && one.request.OnLate != nil {
-		one.request.OnLate(response)
+	if late && ex.request.OnLate != nil {
+		ex.request.OnLate(response)
 	}
 	if response.Rest != nil {
 		if late {
 			_ = response.Rest.Close()
 		}
-		one.done <- outcome{response: response}
+		ex.done <- outcome{response: response}
 		reusable = response.Rest.await() && reusable
 	}
-	if writing != nil {
+	if bodyWritten != nil {
 		select {
-		case <-writing:
+		case <-bodyWritten:
 		default:
-			// The replica answered before it read the whole body. Were the
-			// connection used again, the rest of the body could mix with the
+			// The replica answered before it had read the whole body. If the
+			// connection were reused, the rest of the body could mix with the
 			// next request.
 			reusable = false
 		}
@@ -287,58 +286,58 @@
 	reusable = reusable && c.reader.Buffered() == 0
 	if reusable {
 		_ = c.stream.SetWriteDeadline(time.Time{})
-		c.client.free(c)
+		c.client.release(c)
 	}
 	if response.Rest == nil {
-		one.done <- outcome{response: response}
+		ex.done <- outcome{response: response}
 	}
 	return reusable
 }
 
-// lingerFor gives an exchange that nobody waits for a moment to end.
-func (c *conn) lingerFor(one *call) {
+// lingerFor gives an exchange whose answer is no longer awaited lingerTimeout to finish.
+func (c *conn) lingerFor(ex *exchange) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.pending != one {
+	if c.pending != ex {
 		return
 	}
-	one.timer = time.AfterFunc(linger, func() {
-		if c.current() == one {
-			c.close(errReplaced)
-			c.client.suspect(c.replica, one.sentAt)
+	ex.timer = time.AfterFunc(lingerTimeout, func() {
+		if c.pendingExchange() == ex {
+			c.close(errAbandoned)
+			c.client.closeIdleBefore(c.replica, ex.sentAt)
 		}
 	})
 }
 
-// close ends the connection and tells the pending call why.
+// close ends the connection and fails the pending exchange with the cause.
 func (c *conn) close(cause error) {
 	c.mutex.Lock()
-	one := c.pending
+	ex := c.pending
 	c.pending = nil
 	if c.failure == nil {
 		c.failure = cause
 	}
 	c.mutex.Unlock()
 	_ = c.stream.Close()
-	if one == nil {
+	if ex == nil {
 		return
 	}
 	if errors.Is(cause, io.EOF) {
 		cause = io.ErrUnexpectedEOF
 	}
-	one.done <- outcome{err: &Error{Step: "await answer", Sent: true, Broken: connerr.ClosedByPeer(cause), Cause: cause}}
-	c.client.broke(c.replica, one.request, cause)
+	ex.done <- outcome{err: &Error{Step: "await answer", Sent: true, Broken: connerr.ClosedByPeer(cause), Cause: cause}}
+	c.client.connectionBroke(c.replica, ex.request, cause)
 }
 
-// endedHere reports whether this node ended the connection, of its own will.
-func (c *conn) endedHere() bool {
+// closedLocally reports whether this node decided to close the connection.
+func (c *conn) closedLocally() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return errors.Is(c.failure, errReplaced) || errors.Is(c.failure, errRestarted) || errors.Is(c.failure, errClosed)
+	return errors.Is(c.failure, errAbandoned) || errors.Is(c.failure, errRestarted) || errors.Is(c.failure, errClosed)
 }
 
-// abandon closes an idle connection. It only marks and closes the stream: the
-// reading goroutine takes it out of the client's books, whose mutex is held here.
+// abandon closes an idle connection. It only records the cause and closes the stream: the
+// reading goroutine removes the connection from the pool, as the client's mutex is held here.
 func (c *conn) abandon(cause error) {
 	c.mutex.Lock()
 	if c.failure == nil {
--- a/internal/replicaconn/doubt_test.go
+++ b/internal/replicaconn/doubt_test.go
@@ -10,30 +10,30 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/replica"
 )
 
-// An answer is lost, and while one more connection shows that the replica lives it ends under another request. That the
-// first doubt was unfounded says nothing of the second: its replica's end would never be told.
+// An answer is lost; while another connection shows that the replica runs, it ends during a second request. The first
+// check says nothing about the second request, which needs its own: otherwise that end would never be reported.
 func TestAnEndWhileAnEarlierDoubtIsSettledIsTold(t *testing.T) {
-	life := replica.Incarnation{ID: "i-1"}
+	incarnation := replica.Incarnation{ID: "i-1"}
 	client := NewClient(plainWire{})
 	defer client.Close()
-	client.hosts[life] = &host{connections: map[*conn]struct{}{}}
-	told := make(chan []*Request, 2)
-	client.OnReplicaEnded(func(_ replica.Incarnation, inWork []*Request) { told <- inWork })
+	client.pools[incarnation] = &pool{connections: map[*conn]struct{}{}}
+	ended := make(chan []*Request, 2)
+	client.OnReplicaEnded(func(_ replica.Incarnation, inFlight []*Request) { ended <- inFlight })
 	asked, proceed := make(chan *Request, 2), make(chan bool, 2)
-	client.refuses = func(_ *host, request *Request) bool {
+	client.refuses = func(_ *pool, request *Request) bool {
 		asked <- request
 		return <-proceed
 	}
-	lost, deadly := &Request{Replica: life, ID: "lost"}, &Request{Replica: life, ID: "deadly"}
-	client.broke(life, lost, io.EOF)
+	lost, deadly := &Request{Replica: incarnation, ID: "lost"}, &Request{Replica: incarnation, ID: "deadly"}
+	client.connectionBroke(incarnation, lost, io.EOF)
 	<-asked
-	client.broke(life, deadly, io.EOF)
+	client.connectionBroke(incarnation, deadly, io.EOF)
 	proceed <- false
 	proceed <- true
 	select {
-	case inWork := <-told:
-		require.Equal(t, []*Request{deadly}, inWork)
+	case inFlight := <-ended:
+		require.Equal(t, []*Request{deadly}, inFlight)
 	case <-time.After(time.Second):
-		t.Fatal("the end was never told")
+		t.Fatal("the end of the replica was not reported")
 	}
 }
--- a/internal/replicaconn/ended.go
+++ b/internal/replicaconn/ended.go
@@ -8,19 +8,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/replica"
 )
 
-// A connection that ends under a request says little: the answer may have been lost, or the connection
-// been reset on its way. A replica that has ended refuses new connections as well. One more is therefore opened
-// at once: it is refused within a round trip by the VM of a replica that has ended, and serves the next
-// request otherwise. A replica that fell silent, with its VM or behind a partition, is not found to have
-// ended: nothing there says so.
+// A connection that breaks during a request proves little: the answer may have been lost, or the connection reset on
+// the network path. But a replica that has ended also refuses new connections. Another connection is therefore opened
+// at once: the VM of a replica that has ended refuses it within a round trip; otherwise it serves the next request. A
+// replica that stopped responding together with its VM, or behind a network partition, is not detected, as nothing
+// refuses the connection.
 
-// broke takes a connection that ended under a request. Of one replica one doubt is settled at a time.
-func (c *Client) broke(life replica.Incarnation, request *Request, cause error) {
+// connectionBroke records a request whose connection broke. One check per replica runs at a time.
+func (c *Client) connectionBroke(incarnation replica.Incarnation, request *Request, cause error) {
 	if c.onEnded == nil {
 		return
 	}
 	if errors.Is(cause, errRestarted) {
-		c.onEnded(life, []*Request{request})
+		c.onEnded(incarnation, []*Request{request})
 		return
 	}
 	if !connerr.ClosedByPeer(cause) {
@@ -28,62 +28,62 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	h := c.hosts[life]
-	if h == nil || c.closed {
+	p := c.pools[incarnation]
+	if p == nil || c.closed {
 		return
 	}
-	h.inDoubt = append(h.inDoubt, request)
-	if !h.settling {
-		h.settling = true
-		go c.settleDoubts(h)
+	p.broken = append(p.broken, request)
+	if !p.checkingEnded {
+		p.checkingEnded = true
+		go c.checkEnded(p)
 	}
 }
 
-// settleDoubts tells the requests in doubt that their replica has ended, if it has. A request that breaks off meanwhile
-// is a doubt of its own: that the replica still lived before says nothing of its end under this one.
-func (c *Client) settleDoubts(h *host) {
+// checkEnded reports the broken requests to onEnded if their replica has ended. Requests that break during a check need
+// another one: that the replica still ran before does not show whether it ended during theirs.
+func (c *Client) checkEnded(p *pool) {
 	for {
-		inWork := c.takeDoubts(h)
-		if len(inWork) == 0 {
+		inFlight := c.takeBroken(p)
+		if len(inFlight) == 0 {
 			return
 		}
-		if c.refuses(h, inWork[0]) {
-			c.onEnded(inWork[0].Replica, inWork)
+		if c.refuses(p, inFlight[0]) {
+			c.onEnded(inFlight[0].Replica, inFlight)
 		}
 	}
 }
 
-// takeDoubts takes the requests in doubt; none ends the settling.
-func (c *Client) takeDoubts(h *host) []*Request {
+// takeBroken takes the broken requests; when there are none, the check is over.
+func (c *Client) takeBroken(p *pool) []*Request {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	taken := h.inDoubt
-	h.inDoubt = nil
-	h.settling = len(taken) > 0
+	taken := p.broken
+	p.broken = nil
+	p.checkingEnded = len(taken) > 0
 	return taken
 }
 
-// refusesConnections opens a connection and keeps it where the bound leaves room for it.
-func (c *Client) refusesConnections(h *host, request *Request) bool {
+// refusesConnections opens a connection, within the limit if possible, and keeps it for later requests in that case.
+func (c *Client) refusesConnections(p *pool, request *Request) bool {
 	c.mutex.Lock()
-	room := h.open < max(request.MaxConnections, 1) && !h.restarted
-	if room {
-		h.open++
+	hasRoom := p.open < max(request.MaxConnections, 1) && !p.restarted
+	if hasRoom {
+		p.open++
 	}
 	c.mutex.Unlock()
-	if !room {
-		return c.refusesProbe(request.Address)
+	if !hasRoom {
+		return c.probeRefused(request.Address)
 	}
 	opened := c.open(request)
 	if opened.err != nil {
 		return connerr.Refused(opened.err)
 	}
-	c.free(opened.conn)
+	c.release(opened.conn)
 	return false
 }
 
-// refusesProbe opens a connection only to see whether it is refused.
-func (c *Client) refusesProbe(address string) bool {
+// probeRefused opens a connection only to see whether it is refused.
+func (c *Client) probeRefused(address string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	stream, err := dialer.Dial("tcp", address)
 	if err != nil {
--- a/internal/replicaconn/ended_test.go
+++ b/internal/replicaconn/ended_test.go
@@ -11,25 +11,25 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-// ends collects what a client tells of replicas that ended: the ids of the requests in work.
+// ends collects the ids of the requests in flight that a client reports with each replica that ended.
 func ends(client *replicaconn.Client) <-chan []string {
-	told := make(chan []string, 16)
-	client.OnReplicaEnded(func(_ replica.Incarnation, inWork []*replicaconn.Request) {
+	notified := make(chan []string, 16)
+	client.OnReplicaEnded(func(_ replica.Incarnation, inFlight []*replicaconn.Request) {
 		var ids []string
-		for _, one := range inWork {
-			ids = append(ids, one.ID)
+		for _, req := range inFlight {
+			ids = append(ids, req.ID)
 		}
-		told <- ids
+		notified <- ids
 	})
-	return told
+	return notified
 }
 
-// A replica that ends under a request must be told from one whose answer was lost: the first is a reason to
-// doubt the request, the second is none.
+// A replica that ends during a request must be distinguished from a lost answer: the first makes the request a
+// suspect, the second does not.
 func TestAReplicaThatEndsIsToldFromALostAnswer(t *testing.T) {
-	client, one := start(t)
-	told := ends(client)
-	one.SetAct(func(seen platformtest.Seen) platformtest.Act {
+	client, server := start(t)
+	notified := ends(client)
+	server.SetAct(func(seen platformtest.Seen) platformtest.Act {
 		switch seen.ID {
 		case "first":
 			return platformtest.Answer
@@ -39,42 +39,42 @@
 			return platformtest.End
 		}
 	})
-	// A replica that ends a new connection without any answer is left alone for a moment.
-	_, err := do(t, client, request(one, "first"))
+	// An answered request first: no connection is opened for a while after one that ended without any answer.
+	_, err := do(t, client, request(server, "first"))
 	require.NoError(t, err)
-	_, err = do(t, client, request(one, "lost"))
+	_, err = do(t, client, request(server, "lost"))
 	var failed *replicaconn.Error
 	require.ErrorAs(t, err, &failed)
 	require.True(t, failed.Broken)
-	_, err = do(t, client, request(one, "deadly"))
+	_, err = do(t, client, request(server, "deadly"))
 	require.ErrorAs(t, err, &failed)
 	require.True(t, failed.Broken)
-	require.Equal(t, []string{"deadly"}, <-told, "nothing was told of the lost answer before")
+	require.Equal(t, []string{"deadly"}, <-notified, "the lost answer must not be reported")
 }
 
-// A request was answered by another replica and nobody waits for this one any more, which then ends under it.
+// The replica ends during a request that is no longer awaited, as another replica has answered it.
 func TestAReplicaThatEndsUnderAnAbandonedRequestIsSeen(t *testing.T) {
-	client, one := start(t)
-	told := ends(client)
+	client, server := start(t)
+	notified := ends(client)
 	begun, proceed := make(chan struct{}), make(chan struct{})
-	one.SetAct(func(platformtest.Seen) platformtest.Act {
+	server.SetAct(func(platformtest.Seen) platformtest.Act {
 		close(begun)
 		<-proceed
 		return platformtest.End
 	})
-	abandon(t, client, request(one, "deadly"), begun)
+	abandon(t, client, request(server, "deadly"), begun)
 	close(proceed)
-	require.Equal(t, []string{"deadly"}, <-told)
+	require.Equal(t, []string{"deadly"}, <-notified)
 }
 
-// abandon sends a request and gives it up once the replica has begun it.
-func abandon(t *testing.T, client *replicaconn.Client, one *replicaconn.Request, begun <-chan struct{}) {
+// abandon sends a request and cancels it once the replica has begun it.
+func abandon(t *testing.T, client *replicaconn.Client, req *replicaconn.Request, begun <-chan struct{}) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-begun
 		cancel()
 	}()
-	_, err := client.Do(ctx, one)
+	_, err := client.Do(ctx, req)
 	require.Error(t, err)
 }
--- a/internal/replicaconn/host.go
+++ b/internal/replicaconn/host.go
@@ -9,50 +9,50 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/replica"
 )
 
-// tcpUserTimeout is the number of the TCP_USER_TIMEOUT option on Linux, which the
-// syscall package does not name.
-const tcpUserTimeout = 0x12
+// optTCPUserTimeout is the number of the TCP_USER_TIMEOUT option on Linux, for which
+// package syscall has no constant.
+const optTCPUserTimeout = 0x12
 
-// host is the connections to one incarnation of a replica. Its fields are guarded
-// by the client's mutex.
-type host struct {
+// pool holds the connections to one incarnation of a replica. Its fields are guarded by
+// the client's mutex.
+type pool struct {
 	open int
 	idle []*conn
-	// waiters are told nil to look again, or why they wait in vain.
+	// waiters receive nil when they should try again, or the reason why their wait failed.
 	waiters []chan error
-	// refusals counts new connections in a row that ended without any answer; until
-	// closedUntil no further one is opened.
+	// refusals counts consecutive new connections that ended without any answer. No further
+	// connection is opened before noDialUntil.
 	refusals    int
-	closedUntil time.Time
-	// connections are all that are open.
+	noDialUntil time.Time
+	// connections are all open connections.
 	connections map[*conn]struct{}
 	// restarted is set once a later incarnation is known: nothing more is sent to this one.
 	restarted bool
-	// inDoubt are the requests whose connections broke, of which it is not being found out yet whether the replica has
-	// ended; settling is set while that is found out of others.
-	inDoubt  []*Request
-	settling bool
+	// broken are the requests whose connections broke and for which the check whether the replica has ended has not begun;
+	// checkingEnded is set while the check runs for others.
+	broken        []*Request
+	checkingEnded bool
 }
 
-// Pauses after a replica ended a new connection without an answer. It resets those beyond
-// its limit: opening more at once would only cost it more.
+// Bounds of the pause after a replica ended a new connection without an answer. A replica resets
+// connections beyond its limit, so that opening more at once would only add to its load.
 const (
 	firstRefusalPause = 20 * time.Millisecond
 	maxRefusalPause   = 320 * time.Millisecond
 )
 
-// refused notes a new connection that ended without an answer.
-func (h *host) refused(now time.Time) {
-	pause := min(firstRefusalPause<<min(h.refusals, 8), maxRefusalPause)
-	h.refusals++
-	h.closedUntil = now.Add(pause)
+// noteRefusal records a new connection that ended without an answer.
+func (p *pool) noteRefusal(now time.Time) {
+	pause := min(firstRefusalPause<<min(p.refusals, 8), maxRefusalPause)
+	p.refusals++
+	p.noDialUntil = now.Add(pause)
 }
 
-// acquire takes an idle connection, opens one within the bound, or waits until one
-// is free.
+// acquire takes an idle connection, opens a new one within the limit, or waits until
+// one is free.
 func (c *Client) acquire(ctx context.Context, request *Request) (*conn, error) {
 	for {
-		conn, wait, err := c.take(request)
+		conn, wait, err := c.tryAcquire(request)
 		if err != nil || conn != nil {
 			return conn, err
 		}
@@ -60,248 +60,248 @@
 			return c.dial(ctx, request)
 		}
 		select {
-		case vain := <-wait:
-			if vain != nil {
-				return nil, vain
+		case cause := <-wait:
+			if cause != nil {
+				return nil, cause
 			}
 		case <-ctx.Done():
-			c.leave(request.Replica, wait)
+			c.cancelWait(request.Replica, wait)
 			return nil, context.Cause(ctx)
 		}
 	}
 }
 
-// take returns an idle connection, or neither a connection nor a wait when the
-// caller may open one, or the wait for a free one.
-func (c *Client) take(request *Request) (*conn, <-chan error, error) {
+// tryAcquire returns an idle connection, or the channel to wait on for a free one, or
+// neither when the caller may open a connection.
+func (c *Client) tryAcquire(request *Request) (*conn, <-chan error, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closed {
 		return nil, nil, errClosed
 	}
-	h := c.hosts[request.Replica]
-	if h == nil {
-		h = &host{connections: map[*conn]struct{}{}}
-		c.hosts[request.Replica] = h
+	p := c.pools[request.Replica]
+	if p == nil {
+		p = &pool{connections: map[*conn]struct{}{}}
+		c.pools[request.Replica] = p
 	}
-	if h.restarted {
+	if p.restarted {
 		return nil, nil, errRestarted
 	}
-	if found := h.takeIdle(request, time.Now()); found != nil {
+	if found := p.takeIdle(request, time.Now()); found != nil {
 		return found, nil, nil
 	}
-	if h.open == 0 && time.Now().Before(h.closedUntil) {
+	if p.open == 0 && time.Now().Before(p.noDialUntil) {
 		return nil, nil, errRefusing
 	}
-	if h.open < max(request.MaxConnections, 1) && !time.Now().Before(h.closedUntil) {
-		h.open++
+	if p.open < max(request.MaxConnections, 1) && !time.Now().Before(p.noDialUntil) {
+		p.open++
 		return nil, nil, nil
 	}
 	wait := make(chan error, 1)
-	h.waiters = append(h.waiters, wait)
+	p.waiters = append(p.waiters, wait)
 	return nil, wait, nil
 }
 
-// takeIdle takes the connection that was used last. Those idle for too long are
-// closed on the way. A connection that carried the same request before is left
-// out: a late second answer to that try could be taken for this one's.
-func (h *host) takeIdle(request *Request, now time.Time) *conn {
-	for i := len(h.idle) - 1; i >= 0; i-- {
-		one := h.idle[i]
-		idle := now.Sub(one.idleSince)
-		if idle >= one.idleLimit || request.Once && idle >= freshIdle {
-			h.dropIdle(i)
-			one.abandon(errReplaced)
+// takeIdle takes the most recently used connection and closes those that were idle for
+// too long. It skips a connection that carried the same request before: a late second
+// answer to that attempt could be taken for the answer to this one.
+func (p *pool) takeIdle(request *Request, now time.Time) *conn {
+	for i := len(p.idle) - 1; i >= 0; i-- {
+		candidate := p.idle[i]
+		idle := now.Sub(candidate.idleSince)
+		if idle >= candidate.idleLimit || request.Once && idle >= maxOnceIdle {
+			p.dropIdle(i)
+			candidate.abandon(errAbandoned)
 			continue
 		}
-		if request.ID != "" && one.lastID == request.ID {
+		if request.ID != "" && candidate.lastID == request.ID {
 			continue
 		}
-		h.dropIdle(i)
-		return one
+		p.dropIdle(i)
+		return candidate
 	}
 	return nil
 }
 
-func (h *host) dropIdle(i int) { h.idle = append(h.idle[:i], h.idle[i+1:]...) }
+func (p *pool) dropIdle(i int) { p.idle = append(p.idle[:i], p.idle[i+1:]...) }
 
-func (h *host) closeIdle(cause error) {
-	for _, one := range h.idle {
-		one.abandon(cause)
+func (p *pool) closeIdle(cause error) {
+	for _, connection := range p.idle {
+		connection.abandon(cause)
 	}
-	h.idle = nil
+	p.idle = nil
 }
 
-// wakeOne lets one waiter look again.
-func (h *host) wakeOne() {
-	if len(h.waiters) == 0 {
+// wakeOne lets one waiter try again.
+func (p *pool) wakeOne() {
+	if len(p.waiters) == 0 {
 		return
 	}
-	h.waiters[0] <- nil
-	h.waiters = h.waiters[1:]
+	p.waiters[0] <- nil
+	p.waiters = p.waiters[1:]
 }
 
-// endWaits tells all waiters that they wait in vain.
-func (h *host) endWaits(why error) {
-	for _, wait := range h.waiters {
-		wait <- why
+// failWaiters ends all waits with the given cause.
+func (p *pool) failWaiters(cause error) {
+	for _, wait := range p.waiters {
+		wait <- cause
 	}
-	h.waiters = nil
+	p.waiters = nil
 }
 
-// leave takes a waiter back. Where it was woken meanwhile, the next one is.
-func (c *Client) leave(life replica.Incarnation, wait <-chan error) {
+// cancelWait removes a waiter. If it was woken in the meantime, the next one is woken instead.
+func (c *Client) cancelWait(incarnation replica.Incarnation, wait <-chan error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	h := c.hosts[life]
-	if h == nil {
+	p := c.pools[incarnation]
+	if p == nil {
 		return
 	}
-	for i, one := range h.waiters {
-		if one == wait {
-			h.waiters = append(h.waiters[:i], h.waiters[i+1:]...)
+	for i, waiter := range p.waiters {
+		if waiter == wait {
+			p.waiters = append(p.waiters[:i], p.waiters[i+1:]...)
 			return
 		}
 	}
-	h.wakeOne()
+	p.wakeOne()
 }
 
-// dialed is the end of an attempt to open a connection.
-type dialed struct {
+// dialResult is the result of opening a connection.
+type dialResult struct {
 	conn *conn
 	err  error
 }
 
-// dial opens a connection for which take has counted a place. When the context ends
-// first the connection is opened all the same and kept for the next request: its
-// opening has cost the replica something already.
+// dial opens a connection that tryAcquire has already counted. When the context ends first,
+// the connection is still opened and kept for the next request: opening it has already cost
+// the replica something.
 func (c *Client) dial(ctx context.Context, request *Request) (*conn, error) {
-	ends := make(chan dialed, 1)
-	go func() { ends <- c.open(request) }()
+	results := make(chan dialResult, 1)
+	go func() { results <- c.open(request) }()
 	select {
-	case end := <-ends:
-		return end.conn, end.err
+	case result := <-results:
+		return result.conn, result.err
 	case <-ctx.Done():
 		go func() {
-			if end := <-ends; end.err == nil {
-				c.free(end.conn)
+			if result := <-results; result.err == nil {
+				c.release(result.conn)
 			}
 		}()
 		return nil, context.Cause(ctx)
 	}
 }
 
-func (c *Client) open(request *Request) dialed {
-	life, address := request.Replica, request.Address
-	dialer := net.Dialer{Control: limitSilence, Timeout: dialTimeout}
+func (c *Client) open(request *Request) dialResult {
+	incarnation, address := request.Replica, request.Address
+	dialer := net.Dialer{Control: setUserTimeout, Timeout: dialTimeout}
 	stream, err := dialer.Dial("tcp", address)
 	if err != nil {
-		c.ended(life, nil)
-		return dialed{err: err}
+		c.connectionEnded(incarnation, nil)
+		return dialResult{err: err}
 	}
 	if request.ByteCounter != nil {
-		stream = counted{stream, request.ByteCounter}
+		stream = countingConn{stream, request.ByteCounter}
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.opened++
-	opened := newConn(c, life, stream)
-	if h := c.hosts[life]; h != nil {
-		h.connections[opened] = struct{}{}
+	opened := newConn(c, incarnation, stream)
+	if p := c.pools[incarnation]; p != nil {
+		p.connections[opened] = struct{}{}
 	}
-	return dialed{conn: opened}
+	return dialResult{conn: opened}
 }
 
-// limitSilence makes the kernel end a connection whose bytes nobody acknowledges:
-// a replica that lost power or is cut off sends no reset.
-func limitSilence(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout makes the kernel end a connection whose bytes are not acknowledged: a
+// replica that lost power or is cut off from the network sends no reset.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optTCPUserTimeout, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// free makes a connection idle.
-func (c *Client) free(conn *conn) {
+// release returns a connection to the idle ones.
+func (c *Client) release(conn *conn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	h := c.hosts[conn.replica]
-	if c.closed || h == nil || h.restarted {
+	p := c.pools[conn.replica]
+	if c.closed || p == nil || p.restarted {
 		conn.abandon(errClosed)
 		return
 	}
 	conn.idleSince = time.Now()
-	h.idle = append(h.idle, conn)
-	h.wakeOne()
+	p.idle = append(p.idle, conn)
+	p.wakeOne()
 }
 
-// answered notes that a replica answers on its connections.
-func (c *Client) answered(life replica.Incarnation) {
+// noteAnswered records that a replica answers on its connections, and ends the pause.
+func (c *Client) noteAnswered(incarnation replica.Incarnation) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if h := c.hosts[life]; h != nil {
-		h.refusals = 0
-		h.closedUntil = time.Time{}
+	if p := c.pools[incarnation]; p != nil {
+		p.refusals = 0
+		p.noDialUntil = time.Time{}
 	}
 }
 
-// ended takes a connection out of the books; nil is one that did not open.
-func (c *Client) ended(life replica.Incarnation, conn *conn) {
+// connectionEnded removes a connection from its pool; nil is a connection that failed to open.
+func (c *Client) connectionEnded(incarnation replica.Incarnation, conn *conn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	h := c.hosts[life]
-	if h == nil {
+	p := c.pools[incarnation]
+	if p == nil {
 		return
 	}
-	for i, one := range h.idle {
-		if one == conn {
-			h.dropIdle(i)
+	for i, connection := range p.idle {
+		if connection == conn {
+			p.dropIdle(i)
 			break
 		}
 	}
-	h.open--
-	delete(h.connections, conn)
-	h.noteEnd(conn, time.Now())
-	h.wakeOne()
-	for h.open == 0 && len(h.waiters) > 0 {
-		// No connection is left that could become free and wake the others.
-		h.wakeOne()
+	p.open--
+	delete(p.connections, conn)
+	p.noteEnd(conn, time.Now())
+	p.wakeOne()
+	for p.open == 0 && len(p.waiters) > 0 {
+		// No open connection is left whose release could wake the others.
+		p.wakeOne()
 	}
 }
 
-// noteEnd learns from the end of a connection; nil is one that did not open. What this node ended
-// itself says nothing: a slow replica whose answers were given up was left alone as if it had
-// refused them.
-func (h *host) noteEnd(conn *conn, now time.Time) {
+// noteEnd counts the end of a connection as a refusal if the replica caused it before any answer; nil is a
+// connection that failed to open. A connection that this node closed does not count: otherwise no connection
+// would be opened for a while to a slow replica whose answers were given up.
+func (p *pool) noteEnd(conn *conn, now time.Time) {
 	switch {
 	case conn == nil:
-		h.refused(now)
-	case conn.answers == 0 && !conn.endedHere():
-		h.refused(now)
+		p.noteRefusal(now)
+	case conn.answerCount == 0 && !conn.closedLocally():
+		p.noteRefusal(now)
 	}
 }
 
-// suspect closes the idle connections to a replica on which nothing was heard
-// since the given time: when a request on one connection sees no answer at all,
-// something between may have lost track of the others too.
-func (c *Client) suspect(life replica.Incarnation, since time.Time) {
+// closeIdleBefore closes the idle connections to a replica that were last used before the
+// given time. When a request on one connection gets no answer at all, a device on the
+// path may have dropped the state of the others too.
+func (c *Client) closeIdleBefore(incarnation replica.Incarnation, cutoff time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	h := c.hosts[life]
-	if h == nil {
+	p := c.pools[incarnation]
+	if p == nil {
 		return
 	}
-	kept := h.idle[:0]
-	for _, one := range h.idle {
-		if one.idleSince.Before(since) {
-			one.abandon(errReplaced)
+	kept := p.idle[:0]
+	for _, connection := range p.idle {
+		if connection.idleSince.Before(cutoff) {
+			connection.abandon(errAbandoned)
 			continue
 		}
-		kept = append(kept, one)
+		kept = append(kept, connection)
 	}
-	h.idle = kept
+	p.idle = kept
 }
--- a/internal/replicaconn/rest.go
+++ b/internal/replicaconn/rest.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// Rest is what has not been read of a long answer. Whoever got the answer reads it to its
-// end or closes it; the connection carries nothing else before that.
+// Rest is the unread part of a long answer. The receiver of the answer reads it to its end or
+// closes it; until then the connection carries nothing else.
 type Rest struct {
 	conn *conn
 	body io.Reader
 	once sync.Once
-	// whole is told once whether the answer was read to its end.
-	whole chan bool
-	timer *time.Timer
+	// complete receives once whether the answer was read to its end.
+	complete chan bool
+	timer    *time.Timer
 }
 
-// newRest makes the rest of an answer on a connection. At the deadline, when nobody waits
-// for the answer any more, the connection is closed: a replica that stops in the middle, or
-// a reader that forgot the rest, would hold it for ever.
+// newRest makes the Rest of an answer. At the deadline, when the answer is no longer awaited,
+// the connection is closed: otherwise a replica that stops in the middle of the answer, or a
+// reader that never closes the Rest, would hold it for ever.
 func newRest(c *conn, body io.Reader, deadline time.Time) *Rest {
-	r := &Rest{conn: c, body: body, whole: make(chan bool, 1)}
+	r := &Rest{conn: c, body: body, complete: make(chan bool, 1)}
 	if !deadline.IsZero() {
 		r.timer = time.AfterFunc(time.Until(deadline), func() {
 			_ = c.stream.Close()
-			r.end(false)
+			r.finish(false)
 		})
 	}
 	return r
 }
 
-// Read implements io.Reader. An answer that is cut gives an error that is not io.EOF.
+// Read implements io.Reader. An answer that was cut short gives an error other than io.EOF.
 func (r *Rest) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if err != nil {
-		r.end(errors.Is(err, io.EOF))
+		r.finish(errors.Is(err, io.EOF))
 	}
 	return n, err
 }
 
-// Close gives up what was not read.
+// Close gives up the part that was not read.
 func (r *Rest) Close() error {
-	r.end(false)
+	r.finish(false)
 	return nil
 }
 
-func (r *Rest) end(whole bool) {
+func (r *Rest) finish(complete bool) {
 	r.once.Do(func() {
 		if r.timer != nil {
 			r.timer.Stop()
 		}
-		r.whole <- whole
+		r.complete <- complete
 	})
 }
 
-// await waits for the end of the reading and reports whether the answer was read whole.
-func (r *Rest) await() bool { return <-r.whole }
+// await waits until the reading ends and reports whether the answer was read whole.
+func (r *Rest) await() bool { return <-r.complete }
