--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -18,20 +18,20 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Limits and times of the connections to upstreams.
+// Limits and timeouts of the connections to upstreams.
 const (
 	maxReplyBytes = 8 << 20
-	// idleConnection bounds the age of an idle connection: the longer one is
-	// idle, the likelier something between the ends has forgotten its flow.
-	idleConnection = 30 * time.Second
-	dialTimeout    = time.Second
-	maxHeaderBytes = 64 << 10
-	// maxSubmitIdle is how long a connection may have been quiet and still carry a
-	// submit. Something between the two ends may have lost track of a quieter
-	// one; the submit would then wait for its deadline and end "unknown".
+	// idleConnTimeout bounds how long a connection stays open idle: the longer it is idle,
+	// the likelier a device on the path has dropped its state.
+	idleConnTimeout = 30 * time.Second
+	dialTimeout     = time.Second
+	maxHeaderBytes  = 64 << 10
+	// maxSubmitIdle is how long a connection may have been idle and still carry a submit. A
+	// device on the path may have dropped the state of a longer idle one; the submit would
+	// then wait until its deadline and end "unknown".
 	maxSubmitIdle = time.Second
 	decimal       = 10
-	versionBits   = 64
+	numberBits    = 64
 )
 
 // Call is one request to one replica.
@@ -40,16 +40,16 @@
 	Ref       core.ShardRef
 	RequestID string
 	Customer  core.Customer
-	// Version is the index version wanted; 0 takes the newest.
+	// Version is the requested index version; 0 requests the newest.
 	Version core.Version
-	// RemainingTime is the time to the caller's deadline.
+	// RemainingTime is the time until the caller's deadline.
 	RemainingTime time.Duration
 	Body          Body
-	// SubmitKey marks a must-not-repeat request. It is sent once.
+	// SubmitKey marks a request that must not be repeated.
 	SubmitKey string
 }
 
-// Result is the end of a call.
+// Result is the result of a call.
 type Result struct {
 	Outcome    core.Outcome
 	Reason     core.Reason
@@ -58,49 +58,49 @@
 	Payload    []byte
 	RetryAfter time.Duration
 	Draining   bool
-	// Load is the upstream's own figure, 0 to 1, or -1 when not given. It may
-	// mislead: it is a hint only.
+	// Load is the load that the upstream reports, 0 to 1, or -1 when it reports none. It
+	// may be wrong and is only a hint.
 	Load float64
-	// Refused says that the upstream took no connection.
+	// Refused is set when no connection to the upstream could be opened.
 	Refused bool
-	// Broken is set when the upstream closed the connection instead of answering, Ended when it then refused a new one.
+	// Broken is set when the upstream closed the connection instead of replying, Ended when it then refused a new one.
 	Broken bool
 	Ended  bool
 	// Incarnation identifies the incarnation of the upstream at its address. It changes when this client detects that the
-	// upstream has ended; 0 is a call without a connection.
+	// upstream has ended; 0 stands for a call without a connection.
 	Incarnation uint64
 	Latency     time.Duration
 	Cause       error
 }
 
-// Client holds the connections to replicas, each within its share.
+// Client holds the connections to replicas, each address within its share.
 type Client struct {
 	mutex sync.Mutex
 	hosts map[string]*host
-	// forgotten are the addresses of hosts that may be dropped.
-	forgotten   map[string]struct{}
+	// removed are the addresses whose hosts may be deleted.
+	removed     map[string]struct{}
 	dropped     atomic.Int64
-	suspects    suspects
+	silence     silenceTracker
 	submitIdle  time.Duration
 	observer    Observer
 	detectEnded bool
 	onDropped   func(address, why string)
 }
 
-// NewClient makes a client without connections.
+// NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{hosts: map[string]*host{}, forgotten: map[string]struct{}{}, submitIdle: maxSubmitIdle}
+	return &Client{hosts: map[string]*host{}, removed: map[string]struct{}{}, submitIdle: maxSubmitIdle}
 }
 
-// OnDroppedReply sets who is told of each crossed or cut reply. It must not block and
-// must be set before the first call.
+// OnDroppedReply sets the listener that receives each crossed or cut reply. It must not block
+// and must be set before the first call.
 func (c *Client) OnDroppedReply(listener func(address, why string)) { c.onDropped = listener }
 
-// DroppedReplies counts crossed or cut replies.
+// DroppedReplies counts the crossed and cut replies.
 func (c *Client) DroppedReplies() int64 { return c.dropped.Load() }
 
-// Do sends the call once and waits for its end. It never returns NotRun unless
-// no connection was had or the upstream refused the work itself.
+// Do sends the call once and waits for its result. It returns NotRun only if no connection was
+// obtained or the upstream itself refused the work.
 func (c *Client) Do(ctx context.Context, call Call) Result {
 	result := c.do(ctx, call)
 	if c.observer != nil {
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithTimeout(ctx, call.RemainingTime)
 	defer cancel()
 	for {
-		result, stale := c.try(ctx, call)
+		result, stale := c.attempt(ctx, call)
 		if !stale {
 			result.Latency = time.Since(started)
 			return result
@@ -122,83 +122,82 @@
 	}
 }
 
-// try sends the call on one connection. It reports stale, with nothing sent,
-// when it met a connection too long quiet for a submit and closed it; each such
-// try uses up one idle connection, so a caller's loop ends.
-func (c *Client) try(ctx context.Context, call Call) (Result, bool) {
-	wire := &wire{submit: call.SubmitKey != "", maxIdle: c.submitIdle}
-	request, err := newRequest(httptrace.WithClientTrace(ctx, wire.trace()), call)
+// attempt sends the call on one connection. It reports stale, with nothing sent, if that
+// connection had been idle too long for a submit and was closed. Each such attempt uses up one
+// idle connection, so that the loop of the calling function ends.
+func (c *Client) attempt(ctx context.Context, call Call) (Result, bool) {
+	trace := &connTrace{submit: call.SubmitKey != "", maxIdle: c.submitIdle}
+	request, err := newRequest(httptrace.WithClientTrace(ctx, trace.clientTrace()), call)
 	if err != nil {
 		return Result{Outcome: core.NotRun, Reason: core.ReasonUpstreamFailed, Cause: err}, false
 	}
 	transport := c.transport(call.Address)
-	defer c.done(call.Address, transport)
+	defer c.finishRequest(call.Address, transport)
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		c.checkSilence(ctx, call.Address, transport, wire)
-		result := failure(ctx, wire, err, 0)
-		c.checkEnded(call.Address, wire, err, &result)
-		return result, wire.refusedStale() && ctx.Err() == nil
+		c.checkSilence(ctx, call.Address, transport, trace)
+		result := failure(ctx, trace, err, 0)
+		c.checkEnded(call.Address, trace, err, &result)
+		return result, trace.rejectedStale() && ctx.Err() == nil
 	}
-	c.replied(call.Address)
-	return c.read(ctx, call, response, wire), false
+	c.noteReply(call.Address)
+	return c.readReply(ctx, call, response, trace), false
 }
 
-// wire remembers whether a connection was had for a request, and which.
-type wire struct {
+// connTrace records the connection that a request was given, if any.
+type connTrace struct {
 	mutex      sync.Mutex
 	connection net.Conn
-	wrote      bool
-	// submit asks for a connection that was used lately.
+	gotConn    bool
+	// submit requires a connection that was used recently.
 	submit      bool
 	maxIdle     time.Duration
 	stale       bool
 	incarnation uint64
 }
 
-func (w *wire) trace() *httptrace.ClientTrace {
+func (t *connTrace) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			w.mutex.Lock()
-			defer w.mutex.Unlock()
-			w.connection = info.Conn
+			t.mutex.Lock()
+			defer t.mutex.Unlock()
+			t.connection = info.Conn
 			if counted, ok := info.Conn.(*countedConn); ok {
-				w.incarnation = counted.incarnation
+				t.incarnation = counted.incarnation
 			}
-			if w.submit && info.WasIdle && info.IdleTime > w.maxIdle {
-				// net/http calls this before it writes. On the closed
-				// connection its write fails with nothing sent, and without
-				// GetBody it does not go on to another by itself.
-				w.stale = true
+			if t.submit && info.WasIdle && info.IdleTime > t.maxIdle {
+				// net/http calls this before it writes. On the closed connection
+				// its write fails with nothing sent, and without GetBody it does
+				// not retry on another connection by itself.
+				t.stale = true
 				_ = info.Conn.Close()
 				return
 			}
-			w.wrote = true
+			t.gotConn = true
 		},
 	}
 }
 
-// used reports whether any byte of the request may have left.
-func (w *wire) used() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.wrote
+// mayHaveSent reports whether any byte of the request may have been sent.
+func (t *connTrace) mayHaveSent() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.gotConn
 }
 
-// refusedStale reports whether the connection was too long quiet and closed.
-func (w *wire) refusedStale() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.stale
+// rejectedStale reports whether the connection was closed because it had been idle too long.
+func (t *connTrace) rejectedStale() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.stale
 }
 
-// close ends the connection: what follows a crossed or cut reply on it cannot
-// be trusted.
-func (w *wire) close() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.connection != nil {
-		_ = w.connection.Close()
+// close closes the connection: after a crossed or cut reply nothing on it can be trusted.
+func (t *connTrace) close() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.connection != nil {
+		_ = t.connection.Close()
 	}
 }
 
@@ -225,20 +224,20 @@
 		header.Set(HeaderVersion, strconv.FormatUint(uint64(call.Version), decimal))
 	}
 	if call.SubmitKey != "" {
-		// The key travels under a name of ours: net/http takes a request with
-		// an Idempotency-Key header for replayable and would send it again by
-		// itself when a reused connection breaks.
+		// The key has a header name of this protocol's own: net/http treats a
+		// request with an Idempotency-Key header as replayable and would resend
+		// it by itself when a reused connection breaks.
 		header.Set(HeaderSubmitKey, call.SubmitKey)
 		request.GetBody = nil
 	}
 	return request, nil
 }
 
-func failure(ctx context.Context, wire *wire, err error, latency time.Duration) Result {
+func failure(ctx context.Context, trace *connTrace, err error, latency time.Duration) Result {
 	result := Result{Outcome: core.Unknown, Reason: core.ReasonUpstreamFailed, Load: -1, Latency: latency, Cause: err}
-	if !wire.used() {
+	if !trace.mayHaveSent() {
 		result.Outcome = core.NotRun
-		result.Refused = isDial(err)
+		result.Refused = isDialError(err)
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -249,53 +248,52 @@
 	return result
 }
 
-func isDial(err error) bool {
+func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-func (c *Client) read(ctx context.Context, call Call, response *http.Response, wire *wire) Result {
+func (c *Client) readReply(ctx context.Context, call Call, response *http.Response, trace *connTrace) Result {
 	defer func() { _ = response.Body.Close() }()
 	result := headerResult(response)
 	if response.Header.Get(HeaderRequestID) != call.RequestID {
-		return c.dropReply(call.Address, wire, "the reply carries another request's id")
+		return c.dropReply(call.Address, trace, "the reply carries another request's id")
 	}
 	if !framed(response) {
-		return c.dropReply(call.Address, wire, "the reply has no length")
+		return c.dropReply(call.Address, trace, "the reply has no length")
 	}
 	payload, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes+1))
 	if err != nil && ctx.Err() != nil {
-		return failure(ctx, wire, err, 0)
+		return failure(ctx, trace, err, 0)
 	}
 	if err != nil || len(payload) > maxReplyBytes {
-		dropped := c.dropReply(call.Address, wire, "the reply was cut short or is too long")
-		c.checkEnded(call.Address, wire, err, &dropped)
+		dropped := c.dropReply(call.Address, trace, "the reply was cut short or is longer than 8 MiB")
+		c.checkEnded(call.Address, trace, err, &dropped)
 		return dropped
 	}
 	if response.StatusCode != http.StatusOK {
-		return notOK(result, response)
+		return notOKResult(result, response)
 	}
 	result.Outcome = core.Done
 	result.Payload = payload
 	return result
 }
 
-// framed reports whether the end of the reply can be told from a lost
-// connection.
+// framed reports whether the end of the reply can be distinguished from a lost connection.
 func framed(response *http.Response) bool {
 	return response.ProtoMajor >= 2 || response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-func (c *Client) dropReply(address string, wire *wire, why string) Result {
+func (c *Client) dropReply(address string, trace *connTrace, why string) Result {
 	c.dropped.Add(1)
-	wire.close()
+	trace.close()
 	if c.onDropped != nil {
 		c.onDropped(address, why)
 	}
 	return Result{Outcome: core.Unknown, Reason: core.ReasonCrossedReply, Load: -1, Cause: errors.New(why)}
 }
 
-func notOK(result Result, response *http.Response) Result {
+func notOKResult(result Result, response *http.Response) Result {
 	result.Outcome = core.Unknown
 	result.Reason = core.ReasonUpstreamFailed
 	result.Cause = errors.New("status " + response.Status)
@@ -323,7 +321,7 @@
 		}
 	}
 	result.Draining = header.Get(HeaderDraining) == "true"
-	if load, err := strconv.ParseFloat(header.Get(HeaderLoad), versionBits); err == nil {
+	if load, err := strconv.ParseFloat(header.Get(HeaderLoad), numberBits); err == nil {
 		result.Load = load
 	}
 	if ms, err := strconv.Atoi(header.Get(HeaderRetryAfter)); err == nil && ms > 0 {
@@ -333,7 +331,7 @@
 }
 
 func parseVersion(text string) core.Version {
-	number, err := strconv.ParseUint(text, decimal, versionBits)
+	number, err := strconv.ParseUint(text, decimal, numberBits)
 	if err != nil {
 		return 0
 	}
--- a/internal/upstream/ended.go
+++ b/internal/upstream/ended.go
@@ -18,16 +18,16 @@
 // checkEnded checks whether an upstream that broke the connection during a call has ended: its host then refuses a new
 // connection. After a lost reply or a reset on the network path, a new connection is accepted. An upstream that stopped
 // responding together with its VM is not detected.
-func (c *Client) checkEnded(address string, wire *wire, cause error, result *Result) {
-	result.Incarnation = wire.usedIncarnation()
-	if !wire.used() || !connerr.ClosedByPeer(cause) {
+func (c *Client) checkEnded(address string, trace *connTrace, cause error, result *Result) {
+	result.Incarnation = trace.usedIncarnation()
+	if !trace.mayHaveSent() || !connerr.ClosedByPeer(cause) {
 		return
 	}
 	result.Broken = true
 	if !c.detectEnded {
 		return
 	}
-	wire.close()
+	trace.close()
 	if slots := c.slotsOf(address); slots != nil {
 		result.Ended = slots.refusesConnections(address, result.Incarnation)
 	}
@@ -36,8 +36,8 @@
 func (c *Client) slotsOf(address string) *slots {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if known := c.hosts[address]; known != nil {
-		return known.slots
+	if h := c.hosts[address]; h != nil {
+		return h.slots
 	}
 	return nil
 }
@@ -74,8 +74,8 @@
 }
 
 // usedIncarnation returns the incarnation that the call's connection led to, or 0 if it had none.
-func (w *wire) usedIncarnation() uint64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.incarnation
+func (t *connTrace) usedIncarnation() uint64 {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.incarnation
 }
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -16,34 +16,34 @@
 // Guards against counting a cut reply as the end of an upstream, and two ends of one address as the same incarnation.
 func TestAnUpstreamThatEndsIsDistinguishedFromACutReply(t *testing.T) {
 	behaviour := standin.Behaviour{Versions: []uint64{7}, Deadly: func(question string) bool { return question == `"deadly"` }}
-	one, err := standin.StartUpstream("127.0.0.1:0", behaviour)
+	server, err := standin.StartUpstream("127.0.0.1:0", behaviour)
 	require.NoError(t, err)
 	client := upstream.NewClient()
 	client.DetectEnded()
 	t.Cleanup(client.Close)
-	client.SetConnectionShare(one.Address(), 2)
-	ask := func(question string) upstream.Result {
+	client.SetConnectionShare(server.Address(), 2)
+	query := func(question string) upstream.Result {
 		return client.Do(context.Background(), upstream.Call{
-			Address: one.Address(), Ref: core.ShardRef{Service: "s"}, RequestID: "r", RemainingTime: 5 * time.Second,
+			Address: server.Address(), Ref: core.ShardRef{Service: "s"}, RequestID: "r", RemainingTime: 5 * time.Second,
 			Body: upstream.Body{Question: json.RawMessage(question)},
 		})
 	}
-	require.Equal(t, core.Done, ask(`"harmless"`).Outcome)
-	one.Change(func(b *standin.Behaviour) { b.CutShare = 1 })
-	cut := ask(`"harmless"`)
+	require.Equal(t, core.Done, query(`"harmless"`).Outcome)
+	server.Change(func(b *standin.Behaviour) { b.CutShare = 1 })
+	cut := query(`"harmless"`)
 	require.True(t, cut.Broken)
 	require.False(t, cut.Ended)
-	one.Change(func(b *standin.Behaviour) { b.CutShare = 0 })
+	server.Change(func(b *standin.Behaviour) { b.CutShare = 0 })
 	var incarnations []uint64
 	for range 2 {
-		ended := ask(`"deadly"`)
+		ended := query(`"deadly"`)
 		require.True(t, ended.Broken)
 		require.True(t, ended.Ended)
 		incarnations = append(incarnations, ended.Incarnation)
-		one, err = standin.StartUpstream(one.Address(), behaviour)
+		server, err = standin.StartUpstream(server.Address(), behaviour)
 		require.NoError(t, err)
 	}
-	require.NoError(t, one.Close())
+	require.NoError(t, server.Close())
 	require.NotEqual(t, incarnations[0], incarnations[1])
 	require.Equal(t, cut.Incarnation, incarnations[0])
 }
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// PathHealth is an upstream's own word on its health. It lags or misleads: it is
+// PathHealth is the path of an upstream's health endpoint. Its reply may lag or mislead: it is
 // shown to operators and decides nothing where a real request can be made.
 const PathHealth = "/v1/health"
 
 const maxHealthBytes = 200
 
-// Observer is told the end of each call. It must not block.
+// Observer receives each call with its result. It must not block.
 type Observer func(call Call, result Result)
 
 // SetObserver sets the observer. It must be called before the first call.
 func (c *Client) SetObserver(observer Observer) { c.observer = observer }
 
-// Health asks an upstream for its own word: the status with the start of its text, or the failure.
+// Health requests an upstream's health endpoint and returns the status with the start of the reply's text.
 func (c *Client) Health(ctx context.Context, address string, timeout time.Duration) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -29,7 +29,7 @@
 		return "", err
 	}
 	transport := c.transport(address)
-	defer c.done(address, transport)
+	defer c.finishRequest(address, transport)
 	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return "", err
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -1,5 +1,5 @@
-// Package upstream speaks the upstreams' published HTTP protocol: one request
-// for one shard's part, with a deadline, an index version and a request id.
+// Package upstream is a client of the upstreams' published HTTP protocol: each request is for
+// one shard's part and has a deadline, an index version and a request id.
 package upstream
 
 import "encoding/json"
@@ -41,7 +41,7 @@
 	Dependencies []Dependency    `json:"dependencies,omitempty"`
 }
 
-// Dependency is a part of a service that the asked one depends on.
+// Dependency is a part of a service that the queried service depends on.
 type Dependency struct {
 	Service string          `json:"service"`
 	Shard   int             `json:"shard"`
--- a/internal/upstream/share.go
+++ b/internal/upstream/share.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// errNoShare is the failure of a request to an address to which this node may
-// hold no connection.
+// errNoShare is the failure of a request to an address to which this node may hold no
+// connection.
 var errNoShare = errors.New("this node has no share of the connections to the address")
 
-// defaultShare is the share of an address that was given none.
+// defaultShare is the share of an address for which none was set.
 const defaultShare = 1
 
-// host is one address with the connections to it. A change of the share makes
-// a new transport; requests still run on the former one, and its connections
-// count too: the slots are one for both.
+// host holds the connections to one address. A change of the share creates a new transport.
+// Requests may still run on the former one, and its connections count too: both transports
+// use the same slots.
 type host struct {
 	slots *slots
-	// transport is nil once the address has left the text.
+	// transport is nil once the address has been removed.
 	transport *http.Transport
 }
 
@@ -30,22 +30,22 @@
 	return &host{slots: slots, transport: newTransport(slots, share)}
 }
 
-// newTransport makes a transport that opens connections only by slots.
+// newTransport returns a transport that opens connections only through slots.
 func newTransport(slots *slots, share int) *http.Transport {
-	// net/http takes 0 for no limit at all. A share of 0 is kept by the slots.
+	// net/http treats 0 as unlimited. A share of 0 is enforced by the slots.
 	share = max(share, 1)
 	return &http.Transport{
 		DialContext:            slots.dial,
 		MaxConnsPerHost:        share,
 		MaxIdleConnsPerHost:    share,
-		IdleConnTimeout:        idleConnection,
+		IdleConnTimeout:        idleConnTimeout,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// slots are the connections that may be open to one address. A smaller share
-// closes none in use; but none is opened until fewer than the new share are open.
+// slots limits the connections that are open to one address. A smaller share closes no
+// connection in use, but none is opened until fewer than the new share are open.
 type slots struct {
 	dialer net.Dialer
 	mutex  sync.Mutex
@@ -56,7 +56,7 @@
 	// process does not use the same numbers.
 	incarnation uint64
 	ended       bool
-	// changed is closed and made anew when a slot may have become free.
+	// changed is closed and replaced when a slot may have become free.
 	changed chan struct{}
 }
 
@@ -71,7 +71,7 @@
 	s.wake()
 }
 
-// wake is called with the mutex held.
+// wake lets all waiting dials try again. The mutex must be held.
 func (s *slots) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -111,8 +111,8 @@
 	}
 }
 
-// tryTake takes a slot, or returns the channel that is closed when it is worth
-// trying again.
+// tryTake takes a slot, or returns the channel that is closed when another attempt may
+// succeed.
 func (s *slots) tryTake() (<-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -133,7 +133,7 @@
 	s.wake()
 }
 
-// countedConn gives its slot back when it is closed.
+// countedConn releases its slot when it is closed.
 type countedConn struct {
 	net.Conn
 	release func()
@@ -148,69 +148,69 @@
 	return err
 }
 
-// SetConnectionShare sets how many connections the client may hold to an address; 0 is none.
-// What runs keeps its connection; a new one is opened only while fewer than the
-// share are open, those of the former share included.
+// SetConnectionShare sets how many connections the client may hold to an address; 0 allows none.
+// Running requests keep their connections. A new connection is opened only while fewer than the
+// share are open, including those opened under the former share.
 func (c *Client) SetConnectionShare(address string, connections int) {
 	connections = max(connections, 0)
-	if former := c.setLimit(address, connections); former != nil {
+	if former := c.replaceTransport(address, connections); former != nil {
 		former.CloseIdleConnections()
 	}
 }
 
-// setLimit returns the transport that was replaced.
-func (c *Client) setLimit(address string, connections int) *http.Transport {
+// replaceTransport sets the share and returns the replaced transport, if any.
+func (c *Client) replaceTransport(address string, connections int) *http.Transport {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.hosts[address]
-	if known == nil {
+	h := c.hosts[address]
+	if h == nil {
 		c.hosts[address] = newHost(connections)
 		return nil
 	}
-	if known.transport != nil && known.slots.share == connections {
+	if h.transport != nil && h.slots.share == connections {
 		return nil
 	}
-	former := known.transport
-	known.slots.setShare(connections)
-	known.transport = newTransport(known.slots, connections)
+	former := h.transport
+	h.slots.setShare(connections)
+	h.transport = newTransport(h.slots, connections)
 	return former
 }
 
-// Remove closes the idle connections to an address that has left the text.
+// Remove closes the idle connections to an address that is no longer configured.
 func (c *Client) Remove(address string) {
-	if former := c.forget(address); former != nil {
+	if former := c.detachTransport(address); former != nil {
 		former.CloseIdleConnections()
-		c.suspects.forget(address)
+		c.silence.remove(address)
 	}
 	c.dropEmpty()
 }
 
-func (c *Client) forget(address string) *http.Transport {
+func (c *Client) detachTransport(address string) *http.Transport {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.hosts[address]
-	if known == nil {
+	h := c.hosts[address]
+	if h == nil {
 		return nil
 	}
-	former := known.transport
-	known.transport = nil
-	c.forgotten[address] = struct{}{}
+	former := h.transport
+	h.transport = nil
+	c.removed[address] = struct{}{}
 	return former
 }
 
-// dropEmpty drops the forgotten addresses whose last connection is closed. Until
-// then their slots are kept: the address may come back, and what still runs
-// counts in its share.
+// dropEmpty deletes the removed addresses whose last connection is closed. Until then their
+// slots are kept: the address may be added again, and connections of running requests count
+// in its share.
 func (c *Client) dropEmpty() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for address := range c.forgotten {
-		known := c.hosts[address]
+	for address := range c.removed {
+		h := c.hosts[address]
 		switch {
-		case known.transport != nil:
-			delete(c.forgotten, address)
-		case known.slots.empty():
-			delete(c.forgotten, address)
+		case h.transport != nil:
+			delete(c.removed, address)
+		case h.slots.empty():
+			delete(c.removed, address)
 			delete(c.hosts, address)
 		}
 	}
@@ -227,37 +227,37 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var list []*http.Transport
-	for _, known := range c.hosts {
-		if known.transport != nil {
-			list = append(list, known.transport)
+	for _, h := range c.hosts {
+		if h.transport != nil {
+			list = append(list, h.transport)
 		}
 	}
 	return list
 }
 
-// transport returns the transport in force. done must be called with it once
-// the request has its end.
+// transport returns the current transport. finishRequest must be called with it after the
+// request.
 func (c *Client) transport(address string) *http.Transport {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.hosts[address]
-	if known == nil {
-		known = newHost(defaultShare)
-		c.hosts[address] = known
+	h := c.hosts[address]
+	if h == nil {
+		h = newHost(defaultShare)
+		c.hosts[address] = h
 	}
-	if known.transport == nil {
-		known.slots.setShare(defaultShare)
-		known.transport = newTransport(known.slots, defaultShare)
+	if h.transport == nil {
+		h.slots.setShare(defaultShare)
+		h.transport = newTransport(h.slots, defaultShare)
 	}
-	return known.transport
+	return h.transport
 }
 
-// done closes what a request leaves idle on a transport that was replaced while
-// it ran: nothing would use that connection again, and it would hold a slot.
-func (c *Client) done(address string, used *http.Transport) {
+// finishRequest closes the connection that a request leaves idle on a transport that was replaced
+// meanwhile: it would not be used again, and would hold a slot.
+func (c *Client) finishRequest(address string, used *http.Transport) {
 	c.mutex.Lock()
-	known := c.hosts[address]
-	replaced := known == nil || known.transport != used
+	h := c.hosts[address]
+	replaced := h == nil || h.transport != used
 	c.mutex.Unlock()
 	if replaced {
 		used.CloseIdleConnections()
--- a/internal/upstream/share_test.go
+++ b/internal/upstream/share_test.go
@@ -16,8 +16,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// countingReplica counts its connections. It holds requests with the id "held"
-// until they are released, and answers the others at once.
+// countingReplica counts its connections. It holds requests with the id "held" until they are
+// released, and answers the others at once.
 type countingReplica struct {
 	*httptest.Server
 	open, accepted atomic.Int64
@@ -50,11 +50,11 @@
 	return r
 }
 
-func (r *countingReplica) call(id string, timeLeft time.Duration) upstream.Call {
-	return upstream.Call{Address: r.Listener.Addr().String(), Ref: core.ShardRef{Service: "prices"}, RequestID: id, RemainingTime: timeLeft}
+func (r *countingReplica) call(id string, remaining time.Duration) upstream.Call {
+	return upstream.Call{Address: r.Listener.Addr().String(), Ref: core.ShardRef{Service: "prices"}, RequestID: id, RemainingTime: remaining}
 }
 
-// hold starts requests that stay in work; the function returned ends them.
+// hold starts requests that stay in flight until the returned function is called.
 func (r *countingReplica) hold(t *testing.T, client *upstream.Client, count int) func() {
 	var held sync.WaitGroup
 	for range count {
@@ -77,17 +77,16 @@
 }
 
 const (
-	longTime  = time.Minute
-	shortTime = 100 * time.Millisecond
+	longTimeout  = time.Minute
+	shortTimeout = 100 * time.Millisecond
 )
 
-// Nodes join and a replica's connections are shared by more of them: the share
-// shrinks from four to one while four requests run. Were the new share counted
-// from zero, the replica would see a fifth connection, above its limit together
-// with those of the other nodes, and refuse work. The share may also shrink by
-// way of a text that drops the replica and takes it up again.
+// Nodes join, and this node's share of a replica's connections shrinks from four to one while four
+// requests run. If connections opened under the former share did not count, the replica would see
+// a fifth one, beyond its limit together with those of the other nodes, and refuse work. The same
+// holds if the replica is removed from the configuration and added again with the smaller share.
 func TestASmallerShareCountsWhatStillRuns(t *testing.T) {
-	for name, forget := range map[string]bool{"shrunk": false, "dropped and taken up again": true} {
+	for name, removed := range map[string]bool{"shrunk": false, "removed and added again": true} {
 		t.Run(name, func(t *testing.T) {
 			replica := startCounting(t)
 			client := upstream.NewClient()
@@ -95,37 +94,36 @@
 			address := replica.Listener.Addr().String()
 			client.SetConnectionShare(address, 4)
 			end := replica.hold(t, client, 4)
-			if forget {
+			if removed {
 				client.Remove(address)
 			}
 			client.SetConnectionShare(address, 1)
-			waited := client.Do(context.Background(), replica.call("waits", shortTime))
+			waited := client.Do(context.Background(), replica.call("waits", shortTimeout))
 			require.Equal(t, core.NotRun, waited.Outcome)
 			require.Equal(t, core.ReasonDeadline, waited.Reason)
 			require.False(t, waited.Refused, "the replica refused nothing")
 			require.EqualValues(t, 4, replica.accepted.Load())
 			end()
 			for range 3 {
-				require.Equal(t, core.Done, client.Do(context.Background(), replica.call("goes on", longTime)).Outcome)
+				require.Equal(t, core.Done, client.Do(context.Background(), replica.call("goes on", longTimeout)).Outcome)
 			}
-			require.Eventually(t, func() bool { return replica.open.Load() == 1 }, longTime, time.Millisecond, "one connection stays")
+			require.Eventually(t, func() bool { return replica.open.Load() == 1 }, longTimeout, time.Millisecond, "one connection stays open")
 		})
 	}
 }
 
-// A replica's limit is too small for the number of nodes, and this node's share
-// is none. net/http takes 0 for no limit: the node would open one connection for
-// each request.
+// A replica allows fewer connections than there are nodes, and this node's share is 0. As net/http
+// treats 0 as unlimited, the node could open one connection for each request.
 func TestAShareOfNoneOpensNothing(t *testing.T) {
 	replica := startCounting(t)
 	client := upstream.NewClient()
 	t.Cleanup(client.Close)
 	address := replica.Listener.Addr().String()
 	client.SetConnectionShare(address, 1)
-	require.Equal(t, core.Done, client.Do(context.Background(), replica.call("first", longTime)).Outcome)
+	require.Equal(t, core.Done, client.Do(context.Background(), replica.call("first", longTimeout)).Outcome)
 	client.SetConnectionShare(address, 0)
-	require.Equal(t, core.NotRun, client.Do(context.Background(), replica.call("second", longTime)).Outcome)
+	require.Equal(t, core.NotRun, client.Do(context.Background(), replica.call("second", longTimeout)).Outcome)
 	require.EqualValues(t, 1, replica.accepted.Load())
 	client.SetConnectionShare(address, 2)
-	require.Equal(t, core.Done, client.Do(context.Background(), replica.call("third", longTime)).Outcome)
+	require.Equal(t, core.Done, client.Do(context.Background(), replica.call("third", longTimeout)).Outcome)
 }
--- a/internal/upstream/silent.go
+++ b/internal/upstream/silent.go
@@ -8,47 +8,45 @@
 	"time"
 )
 
-// suspectEvery bounds how often the idle connections to one address are closed,
-// so that a slow upstream does not pay for new connections at every timeout.
-const suspectEvery = time.Second
+// minCloseInterval bounds how often the idle connections to one address are closed, so that a
+// slow upstream does not have to accept new connections after every timeout.
+const minCloseInterval = time.Second
 
-// suspects closes connections that may have gone silent: something between the
-// ends has lost track of the flow, what is written vanishes and no error ever
-// comes, while new connections work. It shows as a request that runs into its
-// deadline on a connection that was had. That connection is closed; and since
-// idle ones of the same age have likely gone the same way, they are closed too,
-// so that the next request opens a new one instead of trying them one timeout
-// after another.
-type suspects struct {
-	mutex    sync.Mutex
-	last     map[string]time.Time
-	count    int64
-	silent   map[string]bool
-	listener func(address string, silent bool)
+// silenceTracker detects silent connections: a device on the path has dropped the state of the
+// connection, so that written data is lost without an error, while new connections work. The sign
+// is a request that reaches its deadline after it was given a connection. That connection is
+// closed. Idle connections of the same age are probably silent too and are also closed, so that
+// the next request opens a new one instead of losing a timeout on each of them.
+type silenceTracker struct {
+	mutex     sync.Mutex
+	lastClose map[string]time.Time
+	count     int64
+	silent    map[string]bool
+	listener  func(address string, silent bool)
 }
 
-// OnSilent sets who is told of each connection that is taken for silent, and of
+// OnSilent sets the listener that is called for each connection that is taken for silent, and for
 // the first reply from the address after that. It must not block.
 func (c *Client) OnSilent(listener func(address string, silent bool)) {
-	c.suspects.mutex.Lock()
-	defer c.suspects.mutex.Unlock()
-	c.suspects.listener = listener
+	c.silence.mutex.Lock()
+	defer c.silence.mutex.Unlock()
+	c.silence.listener = listener
 }
 
 // SilentConnections counts the connections that were taken for silent.
 func (c *Client) SilentConnections() int64 {
-	c.suspects.mutex.Lock()
-	defer c.suspects.mutex.Unlock()
-	return c.suspects.count
+	c.silence.mutex.Lock()
+	defer c.silence.mutex.Unlock()
+	return c.silence.count
 }
 
-// checkSilence looks at a failed request.
-func (c *Client) checkSilence(ctx context.Context, address string, transport *http.Transport, wire *wire) {
-	if !errors.Is(ctx.Err(), context.DeadlineExceeded) || !wire.used() {
+// checkSilence checks whether a failed request shows a silent connection.
+func (c *Client) checkSilence(ctx context.Context, address string, transport *http.Transport, trace *connTrace) {
+	if !errors.Is(ctx.Err(), context.DeadlineExceeded) || !trace.mayHaveSent() {
 		return
 	}
-	wire.close()
-	listener, closeIdle := c.suspects.note(address, time.Now())
+	trace.close()
+	listener, closeIdle := c.silence.record(address, time.Now())
 	if closeIdle {
 		transport.CloseIdleConnections()
 	}
@@ -57,19 +55,19 @@
 	}
 }
 
-// replied looks at a request that was answered.
-func (c *Client) replied(address string) {
-	c.suspects.mutex.Lock()
-	was := c.suspects.silent[address]
-	delete(c.suspects.silent, address)
-	listener := c.suspects.listener
-	c.suspects.mutex.Unlock()
-	if was && listener != nil {
+// noteReply ends the silence of an address that has replied.
+func (c *Client) noteReply(address string) {
+	c.silence.mutex.Lock()
+	wasSilent := c.silence.silent[address]
+	delete(c.silence.silent, address)
+	listener := c.silence.listener
+	c.silence.mutex.Unlock()
+	if wasSilent && listener != nil {
 		listener(address, false)
 	}
 }
 
-func (s *suspects) note(address string, now time.Time) (listener func(string, bool), closeIdle bool) {
+func (s *silenceTracker) record(address string, now time.Time) (listener func(string, bool), closeIdle bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.count++
@@ -77,21 +75,21 @@
 		s.silent = map[string]bool{}
 	}
 	s.silent[address] = true
-	last, known := s.last[address]
-	closeIdle = !known || now.Sub(last) >= suspectEvery
+	last, known := s.lastClose[address]
+	closeIdle = !known || now.Sub(last) >= minCloseInterval
 	if closeIdle {
-		if s.last == nil {
-			s.last = map[string]time.Time{}
+		if s.lastClose == nil {
+			s.lastClose = map[string]time.Time{}
 		}
-		s.last[address] = now
+		s.lastClose[address] = now
 	}
 	return s.listener, closeIdle
 }
 
-// forget drops what is remembered of an address.
-func (s *suspects) forget(address string) {
+// remove deletes the state of an address.
+func (s *silenceTracker) remove(address string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.last, address)
+	delete(s.lastClose, address)
 	delete(s.silent, address)
 }
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -15,14 +15,14 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// forwarder passes TCP connections on. Those open at a call of silence go
-// silent for good: they stay open, and what is written to them vanishes.
+// forwarder forwards TCP connections. A call of silence makes the open connections silent for
+// good: they stay open, and data written to them is discarded.
 type forwarder struct {
-	listener net.Listener
-	target   string
-	mutex    sync.Mutex
-	era      int
-	opened   int
+	listener   net.Listener
+	target     string
+	mutex      sync.Mutex
+	generation int
+	opened     int
 }
 
 func startForwarder(t *testing.T, target string) *forwarder {
@@ -41,9 +41,9 @@
 				_ = client.Close()
 				continue
 			}
-			era := f.open()
-			go f.pass(era, client, server)
-			go f.pass(era, server, client)
+			generation := f.open()
+			go f.pass(generation, client, server)
+			go f.pass(generation, server, client)
 		}
 	}()
 	return f
@@ -53,32 +53,32 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.opened++
-	return f.era
+	return f.generation
 }
 
 func (f *forwarder) silence() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.era++
+	f.generation++
 }
 
-func (f *forwarder) silenced(era int) bool {
+func (f *forwarder) silenced(generation int) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return era < f.era
+	return generation < f.generation
 }
 
-func (f *forwarder) pass(era int, from, to net.Conn) {
+func (f *forwarder) pass(generation int, from, to net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
-			if !f.silenced(era) {
+			if !f.silenced(generation) {
 				_ = to.Close()
 			}
 			return
 		}
-		if f.silenced(era) {
+		if f.silenced(generation) {
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
@@ -86,10 +86,9 @@
 	}
 }
 
-// Overnight a firewall forgets its flows: every open connection to a replica
-// goes silent while new ones work. The first lookup of the morning times out.
-// It must be the only one: the connection it ran on and the idle ones beside it
-// are closed, and the next lookup opens a new one.
+// A firewall drops its connection state overnight: every open connection to a replica goes silent,
+// while new ones work. Only one request may time out: its connection and the other idle ones are
+// closed, and the next request opens a new one.
 func TestOneTimeoutEndsAllSilentConnections(t *testing.T) {
 	const connections = 4
 	replica, err := standin.StartUpstream("127.0.0.1:0", standin.Behaviour{Versions: []uint64{1}, Service: 50 * time.Millisecond})
@@ -99,8 +98,8 @@
 	client := upstream.NewClient()
 	t.Cleanup(client.Close)
 	client.SetConnectionShare(f.listener.Addr().String(), connections)
-	told := make(chan bool, connections)
-	client.OnSilent(func(_ string, silent bool) { told <- silent })
+	changes := make(chan bool, connections)
+	client.OnSilent(func(_ string, silent bool) { changes <- silent })
 	call := upstream.Call{Address: f.listener.Addr().String(), Ref: core.ShardRef{Service: "stems"}, RequestID: "r", RemainingTime: 10 * time.Second}
 
 	var running sync.WaitGroup
@@ -108,16 +107,16 @@
 		running.Go(func() { client.Do(context.Background(), call) })
 	}
 	running.Wait()
-	require.Greater(t, f.opened, 1, "several connections are idle now")
+	require.Greater(t, f.opened, 1, "several connections must be idle now")
 
 	f.silence()
 	short := call
 	short.RemainingTime = 200 * time.Millisecond
 	first := client.Do(context.Background(), short)
-	require.Equal(t, core.Unknown, first.Outcome, "it was sent, and nobody knows whether it ran")
+	require.Equal(t, core.Unknown, first.Outcome, "it was sent and may have run")
 	require.Equal(t, core.ReasonDeadline, first.Reason)
-	require.True(t, <-told)
+	require.True(t, <-changes)
 	require.Equal(t, core.Done, client.Do(context.Background(), call).Outcome)
-	require.False(t, <-told, "it is over")
+	require.False(t, <-changes, "the address replies again")
 	require.Equal(t, int64(1), client.SilentConnections())
 }
--- a/internal/upstream/submit_test.go
+++ b/internal/upstream/submit_test.go
@@ -17,8 +17,8 @@
 
 const awaitLimit = 10 * time.Second
 
-// breakingServer answers the first request of each connection and closes the
-// connection after it has read the second.
+// breakingServer replies to the first request of each connection and closes the connection after
+// it has read the second.
 type breakingServer struct {
 	listener   net.Listener
 	deliveries atomic.Int64
@@ -80,9 +80,8 @@
 	return Call{Address: s.listener.Addr().String(), RequestID: id, SubmitKey: key, RemainingTime: awaitLimit, Body: Body{Question: []byte(`1`)}}
 }
 
-// A kitchen manager's invoice is recorded twice. A reused connection breaks
-// after the upstream has read the invoice; net/http takes the request for
-// replayable and sends it again on a new connection, by itself.
+// A reused connection breaks after the upstream has read a submit. If net/http treated the request
+// as replayable, it would resend it on a new connection by itself, and the submit would run twice.
 func TestABrokenReusedConnectionDoesNotResendASubmit(t *testing.T) {
 	server := startBreakingServer(t)
 	client := NewClient()
@@ -94,9 +93,8 @@
 	require.EqualValues(t, 1, server.opened.Load(), "the submit must have met the reused connection")
 }
 
-// A clearance check waits for its whole deadline and ends "unknown". The
-// connection it was sent on had been quiet for long, and something between the
-// two ends had lost track of it. A quiet connection therefore carries no submit.
+// A device on the path has dropped the state of a connection that was idle for long. A submit sent on
+// it would wait until its deadline and end "unknown", so that such a connection must carry no submit.
 func TestALongQuietConnectionCarriesNoSubmit(t *testing.T) {
 	server := startBreakingServer(t)
 	client := NewClient()
