--- a/internal/night/actions.go
+++ b/internal/night/actions.go
@@ -9,13 +9,13 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// act carries an action out; some have an event as their immediate result.
+// act executes an action; some actions have an event as their immediate result.
 func (p *Prober) act(ctx context.Context, action night.Action) night.Event {
 	switch a := action.(type) {
 	case night.Probe:
-		return p.begin(ctx, a.Target)
+		return p.startProbe(ctx, a.Target)
 	case night.ReplicaDown:
-		p.options.Problems.Report(observe.KindReplicaDown, replicaSubject(a.Target), p.details[a.Target])
+		p.options.Problems.Report(observe.KindReplicaDown, replicaSubject(a.Target), p.failureDetails[a.Target])
 		p.logReplica(a.Target, "replica_down")
 	case night.ReplicaUp:
 		p.options.Problems.Clear(observe.KindReplicaDown, replicaSubject(a.Target))
@@ -35,5 +35,5 @@
 }
 
 func (p *Prober) logReplica(target night.Target, event string) {
-	p.options.Log.WithFields(logrus.Fields{"event": event, "shard": target.Ref.String(), "address": target.Address, "detail": p.details[target]}).Warn("idle replica")
+	p.options.Log.WithFields(logrus.Fields{"event": event, "shard": target.Ref.String(), "address": target.Address, "detail": p.failureDetails[target]}).Warn("idle replica changed state")
 }
--- a/internal/night/night.go
+++ b/internal/night/night.go
@@ -1,5 +1,5 @@
-// Package night probes idle replicas of this node's bundles, so that one which
-// dies without traffic is a problem within a stated time.
+// Package night probes idle replicas of this node's bundles, so that a replica that fails
+// without traffic is reported within a configured time.
 package night
 
 import (
@@ -18,18 +18,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// ProbeCustomer is the customer that probes name towards upstreams. Their question
-// is null.
+// ProbeCustomer is the customer name in probes. The query of a probe is null.
 const ProbeCustomer core.Customer = "probe"
 
 const (
 	ringDepth = 256
-	// rebuilds is how often in the reporting time the list of owned replicas
-	// is worked out again at most: its cost grows with the size of the text.
-	rebuilds = 12
+	// rebuildsPerReport is how many times within ReportWithin the list of owned replicas is
+	// rebuilt at most: the cost grows with the size of the configuration.
+	rebuildsPerReport = 12
 )
 
-// Options are the parts and settings of a Prober.
+// Options are the dependencies and settings of a Prober.
 type Options struct {
 	Self     core.NodeID
 	Belief   *belief.Store
@@ -39,18 +38,18 @@
 	Log      logrus.FieldLogger
 	Problems *observe.Problems
 	Metrics  observe.Registry
-	// ReportWithin is the time within which a dead replica is reported.
+	// ReportWithin is the time within which a failed replica is reported.
 	ReportWithin time.Duration
-	// MaxInFlight is how many probes run at once.
+	// MaxInFlight bounds the probes that run at once.
 	MaxInFlight int
 }
 
-// Prober runs the duty.
+// Prober probes the idle replicas that this node owns.
 type Prober struct {
 	options  Options
 	machine  *night.Machine
-	owners   *owners
-	events   *ring.Ring[ended]
+	owners   *ownerTable
+	events   *ring.Ring[probeResult]
 	changed  chan struct{}
 	stop     context.CancelFunc
 	done     sync.WaitGroup
@@ -58,41 +57,41 @@
 	failed   metrics.Counter
 	inFlight metrics.Gauge
 	watched  metrics.Gauge
-	// details holds what the last failed probe of a replica showed.
-	details map[night.Target]string
-	wakeAt  core.Time
-	number  uint64
-	mutex   sync.Mutex
-	// answered is when a replica last answered a real request.
-	answered map[night.Target]core.Time
+	// failureDetails holds the detail of each replica's last failed probe.
+	failureDetails map[night.Target]string
+	wakeAt         core.Time
+	probeNumber    uint64
+	mutex          sync.Mutex
+	// answeredAt is when a replica last answered a real request.
+	answeredAt map[night.Target]core.Time
 }
 
-// ended is the end of a probe.
-type ended struct {
+// probeResult is the result of a probe.
+type probeResult struct {
 	target night.Target
 	alive  bool
 	detail string
 }
 
-// Start begins the duty; Close ends it.
+// Start starts a Prober; Close stops it.
 func Start(options Options) *Prober {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Prober{
-		options:  options,
-		machine:  night.New(night.Paced(options.ReportWithin, options.MaxInFlight)),
-		owners:   newOwners(),
-		events:   ring.New[ended](ringDepth),
-		changed:  make(chan struct{}, 1),
-		stop:     stop,
-		probes:   observe.Counter(options.Metrics, "probes_total"),
-		failed:   observe.Counter(options.Metrics, "probes_failed_total"),
-		inFlight: observe.Gauge(options.Metrics, "probes_in_flight"),
-		watched:  observe.Gauge(options.Metrics, "probes_watched_replicas"),
-		details:  map[night.Target]string{},
-		answered: map[night.Target]core.Time{},
+		options:        options,
+		machine:        night.New(night.Paced(options.ReportWithin, options.MaxInFlight)),
+		owners:         newOwnerTable(),
+		events:         ring.New[probeResult](ringDepth),
+		changed:        make(chan struct{}, 1),
+		stop:           stop,
+		probes:         observe.Counter(options.Metrics, "probes_total"),
+		failed:         observe.Counter(options.Metrics, "probes_failed_total"),
+		inFlight:       observe.Gauge(options.Metrics, "probes_in_flight"),
+		watched:        observe.Gauge(options.Metrics, "probes_watched_replicas"),
+		failureDetails: map[night.Target]string{},
+		answeredAt:     map[night.Target]core.Time{},
 	}
-	options.Belief.OnChange(p.note)
-	p.note()
+	options.Belief.OnChange(p.markChanged)
+	p.markChanged()
 	p.done.Add(1)
 	go func() {
 		defer p.done.Done()
@@ -101,13 +100,13 @@
 	return p
 }
 
-// Close ends the duty and its probes.
+// Close stops the Prober and its probes.
 func (p *Prober) Close() {
 	p.stop()
 	p.done.Wait()
 }
 
-// Observe takes the end of a call that the upstream client made.
+// Observe records the result of a call of the upstream client.
 func (p *Prober) Observe(call upstream.Call, result upstream.Result) {
 	if call.Customer == ProbeCustomer || result.Outcome != core.Done {
 		return
@@ -115,11 +114,11 @@
 	target := night.Target{Ref: call.Ref, Address: call.Address}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.answered[target] = p.options.Now()
+	p.answeredAt[target] = p.options.Now()
 }
 
-// note marks the list of owned replicas as out of date.
-func (p *Prober) note() {
+// markChanged marks the list of owned replicas as out of date.
+func (p *Prober) markChanged() {
 	select {
 	case p.changed <- struct{}{}:
 	default:
@@ -129,14 +128,14 @@
 func (p *Prober) run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	rebuild := time.NewTicker(p.options.ReportWithin / rebuilds)
+	rebuild := time.NewTicker(p.options.ReportWithin / rebuildsPerReport)
 	defer rebuild.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case e := <-p.events.Items():
-			p.finish(ctx, e)
+			p.finishProbe(ctx, e)
 		case <-rebuild.C:
 			p.rebuild(ctx)
 		case <-timer.C:
@@ -146,8 +145,8 @@
 	}
 }
 
-// untilWake is the time to the next wake-up. With all probes in flight none is
-// asked for: a timer left at its last time would fire again and again.
+// untilWake returns the time until the next wake-up. While all probes are in flight no wake-up is
+// requested: a timer left at its last time would fire again and again.
 func (p *Prober) untilWake() time.Duration {
 	if p.wakeAt == 0 {
 		return time.Hour
@@ -155,7 +154,7 @@
 	return p.wakeAt - p.options.Now()
 }
 
-// rebuild works out the owned replicas when the beliefs have changed.
+// rebuild recomputes the list of owned replicas if the configuration or the view has changed.
 func (p *Prober) rebuild(ctx context.Context) {
 	select {
 	case <-p.changed:
@@ -169,38 +168,38 @@
 	p.owners.update(config.Catalog, p.options.Belief.View())
 	targets := p.owners.targets(config.Catalog, p.options.Self)
 	p.watched.Update(int64(len(targets)))
-	p.forget(targets)
+	p.pruneAnswered(targets)
 	p.step(ctx, night.Owned{Targets: targets})
 }
 
-// forget drops what is remembered of replicas that are no longer owned.
-func (p *Prober) forget(kept []night.Target) {
-	keep := make(map[night.Target]bool, len(kept))
-	for _, target := range kept {
+// pruneAnswered deletes the entries of replicas that are no longer owned.
+func (p *Prober) pruneAnswered(owned []night.Target) {
+	keep := make(map[night.Target]bool, len(owned))
+	for _, target := range owned {
 		keep[target] = true
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for target := range p.answered {
+	for target := range p.answeredAt {
 		if !keep[target] {
-			delete(p.answered, target)
+			delete(p.answeredAt, target)
 		}
 	}
 }
 
-// finish takes the end of a probe.
-func (p *Prober) finish(ctx context.Context, e ended) {
+// finishProbe handles the result of a probe.
+func (p *Prober) finishProbe(ctx context.Context, e probeResult) {
 	p.inFlight.Update(p.inFlight.Value() - 1)
 	if e.alive {
-		delete(p.details, e.target)
+		delete(p.failureDetails, e.target)
 	} else {
 		p.failed.Inc(1)
-		p.details[e.target] = e.detail
+		p.failureDetails[e.target] = e.detail
 	}
 	p.step(ctx, night.Probed{Target: e.target, Alive: e.alive})
 }
 
-// step gives the machine an event and those that follow from its actions.
+// step gives the state machine an event, then the events that result from its actions.
 func (p *Prober) step(ctx context.Context, event night.Event) {
 	pending := []night.Event{event}
 	for len(pending) > 0 {
@@ -208,8 +207,8 @@
 		actions := p.machine.Step(p.options.Now(), pending[0])
 		pending = pending[1:]
 		for _, action := range actions {
-			if follow := p.act(ctx, action); follow != nil {
-				pending = append(pending, follow)
+			if next := p.act(ctx, action); next != nil {
+				pending = append(pending, next)
 			}
 		}
 	}
--- a/internal/night/night_test.go
+++ b/internal/night/night_test.go
@@ -12,9 +12,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-const fleetText = "version: 1\nindexes: [a]\ngroups:\n  - {name: s, services: 100, shards: 30, replicas: 2, index: a, data_centres: [dc0, dc1, dc2, dc3], first_address: \"10.0.0.1:80\"}\n"
+const catalogText = "version: 1\nindexes: [a]\ngroups:\n  - {name: s, services: 100, shards: 30, replicas: 2, index: a, data_centres: [dc0, dc1, dc2, dc3], first_address: \"10.0.0.1:80\"}\n"
 
-func fleetOf(nodes int) *route.View {
+func viewOf(nodes int) *route.View {
 	var list []route.Node
 	for i := range nodes {
 		list = append(list, route.Node{ID: core.NodeID(fmt.Sprintf("vm-%03d", i)), DataCentre: fmt.Sprintf("dc%d", i%4)})
@@ -22,17 +22,17 @@
 	return route.NewView(list)
 }
 
-// Each replica must be watched by one node and no more: none would leave it
-// unseen, and several would multiply the probes.
+// Each replica must be watched by exactly one node: without one its failure would go unnoticed, and
+// several would multiply the probes.
 func TestEachReplicaIsWatchedByOneNode(t *testing.T) {
-	text, err := catalog.Parse([]byte(fleetText))
+	cat, err := catalog.Parse([]byte(catalogText))
 	require.NoError(t, err)
-	view := fleetOf(8)
-	known := newOwners()
-	known.update(text, view)
+	view := viewOf(8)
+	table := newOwnerTable()
+	table.update(cat, view)
 	watched := map[string]int{}
 	for _, node := range view.Nodes() {
-		for _, target := range known.targets(text, node.ID) {
+		for _, target := range table.targets(cat, node.ID) {
 			watched[target.Address]++
 		}
 	}
@@ -42,51 +42,51 @@
 	}
 }
 
-// VMs come and go for a day. The owners that are carried along must stay those
-// that the view itself names, or a replica would be watched by the wrong node.
-func TestOwnersCarriedAlongAreThoseOfTheView(t *testing.T) {
-	text, err := catalog.Parse([]byte(fleetText))
+// Nodes come and go. The incrementally updated owners must equal those that the view ranks first,
+// or a replica would be watched by the wrong node.
+func TestIncrementallyUpdatedOwnersMatchTheView(t *testing.T) {
+	cat, err := catalog.Parse([]byte(catalogText))
 	require.NoError(t, err)
-	known := newOwners()
+	table := newOwnerTable()
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 30 {
 		var live []route.Node
-		for _, node := range fleetOf(24).Nodes() {
+		for _, node := range viewOf(24).Nodes() {
 			if random.IntN(4) > 0 {
 				live = append(live, node)
 			}
 		}
 		view := route.NewView(live)
-		known.update(text, view)
-		for _, bundle := range text.Bundles {
+		table.update(cat, view)
+		for _, bundle := range cat.Bundles {
 			want, ok := view.Rank(bundle.ID, bundle.DataCentre, 0)
 			require.True(t, ok)
-			require.Equal(t, want.ID, known.owners[place{bundle.ID, bundle.DataCentre}].ID)
+			require.Equal(t, want.ID, table.owners[ownerKey{bundle.ID, bundle.DataCentre}].ID)
 		}
 	}
-	known.update(text, route.NewView(nil))
-	require.Empty(t, known.owners)
+	table.update(cat, route.NewView(nil))
+	require.Empty(t, table.owners)
 }
 
-// BenchmarkOwners takes up one replaced VM in a fleet of 780 with 6,000 replicas:
-// carried along, and all chosen anew.
+// BenchmarkOwners measures the replacement of one node among 780 with 6,000 replicas: with an
+// incremental update ("carried") and with all owners chosen again ("anew").
 func BenchmarkOwners(b *testing.B) {
-	text, err := catalog.Parse([]byte(fleetText))
+	cat, err := catalog.Parse([]byte(catalogText))
 	require.NoError(b, err)
-	before := fleetOf(780)
+	before := viewOf(780)
 	after := route.NewView(before.Nodes()[1:])
 	b.Run("carried", func(b *testing.B) {
-		known := newOwners()
-		known.update(text, before)
+		table := newOwnerTable()
+		table.update(cat, before)
 		for b.Loop() {
-			known.update(text, after)
-			known.update(text, before)
+			table.update(cat, after)
+			table.update(cat, before)
 		}
 	})
 	b.Run("anew", func(b *testing.B) {
 		for b.Loop() {
-			newOwners().update(text, after)
-			newOwners().update(text, before)
+			newOwnerTable().update(cat, after)
+			newOwnerTable().update(cat, before)
 		}
 	})
 }
--- a/internal/night/owned.go
+++ b/internal/night/owned.go
@@ -7,67 +7,67 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// place is what the owner of a bundle is chosen by, besides the view.
-type place struct {
+// ownerKey is what the owner of a bundle depends on besides the view.
+type ownerKey struct {
 	bundle     core.BundleID
 	dataCentre string
 }
 
-// owners knows the owner of each bundle. A change costs in proportion to the
-// bundles and to the nodes that came or went: choosing all owners anew would
-// cost bundles times nodes with each VM that is replaced.
-type owners struct {
+// ownerTable holds the owner of each bundle. An update costs time in proportion to the bundles
+// and to the nodes that came or went. Choosing all owners again would cost bundles times nodes
+// for each VM that is replaced.
+type ownerTable struct {
 	view   *route.View
-	owners map[place]route.Node
+	owners map[ownerKey]route.Node
 }
 
-func newOwners() *owners {
-	return &owners{view: route.NewView(nil), owners: map[place]route.Node{}}
+func newOwnerTable() *ownerTable {
+	return &ownerTable{view: route.NewView(nil), owners: map[ownerKey]route.Node{}}
 }
 
-// update takes up a text and a view. Bundles that were known keep their owner,
-// unless it went or a node that came precedes it.
-func (o *owners) update(text *catalog.Catalog, view *route.View) {
-	came := difference(view, o.view)
-	known := o.owners
-	o.owners = make(map[place]route.Node, len(text.Bundles))
+// update adopts a configuration and a view. Known bundles keep their owner unless it is gone or
+// moved, or an added node ranks higher.
+func (o *ownerTable) update(cat *catalog.Catalog, view *route.View) {
+	added := addedNodes(view, o.view)
+	previous := o.owners
+	o.owners = make(map[ownerKey]route.Node, len(cat.Bundles))
 	o.view = view
-	for _, bundle := range text.Bundles {
-		at := place{bundle.ID, bundle.DataCentre}
-		owner, ok := known[at]
-		if now, live := view.Node(owner.ID); !ok || !live || now.DataCentre != owner.DataCentre {
-			owner, ok = view.Rank(at.bundle, at.dataCentre, 0)
+	for _, bundle := range cat.Bundles {
+		key := ownerKey{bundle.ID, bundle.DataCentre}
+		owner, ok := previous[key]
+		if current, live := view.Node(owner.ID); !ok || !live || current.DataCentre != owner.DataCentre {
+			owner, ok = view.Rank(key.bundle, key.dataCentre, 0)
 			if ok {
-				o.owners[at] = owner
+				o.owners[key] = owner
 			}
 			continue
 		}
-		for _, candidate := range came {
-			owner = route.First(owner, candidate, at.bundle, at.dataCentre)
+		for _, candidate := range added {
+			owner = route.First(owner, candidate, key.bundle, key.dataCentre)
 		}
-		o.owners[at] = owner
+		o.owners[key] = owner
 	}
 }
 
-// difference lists the nodes of one view that the other lacks.
-func difference(view, other *route.View) []route.Node {
+// addedNodes lists the nodes of a view that the other view lacks or has in another data centre.
+func addedNodes(view, other *route.View) []route.Node {
 	var list []route.Node
 	for _, node := range view.Nodes() {
-		known, ok := other.Node(node.ID)
-		if !ok || known.DataCentre != node.DataCentre {
+		former, ok := other.Node(node.ID)
+		if !ok || former.DataCentre != node.DataCentre {
 			list = append(list, node)
 		}
 	}
 	return list
 }
 
-// targets lists the replicas of the node's bundles, in the order of the text.
-func (o *owners) targets(text *catalog.Catalog, self core.NodeID) []night.Target {
+// targets lists the replicas of the node's bundles that do not drain, in the order of the configuration.
+func (o *ownerTable) targets(cat *catalog.Catalog, self core.NodeID) []night.Target {
 	var list []night.Target
-	for _, name := range text.Names {
-		for _, shard := range text.Services[name].Shards {
-			bundle := text.Bundles[shard.Bundle]
-			if o.owners[place{bundle.ID, bundle.DataCentre}].ID != self {
+	for _, name := range cat.Names {
+		for _, shard := range cat.Services[name].Shards {
+			bundle := cat.Bundles[shard.Bundle]
+			if o.owners[ownerKey{bundle.ID, bundle.DataCentre}].ID != self {
 				continue
 			}
 			for _, replica := range shard.Replicas {
--- a/internal/night/probe.go
+++ b/internal/night/probe.go
@@ -15,11 +15,11 @@
 
 const decimal = 10
 
-// begin starts a probe, unless real traffic has answered in its place.
-func (p *Prober) begin(ctx context.Context, target night.Target) night.Event {
+// startProbe starts a probe unless the replica has answered a real request within the last sweep.
+func (p *Prober) startProbe(ctx context.Context, target night.Target) night.Event {
 	sweep := night.Paced(p.options.ReportWithin, p.options.MaxInFlight).Sweep
 	p.mutex.Lock()
-	at, ok := p.answered[target]
+	at, ok := p.answeredAt[target]
 	p.mutex.Unlock()
 	if ok && at+sweep > p.options.Now() {
 		return night.Answered{Target: target, At: at}
@@ -28,15 +28,15 @@
 	if service == nil {
 		return night.Answered{Target: target, At: p.options.Now()}
 	}
-	p.number++
-	id := string(p.options.Self) + "-probe-" + strconv.FormatUint(p.number, decimal)
+	p.probeNumber++
+	id := string(p.options.Self) + "-probe-" + strconv.FormatUint(p.probeNumber, decimal)
 	p.probes.Inc(1)
 	p.inFlight.Update(p.inFlight.Value() + 1)
 	p.done.Add(1)
 	go func() {
 		defer p.done.Done()
 		alive, detail := p.probe(ctx, target, service.Idempotent, id)
-		_ = p.events.Put(ctx, ended{target: target, alive: alive, detail: detail})
+		_ = p.events.Put(ctx, probeResult{target: target, alive: alive, detail: detail})
 	}()
 	return nil
 }
@@ -49,15 +49,14 @@
 	return config.Catalog.Services[ref.Service]
 }
 
-// probe asks the health endpoint and, of an idempotent service, a real question.
-// A health endpoint can say that all is well while requests hang, so that the
-// real question decides. A service that must not be repeated has only its health
-// endpoint, and the report says so.
+// probe sends a real query to a replica of an idempotent service. If it fails, the health endpoint is
+// requested for the report only: it can report success while requests hang. A replica of a service
+// whose requests must not be repeated is probed by its health endpoint alone, and the detail says so.
 func (p *Prober) probe(ctx context.Context, target night.Target, idempotent bool, id string) (bool, string) {
-	limit := night.ProbeTimeout(p.options.ReportWithin)
+	timeout := night.ProbeTimeout(p.options.ReportWithin)
 	if !idempotent {
-		health, err := p.options.Upstream.Health(ctx, target.Address, limit)
-		return err == nil, "probed by its health endpoint only, as it must not be asked twice: " + said(health, err)
+		health, err := p.options.Upstream.Health(ctx, target.Address, timeout)
+		return err == nil, "probed by its health endpoint only, as its requests must not be repeated: " + describe(health, err)
 	}
 	started := p.options.Now()
 	result := p.options.Upstream.Do(ctx, upstream.Call{
@@ -65,25 +64,24 @@
 		Ref:           target.Ref,
 		RequestID:     id,
 		Customer:      ProbeCustomer,
-		RemainingTime: limit - healthShare(limit),
+		RemainingTime: timeout - healthTimeout(timeout),
 		Body:          upstream.Body{Question: json.RawMessage("null")},
 	})
-	if answers(result) {
+	if hasReplied(result) {
 		return true, ""
 	}
-	took := p.options.Now() - started
-	health, err := p.options.Upstream.Health(ctx, target.Address, healthShare(limit))
+	elapsed := p.options.Now() - started
+	health, err := p.options.Upstream.Health(ctx, target.Address, healthTimeout(timeout))
 	return false, fmt.Sprintf("a query with the question null failed after %d ms: %s: %s; its health endpoint says: %s",
-		took.Milliseconds(), result.Reason, said("", result.Cause), said(health, err))
+		elapsed.Milliseconds(), result.Reason, describe("", result.Cause), describe(health, err))
 }
 
-// healthShare is the part of a probe's time that is left for the health endpoint
-// after the query.
-func healthShare(limit time.Duration) time.Duration { return limit / 3 }
+// healthTimeout is the part of a probe's timeout that is reserved for the health endpoint after the
+// query.
+func healthTimeout(timeout time.Duration) time.Duration { return timeout / 3 }
 
-// answers reports whether the replica gave any answer of its own: a result, or a
-// refusal that it made itself.
-func answers(result upstream.Result) bool {
+// hasReplied reports whether the replica itself sent a result or a refusal.
+func hasReplied(result upstream.Result) bool {
 	switch result.Reason {
 	case core.ReasonVersionGone, core.ReasonOverloaded, core.ReasonDraining:
 		return true
@@ -92,12 +90,12 @@
 	}
 }
 
-func said(text string, err error) string {
+func describe(reply string, err error) string {
 	if err != nil {
 		return err.Error()
 	}
-	if text == "" {
+	if reply == "" {
 		return "no cause given"
 	}
-	return text
+	return reply
 }
