--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -153,8 +153,8 @@
 			d.markLeaving()
 			d.withdrawOld()
 			d.clearOldPause()
-			// After the step, so that the pause is set before the sign of
-			// life is young again.
+			// After the step, so that the pause is set before the last tick
+			// is renewed.
 			d.options.Belief.RecordTick(d.options.Now)
 		}
 	}
