--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,6 +1,6 @@
-// Package traffic counts the bytes that a node sends and takes, by what they are for and by the
-// data centre at the other end. Bytes between data centres are dear; without the account
-// nobody can say which duty causes them.
+// Package traffic counts the bytes that a node sends and receives, by purpose and by the data
+// centre at the other end. Traffic between data centres is expensive, and the counters show
+// which duty causes it.
 package traffic
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// Purpose is what bytes are for.
+// Purpose classifies the counted bytes.
 type Purpose string
 
-// The purposes. Those of messages count what this node wrote into links; Links counts the datagrams
-// of the links that this node opened, both ways, and so holds handshakes, acknowledgements and
-// the messages again.
+// The purposes. Those of messages, which are the first four, count the bytes that this node wrote to
+// links. Links counts the datagrams of the links that this node opened, in both directions, and so
+// includes handshakes, acknowledgements and the messages again.
 const (
 	Heartbeats Purpose = "heartbeats"
 	Copies     Purpose = "copies"
@@ -26,52 +26,52 @@
 	Replicas   Purpose = "replicas"
 )
 
-// Flow is one kind of bytes.
+// Flow identifies one counter.
 type Flow struct {
 	Purpose Purpose
 	// DataCentre is the data centre at the other end, "" where it is not known.
 	DataCentre string
 }
 
-// Counters counts bytes. It is safe for concurrent use.
+// Counters counts bytes by flow. It is safe for concurrent use.
 type Counters struct {
 	registry observe.Registry
 	mutex    sync.RWMutex
 	flows    map[Flow]metrics.Counter
 }
 
-// New makes an account whose counters are in a registry, as bytes_total.
+// New returns Counters that register themselves in the registry as bytes_total.
 func New(registry observe.Registry) *Counters {
 	return &Counters{registry: registry, flows: map[Flow]metrics.Counter{}}
 }
 
-// Counter returns the counter of a flow. Its number is that of purposes times data centres.
-func (a *Counters) Counter(flow Flow) metrics.Counter {
-	a.mutex.RLock()
-	counter := a.flows[flow]
-	a.mutex.RUnlock()
+// Counter returns the counter of a flow. The number of counters is that of purposes times data centres.
+func (c *Counters) Counter(flow Flow) metrics.Counter {
+	c.mutex.RLock()
+	counter := c.flows[flow]
+	c.mutex.RUnlock()
 	if counter != nil {
 		return counter
 	}
-	counter = observe.Counter(a.registry, observe.Labelled("bytes_total", "purpose", string(flow.Purpose), "data_centre", flow.DataCentre))
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.flows[flow] = counter
+	counter = observe.Counter(c.registry, observe.Labelled("bytes_total", "purpose", string(flow.Purpose), "data_centre", flow.DataCentre))
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.flows[flow] = counter
 	return counter
 }
 
-// Add counts bytes of a flow.
-func (a *Counters) Add(flow Flow, bytes int) { a.Counter(flow).Inc(int64(bytes)) }
+// Add adds bytes to the counter of a flow.
+func (c *Counters) Add(flow Flow, bytes int) { c.Counter(flow).Inc(int64(bytes)) }
 
-// RemoteBytes sums by purpose what went to or came from other data centres than the given one.
-func (a *Counters) RemoteBytes(home string) map[Purpose]int64 {
-	a.mutex.RLock()
-	defer a.mutex.RUnlock()
-	far := map[Purpose]int64{}
-	for flow, counter := range a.flows {
-		if flow.DataCentre != home {
-			far[flow.Purpose] += counter.Count()
+// RemoteBytes sums by purpose the bytes exchanged with other data centres than the given one.
+func (c *Counters) RemoteBytes(dataCentre string) map[Purpose]int64 {
+	c.mutex.RLock()
+	defer c.mutex.RUnlock()
+	remote := map[Purpose]int64{}
+	for flow, counter := range c.flows {
+		if flow.DataCentre != dataCentre {
+			remote[flow.Purpose] += counter.Count()
 		}
 	}
-	return far
+	return remote
 }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -9,15 +9,15 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// An operator asks which duty makes the bytes between data centres.
-func TestBytesAreToldByPurposeAndDataCentre(t *testing.T) {
+// Operators need to see which duty causes the traffic between data centres.
+func TestBytesAreCountedByPurposeAndDataCentre(t *testing.T) {
 	registry := observe.NewRegistry()
-	account := New(registry)
-	account.Add(Flow{Heartbeats, "a"}, 100)
-	account.Add(Flow{Heartbeats, "b"}, 20)
-	account.Add(Flow{Heartbeats, "c"}, 3)
-	account.Counter(Flow{Replicas, "b"}).Inc(7)
-	require.Equal(t, map[Purpose]int64{Heartbeats: 23, Replicas: 7}, account.RemoteBytes("a"))
+	counters := New(registry)
+	counters.Add(Flow{Heartbeats, "a"}, 100)
+	counters.Add(Flow{Heartbeats, "b"}, 20)
+	counters.Add(Flow{Heartbeats, "c"}, 3)
+	counters.Counter(Flow{Replicas, "b"}).Inc(7)
+	require.Equal(t, map[Purpose]int64{Heartbeats: 23, Replicas: 7}, counters.RemoteBytes("a"))
 	var text bytes.Buffer
 	observe.WriteText(&text, registry)
 	require.Contains(t, text.String(), `pistachiopier_bytes_total{purpose="heartbeats",data_centre="b"} 20`)
