--- a/internal/replicaconn/client.go
+++ b/internal/replicaconn/client.go
@@ -186,7 +186,7 @@
 	return total
 }
 
-// Close ends all connections.
+// Close closes the idle connections; the others are closed when their exchanges end.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -45,7 +45,7 @@
 	// RemainingTime is the time until the caller's deadline.
 	RemainingTime time.Duration
 	Body          Body
-	// SubmitKey marks a request that must not be repeated.
+	// SubmitKey marks a request that must not be repeated. It is sent once.
 	SubmitKey string
 }
 
