--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -41,7 +41,7 @@
 func startCallerWith(t *testing.T, timeout time.Duration) (*httptest.Server, observe.Registry) {
 	t.Helper()
 	registry := observe.NewRegistry()
-	server := httptest.NewServer(NewCaller(CallerParts{
+	server := httptest.NewServer(NewCallerHandler(CallerOptions{
 		Log:     quietLog(io.Discard),
 		Entries: func(string) Entries { return Entries{} },
 		Body:    BodyLimits{MaxBytes: maxBody, Timeout: timeout},
--- a/internal/api/caller.go
+++ b/internal/api/caller.go
@@ -26,8 +26,8 @@
 	Timeout  time.Duration
 }
 
-// CallerParts is what the callers' interface needs of the node.
-type CallerParts struct {
+// CallerOptions is what the callers' interface needs of the node.
+type CallerOptions struct {
 	Log   logrus.FieldLogger
 	Entry *entry.Entry
 	Home  *home.Home
@@ -37,8 +37,8 @@
 	Metrics observe.Registry
 }
 
-// NewCaller makes the handler of the callers' interface.
-func NewCaller(parts CallerParts) http.Handler {
+// NewCallerHandler makes the handler of the callers' interface.
+func NewCallerHandler(parts CallerOptions) http.Handler {
 	router := newRouter(parts.Log, parts.Body.Timeout)
 	router.GET("/v1/entries", func(c *gin.Context) { c.JSON(http.StatusOK, parts.Entries(c.Query("data_centre"))) })
 	router.POST("/v1/query/:service", parts.query)
@@ -46,7 +46,7 @@
 	return router
 }
 
-func (p CallerParts) query(c *gin.Context) {
+func (p CallerOptions) query(c *gin.Context) {
 	var request QueryRequest
 	if err := p.read(c, &request); err != nil {
 		fail(c, err)
@@ -65,7 +65,7 @@
 	c.JSON(http.StatusOK, toReply(c.Param("service"), result))
 }
 
-func (p CallerParts) read(c *gin.Context, out any) error {
+func (p CallerOptions) read(c *gin.Context, out any) error {
 	body, err := readBody(c, p.Body.MaxBytes)
 	if err != nil {
 		p.count(err)
@@ -75,7 +75,7 @@
 }
 
 // count keeps the metrics of the body's limits.
-func (p CallerParts) count(err error) {
+func (p CallerOptions) count(err error) {
 	switch fault.As(err).Code {
 	case fault.CodeTooLarge:
 		observe.Counter(p.Metrics, "caller_bodies_too_large_total").Inc(1)
--- a/internal/api/failures.go
+++ b/internal/api/failures.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// ToFault turns a failed request's body back into its typed error.
-func ToFault(reply ErrorReply) error {
+// ErrorFromReply turns a failed request's body back into its typed error.
+func ErrorFromReply(reply ErrorReply) error {
 	outcome := core.Unknown
 	if reply.Outcome == core.NotRun.String() {
 		outcome = core.NotRun
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -75,8 +75,8 @@
 	OperatorAddress string      `json:"operator_address"`
 }
 
-// OperatorParts is what the operators' interface needs of the node.
-type OperatorParts struct {
+// OperatorOptions is what the operators' interface needs of the node.
+type OperatorOptions struct {
 	Log logrus.FieldLogger
 	// BodyTimeout bounds the time in which a body arrives, though none is read.
 	BodyTimeout time.Duration
@@ -94,8 +94,8 @@
 
 const metricsContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// NewOperator makes the handler of the operators' interface.
-func NewOperator(parts OperatorParts) http.Handler {
+// NewOperatorHandler makes the handler of the operators' interface.
+func NewOperatorHandler(parts OperatorOptions) http.Handler {
 	router := newRouter(parts.Log, parts.BodyTimeout)
 	router.GET("/v1/health", parts.health)
 	router.GET("/v1/status", func(c *gin.Context) { c.JSON(http.StatusOK, parts.Status()) })
@@ -109,7 +109,7 @@
 	return router
 }
 
-func (p OperatorParts) health(c *gin.Context) {
+func (p OperatorOptions) health(c *gin.Context) {
 	health := p.Health()
 	code := http.StatusOK
 	if health.State == HealthStarting || health.State == HealthDraining {
@@ -118,7 +118,7 @@
 	c.JSON(code, health)
 }
 
-func (p OperatorParts) problems(c *gin.Context) {
+func (p OperatorOptions) problems(c *gin.Context) {
 	if c.Query("fleet") == "" {
 		c.JSON(http.StatusOK, p.Problems())
 		return
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -35,7 +35,7 @@
 	Message string `json:"message,omitempty"`
 }
 
-func (p CallerParts) submit(c *gin.Context) {
+func (p CallerOptions) submit(c *gin.Context) {
 	body, err := readBody(c, p.Body.MaxBytes)
 	if err != nil {
 		p.count(err)
@@ -96,7 +96,7 @@
 }
 
 // failSubmit writes a typed error with a fresh prefix.
-func (p CallerParts) failSubmit(c *gin.Context, err error) {
+func (p CallerOptions) failSubmit(c *gin.Context, err error) {
 	typed := fault.As(err)
 	p.writeRefused(c, once.Reply{Outcome: typed.Outcome, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter})
 }
@@ -105,7 +105,7 @@
 // body is too large, late or cut, or no place is free. It did not run, but an
 // earlier one with the same key may have: its body may have arrived whole, or
 // another entry may have let it in.
-func (p CallerParts) failTry(c *gin.Context, err error) {
+func (p CallerOptions) failTry(c *gin.Context, err error) {
 	typed := fault.As(err)
 	p.writeRefused(c, once.Reply{Outcome: core.Unknown, ThisTry: core.NotRun, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter})
 }
@@ -113,7 +113,7 @@
 // writeRefused writes an outcome other than done. A caller whose key is not run
 // gets a fresh prefix: its next try needs a new key, since what was called "not
 // run" never runs.
-func (p CallerParts) writeRefused(c *gin.Context, reply once.Reply) {
+func (p CallerOptions) writeRefused(c *gin.Context, reply once.Reply) {
 	out := ErrorReply{
 		Outcome:      reply.Outcome.String(),
 		Code:         reply.Code,
--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -28,7 +28,7 @@
 }
 
 func (n *Node) callerHandler() http.Handler {
-	return api.NewCaller(api.CallerParts{
+	return api.NewCallerHandler(api.CallerOptions{
 		Log:     n.log,
 		Entry:   n.entry,
 		Home:    n.home,
@@ -39,7 +39,7 @@
 }
 
 func (n *Node) operatorHandler() http.Handler {
-	return api.NewOperator(api.OperatorParts{
+	return api.NewOperatorHandler(api.OperatorOptions{
 		Log:           n.log,
 		BodyTimeout:   n.settings.Limits.BodyTimeout,
 		Health:        n.health,
--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -12,52 +12,52 @@
 
 // Status is a node's short state for operators.
 type Status struct {
-	Node        core.NodeID `json:"node"`
-	DataCentre  string      `json:"data_centre"`
-	Incarnation uint64      `json:"incarnation"`
-	Health      api.Health  `json:"health"`
-	Revision    uint64      `json:"config_revision"`
-	View        uint64      `json:"view"`
-	Nodes       int         `json:"nodes"`
-	InFlight    int         `json:"in_flight"`
+	Node           core.NodeID `json:"node"`
+	DataCentre     string      `json:"data_centre"`
+	Incarnation    uint64      `json:"incarnation"`
+	Health         api.Health  `json:"health"`
+	ConfigRevision uint64      `json:"config_revision"`
+	View           uint64      `json:"view"`
+	Nodes          int         `json:"nodes"`
+	InFlight       int         `json:"in_flight"`
 	// Paused is set while the node confirms its beliefs after it stood still.
 	Paused bool `json:"paused"`
-	// Drained counts the upstreams that were seen draining by any node.
-	Drained  int   `json:"drained_upstreams"`
-	UptimeMs int64 `json:"uptime_ms"`
+	// DrainedUpstreams counts the upstreams that were seen draining by any node.
+	DrainedUpstreams int   `json:"drained_upstreams"`
+	UptimeMs         int64 `json:"uptime_ms"`
 }
 
 // Status reports the node's short state.
 func (n *Node) Status() Status {
 	status := Status{
-		Node:        n.identity.Node,
-		DataCentre:  n.settings.DataCentre,
-		Incarnation: n.identity.Incarnation,
-		Health:      n.health(),
-		View:        n.belief.View().ID(),
-		Nodes:       len(n.belief.View().Nodes()),
-		InFlight:    n.entry.InFlight(),
-		Paused:      n.belief.Paused(),
-		Drained:     n.belief.DrainedUpstreams(),
-		UptimeMs:    n.now().Milliseconds(),
+		Node:             n.identity.Node,
+		DataCentre:       n.settings.DataCentre,
+		Incarnation:      n.identity.Incarnation,
+		Health:           n.health(),
+		View:             n.belief.View().ID(),
+		Nodes:            len(n.belief.View().Nodes()),
+		InFlight:         n.entry.InFlight(),
+		Paused:           n.belief.Paused(),
+		DrainedUpstreams: n.belief.DrainedUpstreams(),
+		UptimeMs:         n.now().Milliseconds(),
 	}
 	if config := n.belief.Config(); config != nil {
-		status.Revision = config.Revision
+		status.ConfigRevision = config.Revision
 	}
 	return status
 }
 
 // Dump is a node's whole state.
 type Dump struct {
-	Status     any          `json:"status"`
-	Nodes      []route.Node `json:"nodes"`
-	Links      int          `json:"peer_links"`
-	EntryRings []ring.Stats `json:"entry_rings"`
-	OwnerRings []ring.Stats `json:"owner_rings"`
-	Membership ring.Stats   `json:"membership_ring"`
-	Silent     int64        `json:"silent_upstream_connections"`
-	HomeRings  []ring.Stats `json:"home_rings"`
-	Dropped    int64        `json:"dropped_upstream_replies"`
+	Status            any          `json:"status"`
+	Nodes             []route.Node `json:"nodes"`
+	PeerLinks         int          `json:"peer_links"`
+	EntryRings        []ring.Stats `json:"entry_rings"`
+	OwnerRings        []ring.Stats `json:"owner_rings"`
+	MembershipRing    ring.Stats   `json:"membership_ring"`
+	SilentConnections int64        `json:"silent_upstream_connections"`
+	HomeRings         []ring.Stats `json:"home_rings"`
+	DroppedReplies    int64        `json:"dropped_upstream_replies"`
 	// OwnerShards are the queues and replicas of the shards served here.
 	OwnerShards []owner.ShardDump `json:"owner_shards"`
 
@@ -70,18 +70,18 @@
 
 func (n *Node) dump() any {
 	return Dump{
-		Status:      n.Status(),
-		Nodes:       n.belief.View().Nodes(),
-		Links:       n.pool.Links(),
-		EntryRings:  n.entry.Rings(),
-		OwnerRings:  n.owner.Rings(),
-		Membership:  n.members.Rings(),
-		Silent:      n.upstream.SilentConnections(),
-		HomeRings:   n.home.Rings(),
-		Dropped:     n.upstream.DroppedReplies(),
-		Config:      n.config.Dump(),
-		Problems:    n.gatherer.Own().Problems,
-		OwnerShards: n.owner.Dump(),
-		Quarantine:  n.quarantine.Requests(),
+		Status:            n.Status(),
+		Nodes:             n.belief.View().Nodes(),
+		PeerLinks:         n.pool.Links(),
+		EntryRings:        n.entry.Rings(),
+		OwnerRings:        n.owner.Rings(),
+		MembershipRing:    n.members.Rings(),
+		SilentConnections: n.upstream.SilentConnections(),
+		HomeRings:         n.home.Rings(),
+		DroppedReplies:    n.upstream.DroppedReplies(),
+		Config:            n.config.Dump(),
+		Problems:          n.gatherer.Own().Problems,
+		OwnerShards:       n.owner.Dump(),
+		Quarantine:        n.quarantine.Requests(),
 	}
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -94,5 +94,5 @@
 	if err := json.Unmarshal(body, &reply); err != nil || reply.Code == "" {
 		return &fault.Error{Code: fault.CodeInternal, Outcome: core.Unknown, Message: "the entry answered " + status}
 	}
-	return api.ToFault(reply)
+	return api.ErrorFromReply(reply)
 }
--- a/internal/client/submit.go
+++ b/internal/client/submit.go
@@ -30,9 +30,9 @@
 	Payload  json.RawMessage
 }
 
-// Submitted is the end of a submission. Outcome holds for the request as a
+// SubmissionResult is the end of a submission. Outcome holds for the request as a
 // whole, over all tries and keys.
-type Submitted struct {
+type SubmissionResult struct {
 	Outcome core.Outcome    `json:"-"`
 	Key     string          `json:"key"`
 	Tries   int             `json:"tries"`
@@ -100,7 +100,7 @@
 // addresses, then repeats one key through the entries in turn until the outcome
 // is known or the context ends. Only when a key is proven not run, by its home or
 // because no try of it ever arrived, does it go on with a new key.
-func (c *Client) SubmitOnce(ctx context.Context, addresses []string, submission Submission) (Submitted, error) {
+func (c *Client) SubmitOnce(ctx context.Context, addresses []string, submission Submission) (SubmissionResult, error) {
 	run := submitRun{client: c, submission: submission}
 	for i := 0; ; i++ {
 		entries, err := c.Entries(ctx, addresses[i%len(addresses)])
@@ -120,12 +120,12 @@
 	client     *Client
 	submission Submission
 	entries    api.Entries
-	end        Submitted
+	end        SubmissionResult
 	// clean is set while no try of the present key may have arrived.
 	clean bool
 }
 
-func (r *submitRun) run(ctx context.Context) (Submitted, error) {
+func (r *submitRun) run(ctx context.Context) (SubmissionResult, error) {
 	prefix := r.entries.KeyPrefix
 	for {
 		if err := r.newKey(prefix); err != nil {
--- a/internal/command/demo_platform.go
+++ b/internal/command/demo_platform.go
@@ -87,7 +87,7 @@
 			if err != nil {
 				return err
 			}
-			one.SetWork(tierWork)
+			one.SetServiceTime(tierWork)
 		}
 	}
 	d.fleet.Store.Publish(d.config(1))
@@ -147,10 +147,10 @@
 	return d.ask(ctx, tierInvoice, 1)
 }
 
-func (d *tierDemo) setShard(shard string, act platformtest.Act) {
+func (d *tierDemo) setShard(shard string, act platformtest.Behaviour) {
 	for _, one := range d.fleet.Replicas {
 		if one.Service == shard {
-			one.SetAct(func(platformtest.Seen) platformtest.Act { return act })
+			one.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour { return act })
 		}
 	}
 }
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -87,7 +87,7 @@
 // revision in force as the others.
 func allReady(list []nodeStatus) bool {
 	for _, one := range list {
-		if one.Status == nil || one.Status.Health.State != api.HealthReady || one.Status.Revision != list[0].Status.Revision {
+		if one.Status == nil || one.Status.Health.State != api.HealthReady || one.Status.ConfigRevision != list[0].Status.ConfigRevision {
 			return false
 		}
 	}
@@ -138,7 +138,7 @@
 		}
 		s := one.Status
 		uptime := (time.Duration(s.UptimeMs) * time.Millisecond).Round(time.Second)
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", s.Node, s.DataCentre, s.Health.State, s.Revision, s.Nodes, s.InFlight, uptime, s.Health.Why)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", s.Node, s.DataCentre, s.Health.State, s.ConfigRevision, s.Nodes, s.InFlight, uptime, s.Health.Why)
 	}
 	return table.Flush()
 }
--- a/internal/command/submit.go
+++ b/internal/command/submit.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	if options.raw {
-		if err := json.NewEncoder(out).Encode(submitDocument{Outcome: submitted.Outcome.String(), Submitted: submitted}); err != nil {
+		if err := json.NewEncoder(out).Encode(submitDocument{Outcome: submitted.Outcome.String(), SubmissionResult: submitted}); err != nil {
 			return err
 		}
 	} else {
@@ -63,10 +63,10 @@
 // submitDocument is the outcome as JSON.
 type submitDocument struct {
 	Outcome string `json:"outcome"`
-	client.Submitted
+	client.SubmissionResult
 }
 
-func printSubmitted(submitted client.Submitted, out io.Writer) {
+func printSubmitted(submitted client.SubmissionResult, out io.Writer) {
 	repeated := ""
 	if submitted.Reply.Repeated {
 		repeated = ", by an earlier try"
--- a/internal/edge/callers_test.go
+++ b/internal/edge/callers_test.go
@@ -54,15 +54,15 @@
 	w := newWorld(t)
 	notes := w.replica("notes", "east", long...)
 	w.serve("east")
-	for i, act := range []platformtest.Act{platformtest.Answer, platformtest.Unframed, platformtest.Answer} {
-		notes.SetAct(always(act))
+	for i, act := range []platformtest.Behaviour{platformtest.Answer, platformtest.CloseDelimited, platformtest.Answer} {
+		notes.SetBehaviour(always(act))
 		response, body := w.ask(w.nodes[0], http.MethodGet, "/plain/x", fmt.Sprint("r", i), "")
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		require.Len(t, body, 16*records)
 		require.Equal(t, fmt.Sprintf("%-16.16s", long[records-1]), body[len(body)-16:])
 	}
-	for i, act := range []platformtest.Act{platformtest.Cut, platformtest.UnframedReset} {
-		notes.SetAct(always(act))
+	for i, act := range []platformtest.Behaviour{platformtest.TruncateBody, platformtest.CloseDelimitedReset} {
+		notes.SetBehaviour(always(act))
 		_, _, err := w.try(w.nodes[0], http.MethodGet, "/plain/x", fmt.Sprint("cut", i), "")
 		require.Error(t, err, "act %d", act)
 	}
--- a/internal/edge/deadly_test.go
+++ b/internal/edge/deadly_test.go
@@ -30,12 +30,12 @@
 
 // deadlyWorld has two replicas of each service, in two data centres, and a node more in one of them. Requests
 // whose target or body is deadly end the replica that begins to run them.
-func deadlyWorld(t *testing.T, deadly func(platformtest.Seen) bool) *world {
+func deadlyWorld(t *testing.T, deadly func(platformtest.ReceivedRequest) bool) *world {
 	t.Helper()
 	w := newWorld(t)
 	for _, service := range []string{"notes", "invoices", "s1", "s2", "s3"} {
 		for _, dataCentre := range []string{"east", "west"} {
-			w.replica(service, dataCentre, service).SetDeadly(deadly)
+			w.replica(service, dataCentre, service).SetCrashOn(deadly)
 		}
 	}
 	w.serve("east", "west", "east")
@@ -95,7 +95,7 @@
 func (w *world) begun(id string) (begun bool, died int) {
 	for _, one := range w.fleet.Replicas {
 		begun = begun || one.Runs(id) > 0
-		if one.Ended() {
+		if one.Crashed() {
 			died++
 		}
 	}
@@ -147,7 +147,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := deadlyWorld(t, func(seen platformtest.Seen) bool {
+			w := deadlyWorld(t, func(seen platformtest.ReceivedRequest) bool {
 				return strings.Contains(seen.Target, "deadly") || seen.Body == "deadly"
 			})
 			requireFewSends(t, w.tries(12, number))
@@ -158,7 +158,7 @@
 // Two requests differ by their bodies alone. The one ends replicas; the other, by the same caller, must not be
 // refused for it.
 func TestTheBodyAloneTellsTwoRequestsApart(t *testing.T) {
-	w := deadlyWorld(t, func(seen platformtest.Seen) bool { return seen.Body == "deadly" })
+	w := deadlyWorld(t, func(seen platformtest.ReceivedRequest) bool { return seen.Body == "deadly" })
 	number := everyTime(deadlyTry{http.MethodPost, "/all/x", "deadly", "127.0.0.1"})
 	requireFewSends(t, w.tries(6, number))
 	w.recover()
@@ -170,7 +170,7 @@
 
 // A node that joins later has heard nothing of the request when it starts, and would send it to all shards.
 func TestANodeThatJoinsLaterKnowsWhatIsSetAside(t *testing.T) {
-	w := deadlyWorld(t, func(seen platformtest.Seen) bool { return seen.Target == "/all/deadly" })
+	w := deadlyWorld(t, func(seen platformtest.ReceivedRequest) bool { return seen.Target == "/all/deadly" })
 	try := deadlyTry{http.MethodGet, "/all/deadly", "", "127.0.0.1"}
 	w.tries(4, everyTime(try))
 	w.startOne("west", nil)
@@ -207,7 +207,7 @@
 	w := newWorld(t)
 	for service, dataCentre := range map[string]string{"notes": "east", "invoices": "east", "s1": "east", "s2": "west", "s3": "west"} {
 		for range 2 {
-			w.replica(service, dataCentre, service).SetDeadly(func(seen platformtest.Seen) bool { return seen.Target == "/far/deadly" })
+			w.replica(service, dataCentre, service).SetCrashOn(func(seen platformtest.ReceivedRequest) bool { return seen.Target == "/far/deadly" })
 		}
 	}
 	w.configure(1, route("far", platformtest.KindIdempotent, gather(3, 0.5, "s2", "s3")))
@@ -230,13 +230,13 @@
 // All replicas of the nearest data centre crash at once, with a popular question in work that harms nobody. Its
 // next tries must be answered.
 func TestAQuestionInWorkAtACrashOfADataCentreIsServedOn(t *testing.T) {
-	w := deadlyWorld(t, func(platformtest.Seen) bool { return false })
+	w := deadlyWorld(t, func(platformtest.ReceivedRequest) bool { return false })
 	for range 3 {
 		for i, one := range w.fleet.Replicas {
 			if i%2 == 0 {
-				one.SetAct(func(seen platformtest.Seen) platformtest.Act {
+				one.SetBehaviour(func(seen platformtest.ReceivedRequest) platformtest.Behaviour {
 					if strings.HasSuffix(seen.Target, "/popular") {
-						return platformtest.End
+						return platformtest.Crash
 					}
 					return platformtest.Answer
 				})
@@ -244,7 +244,7 @@
 		}
 		w.tryDeadly(w.nodes[0], deadlyTry{http.MethodGet, "/all/popular", "", "127.0.0.1"}, fmt.Sprint("popular-", time.Now().UnixNano()))
 		for _, one := range w.fleet.Replicas {
-			one.SetAct(always(platformtest.Answer))
+			one.SetBehaviour(always(platformtest.Answer))
 		}
 		w.recover()
 		for i, one := range w.nodes {
@@ -261,7 +261,7 @@
 		for _, dataCentre := range []string{"east", "west", "east"} {
 			one := w.replica(service, dataCentre, service)
 			if service == "s2" {
-				one.SetDeadly(func(seen platformtest.Seen) bool { return strings.Contains(seen.Target, "deadly") })
+				one.SetCrashOn(func(seen platformtest.ReceivedRequest) bool { return strings.Contains(seen.Target, "deadly") })
 			}
 		}
 	}
@@ -273,7 +273,7 @@
 		before := ended
 		status = w.tryDeadly(w.nodes[i%len(w.nodes)], try, fmt.Sprint("deadly-", i))
 		for _, one := range w.fleet.Replicas {
-			if one.Ended() {
+			if one.Crashed() {
 				ended++
 			}
 		}
@@ -289,6 +289,6 @@
 		return err == nil && response.Header.Get("Pistachiopier-Missing-Parts") == "1"
 	}, patience, time.Millisecond)
 	for _, one := range w.fleet.Replicas {
-		require.False(t, one.Ended(), "the request is no longer sent to the shard")
+		require.False(t, one.Crashed(), "the request is no longer sent to the shard")
 	}
 }
--- a/internal/edge/delegate_test.go
+++ b/internal/edge/delegate_test.go
@@ -80,7 +80,7 @@
 	other := w.replica("s1", "west", "a", "h", "c")
 	w.replica("s2", "west", "g", "b", "i")
 	w.serve("east", "west")
-	still.SetWork(time.Second)
+	still.SetServiceTime(time.Second)
 	response, body := w.ask(w.nodes[0], http.MethodGet, "/all/x", "r1", "")
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, []string{"j", "i", "h"}, strings.Fields(body))
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -21,12 +21,12 @@
 func (n *Node) directory() http.Handler {
 	router := newRouter()
 	router.GET(platform.PathResolve, func(c *gin.Context) {
-		addresses := n.addresses(platform.Asker(c.Query))
+		addresses := n.addresses(platform.CallerDataCentre(c.Query))
 		if len(addresses) == 0 {
 			c.Status(http.StatusServiceUnavailable)
 			return
 		}
-		c.JSON(http.StatusOK, platform.Addresses{Addresses: addresses, KeepSeconds: keepSeconds})
+		c.JSON(http.StatusOK, platform.Addresses{Addresses: addresses, TTLSeconds: keepSeconds})
 	})
 	return router
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -12,8 +12,8 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-func always(act platformtest.Act) func(platformtest.Seen) platformtest.Act {
-	return func(platformtest.Seen) platformtest.Act { return act }
+func always(act platformtest.Behaviour) func(platformtest.ReceivedRequest) platformtest.Behaviour {
+	return func(platformtest.ReceivedRequest) platformtest.Behaviour { return act }
 }
 
 func TestAForwardChangesNothing(t *testing.T) {
@@ -28,7 +28,7 @@
 	require.Equal(t, "PUT /plain/a%2Fb//c?x=%20&y the body", seen.Method+" "+seen.Target+" "+seen.Body)
 	require.Equal(t, "r1", seen.ID)
 	require.Equal(t, notes.ID, seen.Header.Get("Pistachiopier-Target-Instance"))
-	require.LessOrEqual(t, seen.TimeLeft, 1500*time.Millisecond, "the route's time limit is shorter than the caller's")
+	require.LessOrEqual(t, seen.RemainingTime, 1500*time.Millisecond, "the route's time limit is shorter than the caller's")
 }
 
 func TestAGatherGivesTheGreatestRecordsAndItsCoverage(t *testing.T) {
@@ -112,7 +112,7 @@
 	first := w.replica("invoices", "east", "done")
 	second := w.replica("invoices", "east", "done")
 	for _, one := range []*platformtest.Replica{first, second} {
-		one.SetAct(always(platformtest.Lose))
+		one.SetBehaviour(always(platformtest.CloseWithoutAnswer))
 	}
 	w.serve("east")
 	for i := range 6 {
@@ -129,9 +129,9 @@
 // Whatever replicas send that is not a whole, signed answer to the request itself must not
 // reach a caller as success.
 func TestSpoiledAnswersAreNeverSuccess(t *testing.T) {
-	for _, act := range []platformtest.Act{platformtest.Cut, platformtest.UnframedReset, platformtest.NoStamp, platformtest.Garbage, platformtest.Lose, platformtest.Fail, platformtest.FalsePromise} {
+	for _, act := range []platformtest.Behaviour{platformtest.TruncateBody, platformtest.CloseDelimitedReset, platformtest.NoStamp, platformtest.Garbage, platformtest.CloseWithoutAnswer, platformtest.Fail, platformtest.RefuseAfterRun} {
 		w := newWorld(t)
-		w.replica("notes", "east", "a note").SetAct(always(act))
+		w.replica("notes", "east", "a note").SetBehaviour(always(act))
 		w.serve("east")
 		response, _ := w.ask(w.nodes[0], http.MethodGet, "/plain/x", "r1", "")
 		require.GreaterOrEqual(t, response.StatusCode, 500, "act %d", act)
@@ -141,7 +141,7 @@
 
 func TestARequestThatOneReplicaFailsIsServedByAnother(t *testing.T) {
 	w := newWorld(t)
-	w.replica("notes", "east", "a note").SetAct(always(platformtest.Fail))
+	w.replica("notes", "east", "a note").SetBehaviour(always(platformtest.Fail))
 	w.replica("notes", "east", "a note")
 	w.serve("east")
 	for i := range 4 {
@@ -155,7 +155,7 @@
 func TestRetriesOfAFailingServiceKeepTheBound(t *testing.T) {
 	w := newWorld(t)
 	for range 2 {
-		w.replica("notes", "east", "a note").SetAct(always(platformtest.Fail))
+		w.replica("notes", "east", "a note").SetBehaviour(always(platformtest.Fail))
 	}
 	w.serve("east")
 	const requests = 150
@@ -191,7 +191,7 @@
 	w := newWorld(t)
 	w.replica("s1", "east", "a")
 	w.replica("s2", "east", "b")
-	w.replica("s3", "west", "c").SetAct(always(platformtest.Hang))
+	w.replica("s3", "west", "c").SetBehaviour(always(platformtest.Hang))
 	w.serve("east", "west")
 	response, _ := w.ask(w.nodes[0], http.MethodGet, "/all/x", "r1", "")
 	require.Equal(t, "1", response.Header.Get("Pistachiopier-Missing-Parts"))
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -107,7 +107,7 @@
 	}
 	require.Equal(t, before, arrivals(east))
 	w.store.EndEvacuation("east")
-	w.store.Forget()
+	w.store.DropHistory()
 	for _, one := range w.nodes[2:] {
 		w.line(one, "evacuation_ended")
 	}
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -145,7 +145,7 @@
 		// so that one cut on the way would look whole.
 		Stream: route.Gather == nil && r.ProtoAtLeast(1, 1),
 	}
-	left, _ := platform.TimeLeft(r.Header)
+	left, _ := platform.RemainingTime(r.Header)
 	way := onTheWay
 	if firstOnConnection(r.Context()) {
 		way = firstOnTheWay
@@ -194,7 +194,7 @@
 	if route.Timeout > 0 {
 		wait = route.Timeout
 	}
-	if left, ok := platform.TimeLeft(r.Header); ok {
+	if left, ok := platform.RemainingTime(r.Header); ok {
 		wait = min(wait, left)
 	}
 	return wait
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -183,7 +183,7 @@
 func (w *world) config(version uint64, more ...platformtest.Route) platformtest.Config {
 	config := platformtest.Config{Version: version, Limits: platformtest.DefaultLimits(), Routes: append([]platformtest.Route{
 		route("plain", platformtest.KindIdempotent, to("notes")),
-		route("once", platformtest.KindOnce, to("invoices")),
+		route("once", platformtest.KindNonIdempotent, to("invoices")),
 		route("all", platformtest.KindIdempotent, gather(3, 0.6, "s1", "s2", "s3")),
 	}, more...)}
 	config.Limits.MaxBodyBytes = 1000
--- a/internal/edge/published_test.go
+++ b/internal/edge/published_test.go
@@ -22,7 +22,7 @@
 // caller being wrong: 404 would end the request for good.
 func TestANodeThatKnowsNothingRefusesAndDoesNotDeny(t *testing.T) {
 	w := newWorld(t)
-	w.store.SetTrouble(func(string) platformtest.Trouble { return platformtest.Busy })
+	w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Busy })
 	w.start("east")
 	response, _ := w.ask(w.nodes[0], http.MethodGet, "/plain/x", "r1", "")
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
@@ -31,7 +31,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	w.replica("notes", "east", "a note")
 	w.configure(1)
-	w.store.SetTrouble(nil)
+	w.store.SetFault(nil)
 	w.ready()
 	response, _ = w.ask(w.nodes[0], http.MethodGet, "/plain/x", "r2", "")
 	require.Equal(t, http.StatusOK, response.StatusCode)
@@ -120,9 +120,9 @@
 	}
 	listed(former, 1000, platformtest.StateReady)
 	w.serve("east")
-	w.configure(2, route("once", platformtest.KindOnce, to("invoices")))
+	w.configure(2, route("once", platformtest.KindNonIdempotent, to("invoices")))
 	w.inForce(w.nodes[0], 2)
-	former.SetAct(always(platformtest.Hang))
+	former.SetBehaviour(always(platformtest.Hang))
 	status := make(chan int, 1)
 	go func() {
 		response, _, err := w.try(w.nodes[0], http.MethodPost, "/once/x", "r1", "invoice")
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -23,7 +23,7 @@
 // identity is what makes the request the same over all its tries.
 func (q *request) identity() quarantine.Identity {
 	path, query, _ := strings.Cut(q.template.Target, "?")
-	return quarantine.Identity{Method: q.template.Method, Host: q.template.Host, Path: path, Query: query, Caller: platform.CallerLines(q.template.Header), Body: q.template.Body}
+	return quarantine.Identity{Method: q.template.Method, Host: q.template.Host, Path: path, Query: query, Caller: platform.StableHeaderLines(q.template.Header), Body: q.template.Body}
 }
 
 // maxDescribed bounds the path in a description, in bytes.
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -75,7 +75,7 @@
 		r.configOutdated(item, change.Era)
 	}
 	for _, item := range change.Items {
-		if platform.IsConfig(item.Key) {
+		if platform.IsConfigKey(item.Key) {
 			r.configChanged(item, change.Era)
 			continue
 		}
@@ -83,7 +83,7 @@
 			r.evacuationChanged(dataCentre, item, change.NewEra)
 			continue
 		}
-		if id, ok := platform.ReplicaID(item.Key); ok {
+		if id, ok := platform.ReplicaIDFromKey(item.Key); ok {
 			r.replicaChanged(id, item, change)
 		}
 	}
--- a/internal/edge/restored_test.go
+++ b/internal/edge/restored_test.go
@@ -16,14 +16,14 @@
 
 // away makes the store reset every call, as it does before it comes back from a copy.
 func (w *world) away() {
-	w.store.SetTrouble(func(string) platformtest.Trouble { return platformtest.Reset })
+	w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Reset })
 }
 
 // back ends the store's trouble.
-func (w *world) back() { w.store.SetTrouble(nil) }
+func (w *world) back() { w.store.SetFault(nil) }
 
 // restore takes the store away, puts it back to a copy and returns what is lost.
-func (w *world) restore(from *platformtest.Backup) []platformtest.Lost {
+func (w *world) restore(from *platformtest.Backup) []platformtest.LostWrite {
 	w.away()
 	return w.store.Restore(from)
 }
@@ -56,7 +56,7 @@
 				w.inForce(one, 9)
 			}
 			for _, lost := range w.restore(backup) {
-				w.store.WriteAgain(lost)
+				w.store.RewriteLost(lost)
 				if w.store.Revision() == reached-1 {
 					break
 				}
@@ -137,7 +137,7 @@
 	letters()
 	store.SetBoth(faultproxy.Faults{})
 	for _, one := range lost {
-		w.store.WriteAgain(one)
+		w.store.RewriteLost(one)
 	}
 	letters()
 	w.configure(7)
@@ -165,7 +165,7 @@
 		w.inForce(one, 1)
 	}
 	for _, one := range lost {
-		w.store.WriteAgain(one)
+		w.store.RewriteLost(one)
 	}
 	for _, one := range w.nodes {
 		w.inForce(one, 4)
@@ -251,7 +251,7 @@
 			asked()
 			if again {
 				for _, one := range lost {
-					w.store.WriteAgain(one)
+					w.store.RewriteLost(one)
 				}
 				w.configure(2)
 				w.inForce(w.nodes[0], 2)
@@ -296,7 +296,7 @@
 	store.SetBoth(faultproxy.Faults{Cut: true})
 	links.SetBoth(faultproxy.Faults{Cut: true})
 	lost := w.restore(backup)
-	w.store.WriteAgain(lost[0])
+	w.store.RewriteLost(lost[0])
 	w.configure(6)
 	w.back()
 	for _, one := range w.nodes[:2] {
@@ -318,19 +318,19 @@
 func TestAStoreWhoseEraCannotBeReadIsServedAsBefore(t *testing.T) {
 	w := newWorld(t)
 	w.replica("notes", "east", "a note")
-	w.store.SetEraText(func(uint64) string { return "" })
+	w.store.SetEraHeader(func(uint64) string { return "" })
 	w.serve("east", "east", "west")
 	w.configure(2)
 	for _, one := range w.nodes {
 		w.inForce(one, 2)
 		w.inEra(one, 0)
 	}
-	w.store.SetEraText(nil)
+	w.store.SetEraHeader(nil)
 	for _, one := range w.nodes {
 		w.inEra(one, 1)
 		w.line(one, "store_era_changed")
 	}
-	w.store.SetEraText(func(uint64) string { return "seven" })
+	w.store.SetEraHeader(func(uint64) string { return "seven" })
 	w.configure(3)
 	told := false
 	for _, one := range w.nodes {
--- a/internal/edge/stop_test.go
+++ b/internal/edge/stop_test.go
@@ -18,7 +18,7 @@
 // them gets its whole answer, and the connection is closed with an answer, not under one.
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	w := newWorld(t)
-	w.replica("notes", "east", "a note").SetWork(20 * time.Millisecond)
+	w.replica("notes", "east", "a note").SetServiceTime(20 * time.Millisecond)
 	w.serve("east", "east")
 	leaving := w.nodes[1]
 	stopped := make(chan struct{})
@@ -64,7 +64,7 @@
 func TestARequestThatOutlastsAStopGetsItsFinalAnswer(t *testing.T) {
 	w := newWorld(t)
 	invoices := w.replica("invoices", "east", "done")
-	invoices.SetAct(always(platformtest.Hang))
+	invoices.SetBehaviour(always(platformtest.Hang))
 	w.serve("east")
 	leaving := w.nodes[0]
 	answered := make(chan int, 1)
@@ -97,7 +97,7 @@
 	one := w.nodes[0]
 	arrived, answer := make(chan struct{}), make(chan struct{})
 	arrive := sync.OnceFunc(func() { close(arrived) })
-	notes.SetAct(func(platformtest.Seen) platformtest.Act {
+	notes.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour {
 		arrive()
 		<-answer
 		return platformtest.Answer
--- a/internal/edgefleet/edgefleet.go
+++ b/internal/edgefleet/edgefleet.go
@@ -89,11 +89,11 @@
 func (f *Fleet) Revive() (int, error) {
 	revived := 0
 	for i, former := range f.Replicas {
-		if !former.Ended() {
+		if !former.Crashed() {
 			continue
 		}
 		f.born++
-		one, err := former.Again(fmt.Sprintf("i-%s-%d-%d", former.Service, i, f.born))
+		one, err := former.Restart(fmt.Sprintf("i-%s-%d-%d", former.Service, i, f.born))
 		if err != nil {
 			return revived, fault.Step("start a stand-in of a replica again", err)
 		}
@@ -138,7 +138,7 @@
 
 // AwaitReady waits until the nodes that run take callers and each sends callers to all.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
-	directory := platform.NewDirectory(askTimeout)
+	directory := platform.NewDirectoryClient(askTimeout)
 	defer directory.Close()
 	running := 0
 	for _, one := range f.Nodes {
@@ -157,11 +157,11 @@
 }
 
 // ready reports whether a node takes callers and sends them to so many nodes.
-func (n *Node) ready(ctx context.Context, directory *platform.Directory, nodes int) bool {
+func (n *Node) ready(ctx context.Context, directory *platform.DirectoryClient, nodes int) bool {
 	if !n.TakesCallers() {
 		return false
 	}
-	answer, err := directory.Ask(ctx, n.Settings.DirectoryAddress, "", "")
+	answer, err := directory.Resolve(ctx, n.Settings.DirectoryAddress, "", "")
 	return err == nil && len(answer.Addresses) >= nodes
 }
 
--- a/internal/experiment/slopes_node.go
+++ b/internal/experiment/slopes_node.go
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	defer e.Close()
-	handler := api.NewCaller(api.CallerParts{
+	handler := api.NewCallerHandler(api.CallerOptions{
 		Log:     quietLog(),
 		Entry:   e,
 		Body:    api.BodyLimits{MaxBytes: bodyBytes, Timeout: longTimeout},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -186,7 +186,7 @@
 func (f *Fleet) ready(revision uint64) bool {
 	for _, member := range f.members {
 		status := member.Node.Status()
-		if status.Revision < revision || status.Nodes != len(f.members) {
+		if status.ConfigRevision < revision || status.Nodes != len(f.members) {
 			return false
 		}
 	}
--- a/internal/fleet/operate_test.go
+++ b/internal/fleet/operate_test.go
@@ -203,7 +203,7 @@
 	t.Cleanup(f.Close)
 	revision := f.Platform.Publish(testText(startUpstreams(t, 8)))
 	for _, member := range f.Members() {
-		ready := func() bool { return member.Node.Status().Revision == revision && member.Node.Status().Nodes == 1 }
+		ready := func() bool { return member.Node.Status().ConfigRevision == revision && member.Node.Status().Nodes == 1 }
 		require.Eventually(t, ready, awaitLimit, awaitPause, "it must not route to a node that cannot be reached")
 	}
 	caller := client.New()
--- a/internal/fleet/paired_test.go
+++ b/internal/fleet/paired_test.go
@@ -124,7 +124,7 @@
 	home.Node.Kill()
 	revision := h.fleet.Platform.Publish(ledgerText(h.upstreams[formerShards:]))
 	require.Eventually(t, func() bool {
-		return other.Node.Status().Revision == revision && owner.Node.Status().Revision == revision
+		return other.Node.Status().ConfigRevision == revision && owner.Node.Status().ConfigRevision == revision
 	}, awaitLimit, pollPause)
 	close(h.release)
 	h.ended.Wait()
@@ -192,12 +192,12 @@
 		})
 	}
 	upstreams[0].Change(func(b *standin.Behaviour) { b.Draining = true })
-	require.Eventually(t, func() bool { return owner.Node.Status().Drained == 1 }, awaitLimit, pollPause)
+	require.Eventually(t, func() bool { return owner.Node.Status().DrainedUpstreams == 1 }, awaitLimit, pollPause)
 	require.NoError(t, f.Stop(owner))
 	f.Unlist(owner)
 	require.Eventually(t, func() bool {
 		for _, member := range f.Members() {
-			if member.Node.Status().Drained != 1 {
+			if member.Node.Status().DrainedUpstreams != 1 {
 				return false
 			}
 		}
@@ -216,7 +216,7 @@
 		}
 	}
 	require.Eventually(t, func() bool { return seenByAll(f, fresh) }, awaitLimit, pollPause)
-	require.Eventually(t, func() bool { return fresh.Node.Status().Drained == 1 }, awaitLimit, pollPause, "a node that joins is told of drains")
+	require.Eventually(t, func() bool { return fresh.Node.Status().DrainedUpstreams == 1 }, awaitLimit, pollPause, "a node that joins is told of drains")
 	before, answered := upstreams[0].Received(), upstreams[1].Received()
 	for range 50 {
 		ask(stays.Addresses.Caller)
--- a/internal/fleet/quarantine_test.go
+++ b/internal/fleet/quarantine_test.go
@@ -189,7 +189,7 @@
 		if reply.Outcome == core.Done.String() {
 			return nil
 		}
-		return api.ToFault(refusal)
+		return api.ErrorFromReply(refusal)
 	}
 	c.runTries(9, func(i int) {
 		require.Eventually(t, func() bool {
--- a/internal/fleet/stop_test.go
+++ b/internal/fleet/stop_test.go
@@ -119,7 +119,7 @@
 func seenByAll(f *Fleet, member *Member) bool {
 	for _, one := range f.Members() {
 		status := one.Node.Status()
-		if status.Revision == 0 || status.Nodes != len(f.Members()) {
+		if status.ConfigRevision == 0 || status.Nodes != len(f.Members()) {
 			return false
 		}
 	}
@@ -138,7 +138,7 @@
 		_, err := caller.Query(context.Background(), f.Members()[0].Addresses.Caller, "top", api.QueryRequest{Customer: "chef"})
 		require.NoError(t, err)
 		for _, member := range f.Members() {
-			if member.Node.Status().Drained != 1 {
+			if member.Node.Status().DrainedUpstreams != 1 {
 				return false
 			}
 		}
@@ -171,7 +171,7 @@
 	require.Eventually(t, listRead, awaitLimit, pollPause)
 	f.Platform.Publish(testText(append(upstreams, leaving)))
 	drained := func() bool {
-		return f.Members()[0].Node.Status().Drained == 1 && f.Members()[1].Node.Status().Drained == 1
+		return f.Members()[0].Node.Status().DrainedUpstreams == 1 && f.Members()[1].Node.Status().DrainedUpstreams == 1
 	}
 	require.Eventually(t, drained, awaitLimit, pollPause)
 }
--- a/internal/load/tier.go
+++ b/internal/load/tier.go
@@ -36,7 +36,7 @@
 type TierCaller struct {
 	directories []string
 	dataCentre  string
-	directory   *platform.Directory
+	directory   *platform.DirectoryClient
 	client      *http.Client
 	run         string
 	ids         atomic.Uint64
@@ -58,7 +58,7 @@
 func NewTierCaller(directories []string, dataCentre string) *TierCaller {
 	return &TierCaller{
 		directories: directories, dataCentre: dataCentre,
-		directory: platform.NewDirectory(directoryTimeout),
+		directory: platform.NewDirectoryClient(directoryTimeout),
 		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleToNode, DisableCompression: true}},
 		run:       fmt.Sprintf("load-%x", time.Now().UnixNano()),
 		known:     map[string]*tierAddresses{},
@@ -89,7 +89,7 @@
 		return failed(fault.NotRun(fault.CodeBadRequest, "no request can be made for "+asked.Service, "write HOST/PATH"))
 	}
 	request.Host = host
-	platform.MarkRequest(request.Header, fmt.Sprintf("%s-%d", c.run, c.ids.Add(1)), wait)
+	platform.SetRequestHeaders(request.Header, fmt.Sprintf("%s-%d", c.run, c.ids.Add(1)), wait)
 	response, err := c.client.Do(request)
 	if err != nil {
 		return c.unanswered(host, address, err)
@@ -131,7 +131,7 @@
 		return Reply{Outcome: core.Unknown.String(), Code: fault.CodeBadRequest}
 	}
 	reply := Reply{Outcome: core.Done.String(), Asked: 1, Answered: 1}
-	if parts, missing, gathered := platform.Coverage(response.Header); gathered {
+	if parts, missing, gathered := platform.ReadCoverage(response.Header); gathered {
 		reply.Asked, reply.Answered = parts+missing, parts
 	}
 	return reply
@@ -159,7 +159,7 @@
 func (c *TierCaller) renew(ctx context.Context, host string) (*tierAddresses, error) {
 	var last error
 	for _, address := range c.directories {
-		answer, err := c.directory.Ask(ctx, address, host, c.dataCentre)
+		answer, err := c.directory.Resolve(ctx, address, host, c.dataCentre)
 		if err == nil && len(answer.Addresses) == 0 {
 			err = fault.NotRun(fault.CodeNotReady, address+" names no address", "try again")
 		}
@@ -167,7 +167,7 @@
 			last = err
 			continue
 		}
-		keep := time.Duration(answer.KeepSeconds * float64(time.Second))
+		keep := time.Duration(answer.TTLSeconds * float64(time.Second))
 		return &tierAddresses{list: answer.Addresses, until: time.Now().Add(keep)}, nil
 	}
 	return nil, last
--- a/internal/replicaconn/client_test.go
+++ b/internal/replicaconn/client_test.go
@@ -48,8 +48,8 @@
 	return client.Do(ctx, one)
 }
 
-func always(act platformtest.Act) func(platformtest.Seen) platformtest.Act {
-	return func(platformtest.Seen) platformtest.Act { return act }
+func always(act platformtest.Behaviour) func(platformtest.ReceivedRequest) platformtest.Behaviour {
+	return func(platformtest.ReceivedRequest) platformtest.Behaviour { return act }
 }
 
 func TestRequestsShareAConnectionAndArriveUnchanged(t *testing.T) {
@@ -64,15 +64,15 @@
 	seen := replica.Arrivals()[0]
 	require.Equal(t, "/a%2fb?q=1", seen.Target)
 	require.Equal(t, "i-1", seen.Header.Get("Pistachiopier-Target-Instance"))
-	require.Greater(t, seen.TimeLeft, 5*time.Second)
+	require.Greater(t, seen.RemainingTime, 5*time.Second)
 }
 
 // A replica breaks an answer off, spoils it, or resets the connection within an answer
 // that has no length. A caller that took it for whole would show half a list.
 func TestAnswersThatAreNotWholeAreErrors(t *testing.T) {
-	for _, act := range []platformtest.Act{platformtest.Cut, platformtest.UnframedReset, platformtest.Garbage, platformtest.Lose} {
+	for _, act := range []platformtest.Behaviour{platformtest.TruncateBody, platformtest.CloseDelimitedReset, platformtest.Garbage, platformtest.CloseWithoutAnswer} {
 		client, replica := start(t)
-		replica.SetAct(always(act))
+		replica.SetBehaviour(always(act))
 		_, err := do(t, client, request(replica, "r1"))
 		var failed *replicaconn.Error
 		require.ErrorAs(t, err, &failed, "act %d", act)
@@ -83,7 +83,7 @@
 
 func TestAnAnswerThatEndsWithItsConnectionIsWhole(t *testing.T) {
 	client, replica := start(t)
-	replica.SetAct(always(platformtest.Unframed))
+	replica.SetBehaviour(always(platformtest.CloseDelimited))
 	response, err := do(t, client, request(replica, "r1"))
 	require.NoError(t, err)
 	require.Len(t, response.Body, 64)
@@ -92,9 +92,9 @@
 // A replica sends a second answer to one request. It lies in the connection where the
 // next request's answer is expected, and the next caller would get another's answer.
 func TestAnExtraAnswerIsNotTakenForTheNextOne(t *testing.T) {
-	for _, act := range []platformtest.Act{platformtest.Extra, platformtest.ExtraLater} {
+	for _, act := range []platformtest.Behaviour{platformtest.DuplicateAnswer, platformtest.DelayedDuplicate} {
 		client, replica := start(t)
-		replica.SetAct(always(act))
+		replica.SetBehaviour(always(act))
 		for _, id := range []string{"r1", "r2", "r3", "r4"} {
 			response, err := do(t, client, request(replica, id))
 			if err != nil {
@@ -123,7 +123,7 @@
 // and is sent once, with the time that is then left.
 func TestRequestsBeyondTheConnectionsWait(t *testing.T) {
 	client, replica := start(t)
-	replica.SetWork(30 * time.Millisecond)
+	replica.SetServiceTime(30 * time.Millisecond)
 	errs := make(chan error, 3)
 	for _, id := range []string{"r1", "r2", "r3"} {
 		one := request(replica, id)
@@ -142,7 +142,7 @@
 // connection usable and says that the replica is alive.
 func TestALateAnswerIsToldAndItsConnectionKept(t *testing.T) {
 	client, replica := start(t)
-	replica.SetWork(20 * time.Millisecond)
+	replica.SetServiceTime(20 * time.Millisecond)
 	late := make(chan *replicaconn.Response, 1)
 	one := request(replica, "r1")
 	one.Late = func(response *replicaconn.Response) { late <- response }
@@ -165,7 +165,7 @@
 // when the connection closes.
 func TestAHangingExchangeIsClosedAfterItsCallerLeft(t *testing.T) {
 	client, replica := start(t)
-	replica.SetAct(always(platformtest.Hang))
+	replica.SetBehaviour(always(platformtest.Hang))
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := client.Do(ctx, request(replica, "r1"))
@@ -179,7 +179,7 @@
 // that finds none open has truthfully not run.
 func TestAReplicaThatEndsNewConnectionsIsLeftAlone(t *testing.T) {
 	client, replica := start(t)
-	replica.SetAct(always(platformtest.Lose))
+	replica.SetBehaviour(always(platformtest.CloseWithoutAnswer))
 	refused := 0
 	for range 200 {
 		_, err := do(t, client, request(replica, "r"))
@@ -197,7 +197,7 @@
 // must learn of it at once; one alone was told, and the others waited to their deadlines.
 func TestAllWhoWaitLearnThatAReplicaIsGone(t *testing.T) {
 	client, replica := start(t)
-	replica.SetAct(always(platformtest.Hang))
+	replica.SetBehaviour(always(platformtest.Hang))
 	errs := make(chan error, 4)
 	for _, id := range []string{"r1", "r2", "r3", "r4"} {
 		one := request(replica, id)
@@ -265,7 +265,7 @@
 // cannot come.
 func TestNothingIsAwaitedFromAFormerLife(t *testing.T) {
 	client, one := start(t)
-	one.SetAct(always(platformtest.Hang))
+	one.SetBehaviour(always(platformtest.Hang))
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	former := request(one, "r-1")
@@ -288,7 +288,7 @@
 		}
 	}
 	require.Equal(t, 1, sent, "the one that was sent may have run, the other did not leave")
-	one.SetAct(always(platformtest.Answer))
+	one.SetBehaviour(always(platformtest.Answer))
 	again := request(one, "r-2")
 	again.Replica.Born = 7
 	response, err := client.Do(ctx, again)
@@ -304,7 +304,7 @@
 // replica takes connections.
 func TestWhatThisNodeGivesUpIsNoRefusal(t *testing.T) {
 	client, one := start(t)
-	one.SetAct(always(platformtest.Hang))
+	one.SetBehaviour(always(platformtest.Hang))
 	for i, id := range []string{"r1", "r2", "r3"} {
 		ctx, cancel := context.WithCancel(t.Context())
 		gone := make(chan error, 1)
@@ -317,7 +317,7 @@
 		require.Error(t, <-gone)
 		require.Eventually(t, func() bool { return client.Open() == 0 }, 10*time.Second, time.Millisecond)
 	}
-	one.SetAct(always(platformtest.Answer))
+	one.SetBehaviour(always(platformtest.Answer))
 	_, err := do(t, client, request(one, "r4"))
 	require.NoError(t, err, "it is not refused for former ends")
 }
@@ -327,7 +327,7 @@
 // can go elsewhere at once. What is in work goes on.
 func TestWhoWaitsForAReplicaThatLeavesIsToldAtOnce(t *testing.T) {
 	client, one := start(t)
-	one.SetAct(always(platformtest.Hang))
+	one.SetBehaviour(always(platformtest.Hang))
 	ctx, leave := context.WithCancel(t.Context())
 	first := make(chan error, 1)
 	go func() {
--- a/internal/replicaconn/ended_test.go
+++ b/internal/replicaconn/ended_test.go
@@ -29,14 +29,14 @@
 func TestAReplicaThatEndsIsToldFromALostAnswer(t *testing.T) {
 	client, one := start(t)
 	told := ends(client)
-	one.SetAct(func(seen platformtest.Seen) platformtest.Act {
+	one.SetBehaviour(func(seen platformtest.ReceivedRequest) platformtest.Behaviour {
 		switch seen.ID {
 		case "first":
 			return platformtest.Answer
 		case "lost":
-			return platformtest.Lose
+			return platformtest.CloseWithoutAnswer
 		default:
-			return platformtest.End
+			return platformtest.Crash
 		}
 	})
 	// A replica that ends a new connection without any answer is left alone for a moment.
@@ -57,10 +57,10 @@
 	client, one := start(t)
 	told := ends(client)
 	begun, proceed := make(chan struct{}), make(chan struct{})
-	one.SetAct(func(platformtest.Seen) platformtest.Act {
+	one.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour {
 		close(begun)
 		<-proceed
-		return platformtest.End
+		return platformtest.Crash
 	})
 	abandon(t, client, request(one, "deadly"), begun)
 	close(proceed)
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -267,12 +267,12 @@
 // checkExtra compares the arrivals beyond the first of each request with the bound, for each
 // service and any window.
 func (c *callers) checkExtra() {
-	arrivals := map[string][]platformtest.Seen{}
+	arrivals := map[string][]platformtest.ReceivedRequest{}
 	for _, one := range c.w.replicas {
 		arrivals[one.Service] = append(arrivals[one.Service], one.Arrivals()...)
 	}
 	for service, list := range arrivals {
-		slices.SortFunc(list, func(a, b platformtest.Seen) int { return a.At.Compare(b.At) })
+		slices.SortFunc(list, func(a, b platformtest.ReceivedRequest) int { return a.At.Compare(b.At) })
 		known := map[string]bool{}
 		// extra is 1 for an arrival beyond the first of its request.
 		extra := make([]int, len(list))
--- a/test/soak/deadly_test.go
+++ b/test/soak/deadly_test.go
@@ -27,7 +27,7 @@
 )
 
 // deadly tells the requests that end each replica that begins to run them, by path or body.
-func deadly(seen platformtest.Seen) bool {
+func deadly(seen platformtest.ReceivedRequest) bool {
 	return strings.Contains(seen.Target, "deadly") || strings.HasPrefix(seen.Body, "deadly")
 }
 
--- a/test/soak/entries_test.go
+++ b/test/soak/entries_test.go
@@ -22,18 +22,18 @@
 	}
 	dark := f.draw>>20%4 != 0
 	if dark {
-		one.SetWork(longWork)
+		one.SetServiceTime(longWork)
 		time.Sleep(longWork / 2)
 	}
 	w.mutex.Lock()
 	one.gone = true
 	again, err := platformtest.StartReplica(one.ID, one.Service, records(one.Service))
 	require.NoError(w.t, err)
-	again.SetWork(usualWork)
-	again.SetDeadly(deadly)
+	again.SetServiceTime(usualWork)
+	again.SetCrashOn(deadly)
 	w.made++
 	next := &upstream{Replica: again, proxy: one.proxy, dataCentre: one.dataCentre, born: max(time.Now().UnixMilli(), one.born+1)}
-	again.OnEnd(func() { w.revive(next) })
+	again.OnCrash(func() { w.revive(next) })
 	w.replicas[fmt.Sprintf("%s#%d", one.ID, w.made)] = next
 	w.mutex.Unlock()
 	if dark {
@@ -103,5 +103,5 @@
 		}
 	}
 	w.mutex.Unlock()
-	w.misbehave(stalled, f.lasts, 1, func(uint64) platformtest.Act { return platformtest.Hang })
+	w.misbehave(stalled, f.lasts, 1, func(uint64) platformtest.Behaviour { return platformtest.Hang })
 }
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -103,10 +103,10 @@
 	case killNode, stopNode, pauseNode:
 		w.disturb(one, f)
 	case storeBusy:
-		w.store.SetTrouble(func(string) platformtest.Trouble { return platformtest.Busy })
+		w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Busy })
 		w.storeTrouble(f.lasts)
 	case storeSilent:
-		w.store.SetTrouble(func(string) platformtest.Trouble { return platformtest.Silent })
+		w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Silent })
 		w.storeTrouble(f.lasts)
 	case storeCut:
 		// One node alone is cut off; the others are to tell it.
@@ -117,15 +117,15 @@
 		one.store.SetBoth(faultproxy.Faults{})
 		one.store.Reset()
 	case storeForgets:
-		w.store.Forget()
+		w.store.DropHistory()
 	case replicaActs:
 		if one := w.pick(f.draw); one != nil {
-			w.misbehave([]*upstream{one}, f.lasts, 1+f.draw>>16%4, func(uint64) platformtest.Act { return platformtest.Act(f.draw >> 8 % firstActs) })
+			w.misbehave([]*upstream{one}, f.lasts, 1+f.draw>>16%4, func(uint64) platformtest.Behaviour { return platformtest.Behaviour(f.draw >> 8 % firstActs) })
 		}
 	case serviceActs:
 		// All its replicas, so that none can be used in place of the others, and rarely enough
 		// for them to stay in use.
-		w.misbehave(w.all(f.draw), f.lasts, 4+f.draw>>16%4, func(count uint64) platformtest.Act { return platformtest.Act((f.draw>>8 + count) % acts) })
+		w.misbehave(w.all(f.draw), f.lasts, 4+f.draw>>16%4, func(count uint64) platformtest.Behaviour { return platformtest.Behaviour((f.draw>>8 + count) % acts) })
 	case allKilled:
 		w.killAll(f)
 	case replicaDrains:
@@ -139,7 +139,7 @@
 		w.storeTrouble(f.lasts)
 	case serviceFails:
 		// What is tried again then must keep the bound.
-		w.misbehave(w.all(f.draw), f.lasts, 1, func(uint64) platformtest.Act { return platformtest.Fail })
+		w.misbehave(w.all(f.draw), f.lasts, 1, func(uint64) platformtest.Behaviour { return platformtest.Fail })
 	case settingsChange:
 		w.changeSettings(one, f)
 	case replicaRestarts:
@@ -207,7 +207,7 @@
 // killAll kills all nodes at once while the store turns everybody away. Callers keep their
 // addresses and ask nodes that know nothing yet.
 func (w *world) killAll(f fault) {
-	w.store.SetTrouble(func(string) platformtest.Trouble { return platformtest.Busy })
+	w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Busy })
 	var killed sync.WaitGroup
 	for _, one := range w.nodes {
 		if !one.hold() {
@@ -230,7 +230,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, one := range w.replicas {
-		one.SetWork(work)
+		one.SetServiceTime(work)
 	}
 }
 
@@ -246,7 +246,7 @@
 	defer w.mutex.Unlock()
 	w.troubled--
 	if w.troubled == 0 {
-		w.store.SetTrouble(nil)
+		w.store.SetFault(nil)
 		w.store.SetDelay(0)
 		w.storeCalm = time.Now()
 	}
@@ -289,14 +289,14 @@
 // time of the first seeds.
 const (
 	firstActs = uint64(platformtest.Hang + 1)
-	acts      = uint64(platformtest.ExtraLater + 1)
+	acts      = uint64(platformtest.DelayedDuplicate + 1)
 )
 
 // misbehave makes replicas answer wrongly now and then for a while.
-func (w *world) misbehave(replicas []*upstream, lasts time.Duration, every uint64, wrong func(count uint64) platformtest.Act) {
+func (w *world) misbehave(replicas []*upstream, lasts time.Duration, every uint64, wrong func(count uint64) platformtest.Behaviour) {
 	for _, one := range replicas {
 		var count atomic.Uint64
-		one.SetAct(func(platformtest.Seen) platformtest.Act {
+		one.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour {
 			if n := count.Add(1); n%every == 0 {
 				return wrong(n / every)
 			}
@@ -305,7 +305,7 @@
 	}
 	time.Sleep(lasts)
 	for _, one := range replicas {
-		one.SetAct(func(platformtest.Seen) platformtest.Act { return platformtest.Answer })
+		one.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour { return platformtest.Answer })
 	}
 }
 
--- a/test/soak/restore_test.go
+++ b/test/soak/restore_test.go
@@ -20,7 +20,7 @@
 // was lost at a moment of its own.
 func (w *world) restore(backup *platformtest.Backup, f fault) {
 	random := rand.New(rand.NewPCG(f.draw, 1))
-	w.store.SetTrouble(func(string) platformtest.Trouble { return platformtest.Reset })
+	w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Reset })
 	w.storeTrouble(time.Duration(random.Int64N(int64(longestAway))))
 	lost := w.store.Restore(backup)
 	w.note("the store is back from a copy, %d writes are lost", len(lost))
@@ -34,7 +34,7 @@
 		}
 		writing.Go(func() {
 			time.Sleep(moment)
-			w.store.WriteAgain(one)
+			w.store.RewriteLost(one)
 		})
 	}
 	writing.Wait()
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -180,10 +180,10 @@
 	w.made++
 	one, err := platformtest.StartReplica(fmt.Sprintf("i-%s-%d", service, w.made), service, records(service))
 	require.NoError(w.t, err)
-	one.SetWork(usualWork)
-	one.SetDeadly(deadly)
+	one.SetServiceTime(usualWork)
+	one.SetCrashOn(deadly)
 	added := &upstream{Replica: one, dataCentre: dataCentreName(w.made % dataCentres), born: time.Now().UnixMilli()}
-	one.OnEnd(func() { w.revive(added) })
+	one.OnCrash(func() { w.revive(added) })
 	w.replicas[one.ID] = added
 	return added
 }
@@ -212,7 +212,7 @@
 	route := func(name, kind string) platformtest.Route {
 		return platformtest.Route{Name: name, Host: "search.example", Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 1500, TargetLatencyMs: 200, MaxAttempts: 2}
 	}
-	plain, once, all := route("plain", platformtest.KindIdempotent), route("once", platformtest.KindOnce), route("all", platformtest.KindIdempotent)
+	plain, once, all := route("plain", platformtest.KindIdempotent), route("once", platformtest.KindNonIdempotent), route("all", platformtest.KindIdempotent)
 	plain.Service, once.Service = w.current, "invoices"
 	all.Gather, all.TopK, all.MinCoverage = shards(w.partition), 3, 0.5
 	config := platformtest.Config{Version: w.version, Routes: []platformtest.Route{plain, once, all}, Limits: platformtest.DefaultLimits()}
