--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -97,11 +97,11 @@
 	}
 }
 
-// A caller uploads 10 MB by mistake. It writes all of it before it reads: when
-// the node closed at once, the caller saw a broken connection instead of the
-// refusal, and could not know that nothing was run.
+// A caller sends a body of 10 MB and reads only after it has written all of it. When
+// the node closed the connection immediately, the caller got a broken connection
+// instead of the refusal and did not know that nothing had run.
 func TestATooLargeBodyIsRefusedAndTheCallerReadsWhy(t *testing.T) {
-	// The time limit of a body is another test's: ten megabytes may take longer than it.
+	// The body may take longer than bodyTimeout, which another test checks.
 	server, registry := startCallerWith(t, awaitLimit)
 	body := bytes.Repeat([]byte("x"), 10<<20)
 	connection, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -116,10 +116,10 @@
 	require.EqualValues(t, 1, observe.Counter(registry, "caller_bodies_too_large_total").Count())
 }
 
-// A caller sends the start of its body and then nothing, with the connection
-// left open: a VM that froze, or a firewall that forgot the connection. It must
-// not hold its place for good.
-func TestAHalfSentBodyEndsAtItsTimeLimit(t *testing.T) {
+// A caller sends part of its body and then nothing, and the connection stays open: its
+// VM froze, or a firewall dropped the connection's state. The request must not use up a
+// connection indefinitely.
+func TestAnIncompleteBodyEndsAtItsTimeLimit(t *testing.T) {
 	server, registry := startCaller(t)
 	connection, err := net.Dial("tcp", server.Listener.Addr().String())
 	require.NoError(t, err)
@@ -133,9 +133,9 @@
 	require.EqualValues(t, 1, observe.Counter(registry, "caller_bodies_late_total").Count())
 }
 
-// The same on a path that reads no body. net/http reads what is left of a body
-// before it answers, without a limit of its own.
-func TestAHalfSentBodyThatNobodyReadsEndsToo(t *testing.T) {
+// The same on paths whose handlers do not read the body: before it answers, net/http
+// reads the rest of a body without a time limit.
+func TestAnIncompleteBodyThatNoHandlerReadsEndsToo(t *testing.T) {
 	server, _ := startCaller(t)
 	for _, line := range []string{"POST /v1/nothing", "GET /v1/entries"} {
 		connection, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -149,9 +149,9 @@
 	}
 }
 
-// A kitchen manager's invoice was recorded, but the answer was lost. The retry with
-// the same key is cut on its way: half of its body arrives. Calling that "not run"
-// would have the invoice entered again under a new key.
+// An invoice was recorded, but the answer was lost, and only part of the body of the
+// retry with the same key arrives. If the retry were answered with "not run", the caller
+// would submit the invoice again under a new key.
 func TestACutRetryOfAnInvoiceIsNotCalledNotRun(t *testing.T) {
 	server, _ := startCaller(t)
 	connection, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -166,21 +166,21 @@
 	requireError(t, response, http.StatusBadRequest, fault.CodeBadRequest, "unknown")
 }
 
-// A question takes longer to answer than its body may take to arrive. The read
-// deadline must not outlive the body: net/http reads on in the background to
-// notice a caller that leaves, and took the deadline for a lost caller, which
-// cancelled the question.
+// Answering a query takes longer than its body may take to arrive. The read deadline
+// must be cleared once the body is read: net/http keeps reading in the background to
+// detect callers that disconnect, took the expired deadline for a disconnect and
+// cancelled the query.
 func TestTheBodysTimeLimitDoesNotCancelALongAnswer(t *testing.T) {
 	router := newRouter(quietLog(io.Discard), bodyTimeout)
 	router.POST("/long", func(c *gin.Context) {
 		_, err := readBody(c, maxBody)
 		if err != nil {
-			fail(c, err)
+			writeError(c, err)
 			return
 		}
 		select {
 		case <-c.Request.Context().Done():
-			fail(c, fault.NotRun(fault.CodeLost, "cancelled", ""))
+			writeError(c, fault.NotRun(fault.CodeLost, "cancelled", ""))
 		case <-time.After(4 * bodyTimeout):
 			c.Status(http.StatusNoContent)
 		}
@@ -203,8 +203,8 @@
 	require.Contains(t, log.String(), `"event":"handler_panicked"`)
 }
 
-// Callers open connections and keep them. One over the limit is told at once
-// that nothing was run, and a place that is given back is used again.
+// Callers keep their connections open. A connection over the limit is refused
+// immediately with "not run", and a closed connection makes room for another.
 func TestConnectionsOverTheLimitAreRefusedAtOnce(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -226,7 +226,7 @@
 	require.Eventually(t, func() bool { return listener.Open() == 0 }, awaitLimit, time.Millisecond)
 }
 
-func TestEntriesSpreadAndPutTheCallersDataCentreFirst(t *testing.T) {
+func TestEntriesRotateWithTheCallersDataCentreFirst(t *testing.T) {
 	all := []EntryAddress{{Node: "a", DataCentre: "east"}, {Node: "b", DataCentre: "west"}, {Node: "c", DataCentre: "east"}, {Node: "d", DataCentre: "west"}}
 	var rotation Rotation
 	firsts := map[string]int{}
@@ -241,8 +241,8 @@
 	require.Empty(t, rotation.Order(nil, "west", 3))
 }
 
-// FuzzQueryBody feeds callers' bodies: each is either a question or a typed
-// failure that says nothing was run.
+// FuzzQueryBody checks that every body gives either a valid query or a typed error
+// with the outcome "not run".
 func FuzzQueryBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"customer":"a","question":"pork","timeout_ms":50,"prefer":"early","least_coverage":0.5}`,
@@ -256,11 +256,11 @@
 		var request QueryRequest
 		err := decode(body, &request)
 		if err == nil {
-			question, questionErr := toQuestion("plates", request)
-			if err = questionErr; err == nil {
-				require.NotEmpty(t, question.Customer)
-				require.GreaterOrEqual(t, question.Timeout, time.Duration(0))
-				require.True(t, json.Valid(question.Body))
+			query, queryErr := toQuery("plates", request)
+			if err = queryErr; err == nil {
+				require.NotEmpty(t, query.Customer)
+				require.GreaterOrEqual(t, query.Timeout, time.Duration(0))
+				require.True(t, json.Valid(query.Body))
 				return
 			}
 		}
--- a/internal/api/caller.go
+++ b/internal/api/caller.go
@@ -19,25 +19,25 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// BodyLimits bound a request's body in bytes and in the time it may take to
+// BodyLimits limit the size of a request's body and the time in which it must
 // arrive.
 type BodyLimits struct {
 	MaxBytes int64
 	Timeout  time.Duration
 }
 
-// CallerOptions is what the callers' interface needs of the node.
+// CallerOptions holds the parts of the node that the caller interface uses.
 type CallerOptions struct {
 	Log   logrus.FieldLogger
 	Entry *entry.Entry
 	Home  *home.Home
-	// Entries answers a caller in the named data centre, or in none.
+	// Entries returns the addresses for a caller in the data centre; "" is none in particular.
 	Entries func(dataCentre string) Entries
 	Body    BodyLimits
 	Metrics observe.Registry
 }
 
-// NewCallerHandler makes the handler of the callers' interface.
+// NewCallerHandler returns the handler of the caller interface.
 func NewCallerHandler(parts CallerOptions) http.Handler {
 	router := newRouter(parts.Log, parts.Body.Timeout)
 	router.GET("/v1/entries", func(c *gin.Context) { c.JSON(http.StatusOK, parts.Entries(c.Query("data_centre"))) })
@@ -48,34 +48,34 @@
 
 func (p CallerOptions) query(c *gin.Context) {
 	var request QueryRequest
-	if err := p.read(c, &request); err != nil {
-		fail(c, err)
+	if err := p.readRequest(c, &request); err != nil {
+		writeError(c, err)
 		return
 	}
-	question, err := toQuestion(c.Param("service"), request)
+	entryQuery, err := toQuery(c.Param("service"), request)
 	if err != nil {
-		fail(c, err)
+		writeError(c, err)
 		return
 	}
-	result, err := p.Entry.Ask(c.Request.Context(), question)
+	result, err := p.Entry.Ask(c.Request.Context(), entryQuery)
 	if err != nil {
-		fail(c, err)
+		writeError(c, err)
 		return
 	}
 	c.JSON(http.StatusOK, toReply(c.Param("service"), result))
 }
 
-func (p CallerOptions) read(c *gin.Context, out any) error {
+func (p CallerOptions) readRequest(c *gin.Context, out any) error {
 	body, err := readBody(c, p.Body.MaxBytes)
 	if err != nil {
-		p.count(err)
+		p.countBodyError(err)
 		return err
 	}
 	return decode(body, out)
 }
 
-// count keeps the metrics of the body's limits.
-func (p CallerOptions) count(err error) {
+// countBodyError counts a body that exceeded its size or time limit.
+func (p CallerOptions) countBodyError(err error) {
 	switch fault.As(err).Code {
 	case fault.CodeTooLarge:
 		observe.Counter(p.Metrics, "caller_bodies_too_large_total").Inc(1)
@@ -84,33 +84,33 @@
 	}
 }
 
-// decode reads one JSON document with known fields only and nothing after it.
+// decode decodes a single JSON document. It refuses unknown fields and trailing data.
 func decode(body []byte, out any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(out)
 	if err == nil && decoder.More() {
-		err = errTrailing
+		err = errTrailingData
 	}
 	if err == nil {
 		return nil
 	}
-	return &fault.Error{Code: fault.CodeBadRequest, Outcome: core.NotRun, Message: "the body is not the JSON expected", Fix: "see docs/INTERFACE.md", Cause: err}
+	return &fault.Error{Code: fault.CodeBadRequest, Outcome: core.NotRun, Message: "the body is not valid JSON for this request", Fix: "see docs/INTERFACE.md", Cause: err}
 }
 
-var errTrailing = errors.New("something follows the document")
+var errTrailingData = errors.New("unexpected data after the JSON document")
 
-// maxTimeoutMs keeps a caller's time from overflowing a duration.
+// maxTimeoutMs prevents a caller's time-out from overflowing a duration.
 const maxTimeoutMs = int64(time.Hour / time.Millisecond)
 
-// toQuestion checks a request. What it leaves out takes its default, here or,
-// for the time and the least coverage, in the entry.
-func toQuestion(service string, request QueryRequest) (entry.Question, error) {
+// toQuery validates a request and converts it. Missing fields get their defaults
+// here, except the time-out and the least coverage, whose defaults the entry sets.
+func toQuery(service string, request QueryRequest) (entry.Question, error) {
 	if err := checkCustomer(request.Customer); err != nil {
 		return entry.Question{}, err
 	}
 	if request.LeastCoverage < 0 || request.LeastCoverage > 1 {
-		return entry.Question{}, fault.NotRun(fault.CodeBadRequest, "least_coverage is outside 0 to 1", "write a share such as 0.9")
+		return entry.Question{}, fault.NotRun(fault.CodeBadRequest, "least_coverage is outside 0 to 1", "set it to a share such as 0.9")
 	}
 	timeout, err := toTimeout(request.TimeoutMs)
 	if err != nil {
@@ -135,35 +135,35 @@
 	}, nil
 }
 
-// checkCustomer refuses a request that names no customer.
+// checkCustomer refuses a request without a customer.
 func checkCustomer(customer core.Customer) error {
 	if customer == "" {
-		return fault.NotRun(fault.CodeUnknownCustomer, "the request names no customer", "set customer")
+		return fault.NotRun(fault.CodeUnknownCustomer, "customer is missing", "set customer")
 	}
 	return nil
 }
 
-// toTimeout is 0 when none is written: the service's own then holds.
-func toTimeout(written *int64) (time.Duration, error) {
+// toTimeout returns 0 if the request has no time-out: the service's time-out then applies.
+func toTimeout(timeoutMs *int64) (time.Duration, error) {
 	switch {
-	case written == nil:
+	case timeoutMs == nil:
 		return 0, nil
-	case *written > maxTimeoutMs:
-		return 0, fault.NotRun(fault.CodeBadRequest, "timeout_ms is over an hour", "write milliseconds")
-	case *written <= 0:
-		return 0, fault.NotRun(fault.CodePastDeadline, "timeout_ms leaves no time", "give more time")
+	case *timeoutMs > maxTimeoutMs:
+		return 0, fault.NotRun(fault.CodeBadRequest, "timeout_ms exceeds one hour", "give the time-out in milliseconds")
+	case *timeoutMs <= 0:
+		return 0, fault.NotRun(fault.CodePastDeadline, "timeout_ms is not positive", "set it to a positive number of milliseconds")
 	default:
-		return time.Duration(*written) * time.Millisecond, nil
+		return time.Duration(*timeoutMs) * time.Millisecond, nil
 	}
 }
 
-func toPreference(written string) (query.Preference, error) {
-	switch written {
+func toPreference(prefer string) (query.Preference, error) {
+	switch prefer {
 	case "", "whole":
 		return query.PreferWhole, nil
 	case "early":
 		return query.PreferEarly, nil
 	default:
-		return query.PreferWhole, fault.NotRun(fault.CodeBadRequest, "prefer is neither whole nor early", "write whole or early")
+		return query.PreferWhole, fault.NotRun(fault.CodeBadRequest, "prefer is neither whole nor early", "set it to whole or early")
 	}
 }
--- a/internal/api/documents.go
+++ b/internal/api/documents.go
@@ -9,16 +9,16 @@
 	"github.com/pistachiopier/pistachiopier/internal/entry"
 )
 
-// Entries is the answer to which addresses a caller may use, and for how long.
+// Entries lists the addresses that a caller may use, and for how long.
 type Entries struct {
 	Entries []EntryAddress `json:"entries"`
 	// TTLMs is how long the caller may keep the answer, in milliseconds.
 	TTLMs int64 `json:"ttl_ms"`
-	// KeyPrefix starts the keys of the caller's must-not-repeat requests.
+	// KeyPrefix is the prefix for the keys of the caller's must-not-repeat requests.
 	KeyPrefix string `json:"key_prefix,omitempty"`
 }
 
-// EntryAddress is one entry of the system.
+// EntryAddress is the address of one entry.
 type EntryAddress struct {
 	Node       core.NodeID `json:"node"`
 	Address    string      `json:"address"`
@@ -49,15 +49,15 @@
 	ElapsedMs float64      `json:"elapsed_ms"`
 }
 
-// Coverage tells callers what an answer covers.
+// Coverage states which shards an answer covers.
 type Coverage struct {
 	Asked    int     `json:"asked"`
 	Answered int     `json:"answered"`
 	Share    float64 `json:"share"`
 	Thin     bool    `json:"thin"`
-	// BelowLeast is set when less than least_coverage is answered.
+	// BelowLeast is set if the coverage is below least_coverage.
 	BelowLeast bool `json:"below_least,omitempty"`
-	// Incomplete counts answered shards computed without some dependency's part.
+	// Incomplete counts the answered shards whose part was computed without that of a dependency.
 	Incomplete int       `json:"incomplete,omitempty"`
 	Missing    []Missing `json:"missing,omitempty"`
 }
--- a/internal/api/entries.go
+++ b/internal/api/entries.go
@@ -2,27 +2,27 @@
 
 import "sync/atomic"
 
-// Rotation orders the address answer: each answer starts one place further on,
-// so that callers which all take the first address still spread.
+// Rotation orders the entries in answers: each answer starts one entry later, so
+// that callers which all use the first address are spread over the entries.
 type Rotation struct{ turn atomic.Uint64 }
 
 // Order puts the entries of the caller's data centre first, rotates both groups
-// and keeps at most limit of them.
+// and returns at most limit entries.
 func (r *Rotation) Order(entries []EntryAddress, dataCentre string, limit int) []EntryAddress {
 	turn := r.turn.Add(1) - 1
-	var near, far []EntryAddress
+	var local, remote []EntryAddress
 	for _, entry := range entries {
 		if dataCentre != "" && entry.DataCentre == dataCentre {
-			near = append(near, entry)
+			local = append(local, entry)
 		} else {
-			far = append(far, entry)
+			remote = append(remote, entry)
 		}
 	}
-	ordered := append(rotated(near, turn), rotated(far, turn)...)
+	ordered := append(rotate(local, turn), rotate(remote, turn)...)
 	return ordered[:min(limit, len(ordered))]
 }
 
-func rotated(entries []EntryAddress, turn uint64) []EntryAddress {
+func rotate(entries []EntryAddress, turn uint64) []EntryAddress {
 	if len(entries) == 0 {
 		return nil
 	}
--- a/internal/api/failures.go
+++ b/internal/api/failures.go
@@ -16,24 +16,24 @@
 	Code    fault.Code `json:"code"`
 	Message string     `json:"message"`
 	Fix     string     `json:"fix,omitempty"`
-	// Detail is the cause, in words that may change.
+	// Detail is the cause as text; its wording may change.
 	Detail       string `json:"detail,omitempty"`
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
-	// The rest comes with must-not-repeat requests only. ThisTry is "not_run"
-	// when the outcome of the key is unknown but this try alone did not run.
+	// The fields below are for must-not-repeat requests only. ThisTry is "not_run"
+	// if this attempt did not run although the outcome of its key is unknown.
 	ThisTry   string `json:"this_try,omitempty"`
 	Repeated  bool   `json:"repeated,omitempty"`
 	KeyPrefix string `json:"key_prefix,omitempty"`
 }
 
-// fail writes the typed error of a request.
-func fail(c *gin.Context, err error) {
+// writeError answers a request with a typed error.
+func writeError(c *gin.Context, err error) {
 	typed := fault.As(err)
 	detail := ""
 	if typed.Cause != nil {
 		detail = typed.Cause.Error()
 	}
-	c.JSON(status(typed.Code), ErrorReply{
+	c.JSON(httpStatus(typed.Code), ErrorReply{
 		Detail:       detail,
 		Outcome:      typed.Outcome.String(),
 		Code:         typed.Code,
@@ -43,8 +43,8 @@
 	})
 }
 
-// status is the HTTP status of a code.
-func status(code fault.Code) int {
+// httpStatus returns the HTTP status for an error code.
+func httpStatus(code fault.Code) int {
 	switch code {
 	case fault.CodeBadRequest, fault.CodeUnknownCustomer, fault.CodeKeyMissing, fault.CodeKeyInvalid, fault.CodeWrongMethod:
 		return http.StatusBadRequest
@@ -69,7 +69,7 @@
 	}
 }
 
-// ErrorFromReply turns a failed request's body back into its typed error.
+// ErrorFromReply converts the body of a failed request back to its typed error.
 func ErrorFromReply(reply ErrorReply) error {
 	outcome := core.Unknown
 	if reply.Outcome == core.NotRun.String() {
--- a/internal/api/listen.go
+++ b/internal/api/listen.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// fullReply is written to a connection over the limit. The caller learns at once
-// that nothing was run here, and asks another entry.
-const fullReply = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n" +
-	`{"outcome":"not_run","code":"overloaded","message":"the node has its limit of connections","fix":"ask another entry, or raise limits.connections","retry_after_ms":1000}`
+// connectionLimitReply is sent on a connection over the limit, so that the caller knows
+// immediately that nothing ran here and can use another entry.
+const connectionLimitReply = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n" +
+	`{"outcome":"not_run","code":"overloaded","message":"the node has reached its connection limit","fix":"use another entry, or raise limits.connections","retry_after_ms":1000}`
 
-const fullReplyTimeout = 100 * time.Millisecond
+const connectionLimitReplyTimeout = 100 * time.Millisecond
 
-// LimitedListener accepts at most a number of connections at a time and refuses
-// the others with a typed answer.
+// LimitedListener limits the number of open connections and refuses further ones
+// with a typed answer.
 //
-// Without a limit, callers that open connections and never close them use up the
-// process's file descriptors, and then also peers and upstreams cannot be
-// reached. Waiting with the accept instead would leave callers without an answer.
+// Without a limit, callers that never close their connections exhaust the
+// process's file descriptors, and peers and upstreams become unreachable too.
+// Delaying the accept instead would leave callers without an answer.
 type LimitedListener struct {
 	net.Listener
 	limit   int64
@@ -27,15 +27,15 @@
 	refused atomic.Int64
 }
 
-// LimitConnections wraps a listener.
+// LimitConnections wraps a listener to accept at most limit connections at a time.
 func LimitConnections(inner net.Listener, limit int) *LimitedListener {
 	return &LimitedListener{Listener: inner, limit: int64(limit)}
 }
 
-// Open is the number of connections now.
+// Open returns the number of open connections.
 func (l *LimitedListener) Open() int64 { return l.open.Load() }
 
-// Refused counts the connections over the limit.
+// Refused returns the number of connections refused so far.
 func (l *LimitedListener) Refused() int64 { return l.refused.Load() }
 
 // Accept implements net.Listener.
@@ -55,12 +55,12 @@
 }
 
 func refuseConnection(connection net.Conn) {
-	_ = connection.SetWriteDeadline(time.Now().Add(fullReplyTimeout))
-	_, _ = connection.Write([]byte(fullReply))
+	_ = connection.SetWriteDeadline(time.Now().Add(connectionLimitReplyTimeout))
+	_, _ = connection.Write([]byte(connectionLimitReply))
 	_ = connection.Close()
 }
 
-// limitedConn gives its place back once when it is closed.
+// limitedConn is a connection that counts as open until it is first closed.
 type limitedConn struct {
 	net.Conn
 	listener *LimitedListener
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -12,10 +12,10 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// HealthState is a node's ability to serve.
+// HealthState states whether a node can serve.
 type HealthState string
 
-// The states of a node.
+// The health states of a node.
 const (
 	HealthStarting HealthState = "starting"
 	HealthReady    HealthState = "ready"
@@ -23,14 +23,14 @@
 	HealthDraining HealthState = "draining"
 )
 
-// Health says whether the node can serve, and why not.
+// Health is a node's health state, with the reason unless it is ready.
 type Health struct {
 	State HealthState `json:"state"`
 	Why   string      `json:"why,omitempty"`
 }
 
-// Problem is one condition that an operator should see. Times are ages: clocks
-// of two nodes are never compared.
+// Problem is a condition that an operator should know about. Times are given as
+// ages, since the clocks of two nodes are never compared.
 type Problem struct {
 	Kind       string `json:"kind"`
 	Subject    string `json:"subject"`
@@ -40,26 +40,26 @@
 	Count      uint64 `json:"count"`
 }
 
-// NodeProblems are the problems that one node sees.
+// NodeProblems lists the problems that one node reports.
 type NodeProblems struct {
 	Node     core.NodeID `json:"node"`
 	Problems []Problem   `json:"problems"`
 }
 
-// NoAnswer is a node whose problems could not be had.
+// NoAnswer is a node whose problems could not be fetched.
 type NoAnswer struct {
 	Node core.NodeID `json:"node"`
 	Why  string      `json:"why"`
 }
 
-// ProblemsReport lists the problems of one node or of the fleet. A node in
-// NoAnswer may have any problem.
+// ProblemsReport lists the problems of one node or of the fleet. The problems of
+// the nodes in NoAnswer are unknown.
 type ProblemsReport struct {
 	Nodes    []NodeProblems `json:"nodes"`
 	NoAnswer []NoAnswer     `json:"no_answer,omitempty"`
 }
 
-// Count is the number of problems listed.
+// Count returns the number of problems listed.
 func (r ProblemsReport) Count() int {
 	count := 0
 	for _, node := range r.Nodes {
@@ -68,33 +68,33 @@
 	return count
 }
 
-// NodeAddress is one node of the view or the VM list, for operators.
+// NodeAddress is a node of the view or of the VM list, with its address for operators.
 type NodeAddress struct {
 	Node            core.NodeID `json:"node"`
 	DataCentre      string      `json:"data_centre"`
 	OperatorAddress string      `json:"operator_address"`
 }
 
-// OperatorOptions is what the operators' interface needs of the node.
+// OperatorOptions holds the parts of the node that the operator interface uses.
 type OperatorOptions struct {
 	Log logrus.FieldLogger
-	// BodyTimeout bounds the time in which a body arrives, though none is read.
+	// BodyTimeout limits the time in which a request body must arrive, although no handler reads one.
 	BodyTimeout time.Duration
 	Health      func() Health
 	Status      func() any
 	Dump        func() any
-	// Nodes lists the nodes of the view and of the VM list.
+	// Nodes returns the nodes of the view and of the VM list.
 	Nodes func() []NodeAddress
-	// Problems lists this node's problems, FleetProblems those of all nodes.
+	// Problems returns this node's problems, FleetProblems those of all nodes.
 	Problems      func() ProblemsReport
 	FleetProblems func(ctx context.Context) (ProblemsReport, error)
-	// Metrics writes the text exposition format.
+	// Metrics writes the metrics in the text exposition format.
 	Metrics func(out io.Writer)
 }
 
 const metricsContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// NewOperatorHandler makes the handler of the operators' interface.
+// NewOperatorHandler returns the handler of the operator interface.
 func NewOperatorHandler(parts OperatorOptions) http.Handler {
 	router := newRouter(parts.Log, parts.BodyTimeout)
 	router.GET("/v1/health", parts.health)
@@ -125,7 +125,7 @@
 	}
 	report, err := p.FleetProblems(c.Request.Context())
 	if err != nil {
-		fail(c, err)
+		writeError(c, err)
 		return
 	}
 	c.JSON(http.StatusOK, report)
--- a/internal/api/router.go
+++ b/internal/api/router.go
@@ -15,29 +15,28 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// maxDrainBytes bounds what is read and thrown away of a body that is over its
-// limit, so that a caller which writes its whole body first still reads why it
-// was refused.
-const maxDrainBytes = 32 << 20
+// maxDiscardBytes limits how much of an oversized body is read and discarded, so that
+// a caller that sends its whole body before it reads still receives the refusal.
+const maxDiscardBytes = 32 << 20
 
-// newRouter makes a router whose every failure is typed JSON: unknown paths,
-// wrong methods and panics too.
+// newRouter returns a router that answers every failure with typed JSON,
+// including unknown paths, wrong methods and panics.
 func newRouter(log logrus.FieldLogger, bodyTimeout time.Duration) *gin.Engine {
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
 	router.HandleMethodNotAllowed = true
-	router.Use(accessLog(log), recovery(log), boundBody(bodyTimeout))
+	router.Use(logRequests(log), recoverPanics(log), limitBodyTime(bodyTimeout))
 	router.NoRoute(func(c *gin.Context) {
-		fail(c, fault.NotRun(fault.CodeUnknownPath, "there is no "+c.Request.URL.Path, "see docs/INTERFACE.md"))
+		writeError(c, fault.NotRun(fault.CodeUnknownPath, "unknown path "+c.Request.URL.Path, "see docs/INTERFACE.md"))
 	})
 	router.NoMethod(func(c *gin.Context) {
-		fail(c, fault.NotRun(fault.CodeUnknownMethod, c.Request.Method+" is not taken at "+c.Request.URL.Path, "see docs/INTERFACE.md"))
+		writeError(c, fault.NotRun(fault.CodeUnknownMethod, c.Request.Method+" is not allowed at "+c.Request.URL.Path, "see docs/INTERFACE.md"))
 	})
 	return router
 }
 
-// accessLog writes one line a request, at debug level only.
-func accessLog(log logrus.FieldLogger) gin.HandlerFunc {
+// logRequests logs one line per request at debug level.
+func logRequests(log logrus.FieldLogger) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		started := time.Now()
 		c.Next()
@@ -52,25 +51,25 @@
 	}
 }
 
-// recovery turns a panic of a handler into a typed answer and a log line. The
-// outcome is unknown: the handler may have done its work before it failed.
-func recovery(log logrus.FieldLogger) gin.HandlerFunc {
+// recoverPanics turns a handler's panic into a typed error and a log line. The
+// outcome is unknown: the handler may have done its work before the panic.
+func recoverPanics(log logrus.FieldLogger) gin.HandlerFunc {
 	return gin.CustomRecoveryWithWriter(io.Discard, func(c *gin.Context, caught any) {
 		log.WithFields(logrus.Fields{
 			"event": "handler_panicked",
 			"path":  c.Request.URL.Path,
 			"panic": caught,
 			"stack": string(debug.Stack()),
-		}).Error("a handler panicked")
-		fail(c, &fault.Error{Code: fault.CodeInternal, Outcome: core.Unknown, Message: "the node failed on this request", Fix: "see the node's log"})
+		}).Error("HTTP handler panicked")
+		writeError(c, &fault.Error{Code: fault.CodeInternal, Outcome: core.Unknown, Message: "internal error: the request's handler panicked", Fix: "see the node's log"})
 		c.Abort()
 	})
 }
 
-// boundBody bounds the time in which a body arrives, on every path: net/http reads
-// what a handler left of a body before it answers, without a limit of its own, so
-// that a caller which stops half-way would hold its connection for good.
-func boundBody(timeout time.Duration) gin.HandlerFunc {
+// limitBodyTime limits the time in which a body must arrive, on every path: before it
+// answers, net/http reads the rest of a body without a time limit, so a caller that
+// stops half-way would hold its connection indefinitely.
+func limitBodyTime(timeout time.Duration) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		if c.Request.ContentLength != 0 {
 			_ = http.NewResponseController(c.Writer).SetReadDeadline(time.Now().Add(timeout))
@@ -78,10 +77,10 @@
 	}
 }
 
-// readBody reads a request's body within its limit of size and the time that
-// boundBody gave it. The deadline is lifted once the body is in: net/http goes on
-// reading in the background to notice a caller that disconnects, and a deadline
-// that expires there would cancel a question that is still being answered.
+// readBody reads a request's body within its size limit and the deadline set by
+// limitBodyTime. It clears the deadline once the body has arrived: net/http keeps
+// reading in the background to detect a caller that disconnects, and a deadline
+// that expires there would cancel a query in flight.
 func readBody(c *gin.Context, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, c.Request.Body, maxBytes))
 	if err == nil {
@@ -92,11 +91,11 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		_, _ = io.CopyN(io.Discard, c.Request.Body, maxDrainBytes)
-		return nil, &fault.Error{Code: fault.CodeTooLarge, Outcome: core.NotRun, Message: "the body is over the limit", Fix: "send less, or raise limits.max_body_bytes", Cause: err}
+		_, _ = io.CopyN(io.Discard, c.Request.Body, maxDiscardBytes)
+		return nil, &fault.Error{Code: fault.CodeTooLarge, Outcome: core.NotRun, Message: "the body exceeds the size limit", Fix: "send less, or raise limits.max_body_bytes", Cause: err}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, &fault.Error{Code: fault.CodePastDeadline, Outcome: core.NotRun, Message: "the body did not arrive in time", Fix: "send it faster, or raise limits.body_timeout", Cause: err}
+		return nil, &fault.Error{Code: fault.CodePastDeadline, Outcome: core.NotRun, Message: "the body did not arrive within its time limit", Fix: "send it faster, or raise limits.body_timeout", Cause: err}
 	default:
-		return nil, &fault.Error{Code: fault.CodeBadRequest, Outcome: core.NotRun, Message: "the body was cut", Fix: "send the whole body", Cause: err}
+		return nil, &fault.Error{Code: fault.CodeBadRequest, Outcome: core.NotRun, Message: "the body is incomplete", Fix: "send the whole body", Cause: err}
 	}
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -16,8 +16,8 @@
 // SubmitRequest is the body of a must-not-repeat request.
 type SubmitRequest struct {
 	Customer core.Customer `json:"customer"`
-	// Key is a prefix of GET /v1/entries, a dot and an id of the caller's own.
-	// Every retry repeats it, with the same body.
+	// Key consists of a key prefix from GET /v1/entries, a dot and an id chosen by
+	// the caller. Every retry uses the same key and body.
 	Key       string          `json:"key"`
 	Payload   json.RawMessage `json:"payload"`
 	TimeoutMs *int64          `json:"timeout_ms,omitempty"`
@@ -29,17 +29,17 @@
 	Service string          `json:"service"`
 	Key     string          `json:"key"`
 	Payload json.RawMessage `json:"payload,omitempty"`
-	// Repeated marks an outcome kept from an earlier try.
+	// Repeated is set if the outcome is the stored one of an earlier attempt.
 	Repeated bool `json:"repeated"`
-	// Message says why a payload is missing.
+	// Message states why the payload is missing.
 	Message string `json:"message,omitempty"`
 }
 
 func (p CallerOptions) submit(c *gin.Context) {
 	body, err := readBody(c, p.Body.MaxBytes)
 	if err != nil {
-		p.count(err)
-		p.failTry(c, err)
+		p.countBodyError(err)
+		p.failAttempt(c, err)
 		return
 	}
 	var request SubmitRequest
@@ -52,22 +52,22 @@
 		p.failSubmit(c, err)
 		return
 	}
-	leave, err := p.Entry.Admit(submit.Customer)
+	release, err := p.Entry.Admit(submit.Customer)
 	if err != nil {
-		p.failTry(c, err)
+		p.failAttempt(c, err)
 		return
 	}
-	defer leave()
+	defer release()
 	reply := p.Home.Submit(c.Request.Context(), submit)
 	if reply.Outcome == core.Done {
 		c.JSON(http.StatusOK, toSubmitReply(submit, reply))
 		return
 	}
-	p.writeRefused(c, reply)
+	p.writeRefusal(c, reply)
 }
 
-// toSubmit checks the form of a request. A request that fails here is not run
-// under any key: its body is not one that a home takes.
+// toSubmit validates a request and converts it. A request that fails here never
+// runs under any key, since no home accepts its body.
 func toSubmit(service string, request SubmitRequest) (home.Request, error) {
 	submit := home.Request{Customer: request.Customer, Key: request.Key, Service: service, Payload: request.Payload}
 	if err := checkCustomer(request.Customer); err != nil {
@@ -89,31 +89,31 @@
 	case json.Valid(reply.Payload):
 		out.Payload = reply.Payload
 	default:
-		// An upstream's reply that is not JSON goes out as a JSON text.
+		// A reply of the upstream that is not JSON is returned as a JSON string.
 		out.Payload, _ = json.Marshal(string(reply.Payload))
 	}
 	return out
 }
 
-// failSubmit writes a typed error with a fresh prefix.
+// failSubmit answers with a typed error and, if the request is not run, a fresh key prefix.
 func (p CallerOptions) failSubmit(c *gin.Context, err error) {
 	typed := fault.As(err)
-	p.writeRefused(c, once.Reply{Outcome: typed.Outcome, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter})
+	p.writeRefusal(c, once.Reply{Outcome: typed.Outcome, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter})
 }
 
-// failTry writes the failure of a try that went no further than this entry: its
-// body is too large, late or cut, or no place is free. It did not run, but an
-// earlier one with the same key may have: its body may have arrived whole, or
-// another entry may have let it in.
-func (p CallerOptions) failTry(c *gin.Context, err error) {
+// failAttempt answers an attempt that failed at this entry: its body is too large, late
+// or incomplete, or the entry is at its limit. This attempt did not run, but an earlier
+// attempt with the same key may have: its body may have arrived in full, or another
+// entry may have admitted it.
+func (p CallerOptions) failAttempt(c *gin.Context, err error) {
 	typed := fault.As(err)
-	p.writeRefused(c, once.Reply{Outcome: core.Unknown, ThisTry: core.NotRun, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter})
+	p.writeRefusal(c, once.Reply{Outcome: core.Unknown, ThisTry: core.NotRun, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter})
 }
 
-// writeRefused writes an outcome other than done. A caller whose key is not run
-// gets a fresh prefix: its next try needs a new key, since what was called "not
-// run" never runs.
-func (p CallerOptions) writeRefused(c *gin.Context, reply once.Reply) {
+// writeRefusal answers with an outcome other than done. If the key is not run, the
+// caller gets a fresh prefix: its next attempt needs a new key, since a key reported
+// as "not run" never runs.
+func (p CallerOptions) writeRefusal(c *gin.Context, reply once.Reply) {
 	out := ErrorReply{
 		Outcome:      reply.Outcome.String(),
 		Code:         reply.Code,
@@ -128,7 +128,7 @@
 	if reply.ThisTry == core.NotRun {
 		out.ThisTry = reply.ThisTry.String()
 	}
-	c.JSON(status(reply.Code), out)
+	c.JSON(httpStatus(reply.Code), out)
 }
 
 func submitFix(reply once.Reply) string {
@@ -136,14 +136,14 @@
 	case reply.Outcome == core.NotRun && reply.Code == fault.CodeWrongMethod:
 		return "use /v1/query for this service"
 	case reply.Outcome == core.NotRun:
-		return "to try again, append a new id to key_prefix"
+		return "to retry, append a new id to key_prefix"
 	case reply.ThisTry == core.NotRun && reply.Code == fault.CodeOverloaded:
-		return "ask again with the same key and body, after retry_after_ms or at another entry"
+		return "retry with the same key and body, after retry_after_ms or at another entry"
 	case reply.ThisTry == core.NotRun:
-		return "if no other try was made with this key, nothing ran: use a new key"
+		return "if this was the only attempt with this key, nothing ran: use a new key"
 	case reply.Code == fault.CodeLost:
-		return "ask again with the same key and body"
+		return "retry with the same key and body"
 	default:
-		return "look in the service itself before trying with a new key"
+		return "check in the service whether the request ran before using a new key"
 	}
 }
--- a/internal/app/evidence.go
+++ b/internal/app/evidence.go
@@ -9,23 +9,24 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer"
 )
 
-// linkNews takes the evidence of data traffic about the node behind a link.
-func (n *Node) linkNews(news peer.LinkNews) {
-	switch news.State {
+// handleLinkUpdate reports to membership whether the traffic on a link shows its node as alive or lost,
+// and reports a silent link as a problem.
+func (n *Node) handleLinkUpdate(update peer.LinkNews) {
+	switch update.State {
 	case peer.LinkAnswers:
-		n.problems.Clear(observe.KindSilentConnection, "peer "+string(news.Peer.Node))
-		n.members.Answered(news.Peer.Node)
+		n.problems.Clear(observe.KindSilentConnection, "peer "+string(update.Peer.Node))
+		n.members.Answered(update.Peer.Node)
 	case peer.LinkSilent:
-		n.problems.Report(observe.KindSilentConnection, "peer "+string(news.Peer.Node), "the link to "+news.Peer.Address+" answered nothing and was replaced")
-		n.members.Lost(news.Peer.Node)
+		n.problems.Report(observe.KindSilentConnection, "peer "+string(update.Peer.Node), "the link to "+update.Peer.Address+" gave no answer and was replaced")
+		n.members.Lost(update.Peer.Node)
 	default:
-		n.members.Lost(news.Peer.Node)
+		n.members.Lost(update.Peer.Node)
 	}
 }
 
-// silentUpstream takes the evidence that a connection to a replica went silent,
-// or that the replica answers again.
-func (n *Node) silentUpstream(address string, silent bool) {
+// handleSilentUpstream reports a problem if a connection to a replica went silent, and
+// clears it once the replica answers again.
+func (n *Node) handleSilentUpstream(address string, silent bool) {
 	subject := "upstream " + address
 	if !silent {
 		n.problems.Clear(observe.KindSilentConnection, subject)
@@ -34,19 +35,20 @@
 	n.problems.Report(observe.KindSilentConnection, subject, "a request timed out on an open connection, which was closed")
 }
 
-// crossedQuiet is how long an address stays reported after its last crossed or
-// cut reply. A whole reply does not end it: such replies come now and then.
-const crossedQuiet = 30 * time.Minute
+// crossedReplyExpiry is how long an address stays reported after its last crossed or
+// truncated reply. Intact replies do not clear the problem, since the faulty ones are
+// intermittent.
+const crossedReplyExpiry = 30 * time.Minute
 
-// droppedReply takes the evidence that a replica, or something on the way to it,
-// mixes replies up or cuts them.
-func (n *Node) droppedReply(address, why string) {
-	n.problems.ReportFor(observe.KindCrossedReply, "upstream "+address, why, crossedQuiet)
+// handleDroppedReply reports that a replica, or the network path to it, mixes up or
+// truncates replies.
+func (n *Node) handleDroppedReply(address, why string) {
+	n.problems.ReportFor(observe.KindCrossedReply, "upstream "+address, why, crossedReplyExpiry)
 }
 
-// known lists the nodes of the view and of the VM list: also those that do not
-// answer, which operators must not miss.
-func (n *Node) known() []route.Node {
+// knownNodes returns the nodes of the view and of the VM list. Operators need the nodes
+// that do not answer too.
+func (n *Node) knownNodes() []route.Node {
 	view := n.belief.View()
 	if !n.ready.Load() {
 		return view.Nodes()
--- a/internal/app/expiry.go
+++ b/internal/app/expiry.go
@@ -14,15 +14,15 @@
 
 const day = 24 * time.Hour
 
-// expiry is the end of one certificate.
-type expiry struct {
-	subject string
-	until   time.Time
+// certificateExpiry is the expiry time of one certificate.
+type certificateExpiry struct {
+	subject  string
+	notAfter time.Time
 }
 
 // loadTLS reads the node's keys and refuses certificates that are not valid now.
-// It returns their ends too, to be watched.
-func loadTLS(paths settings.TLS, now time.Time) (*tls.Config, []expiry, error) {
+// It also returns their expiry times.
+func loadTLS(paths settings.TLS, now time.Time) (*tls.Config, []certificateExpiry, error) {
 	authority, err := settings.PEM(paths.Authority)
 	if err != nil {
 		return nil, nil, err
@@ -43,9 +43,9 @@
 	return config, expiries, err
 }
 
-// readExpiries reads the ends of the authority's and the node's certificate, and
-// fails when one is not valid now.
-func readExpiries(authority, certificate []byte, now time.Time) ([]expiry, error) {
+// readExpiries returns the expiry times of the authority's and the node's
+// certificate, and an error if one of them is not valid now.
+func readExpiries(authority, certificate []byte, now time.Time) ([]certificateExpiry, error) {
 	authorityFrom, authorityUntil, err := keys.AuthorityValidity(authority)
 	if err != nil {
 		return nil, err
@@ -57,42 +57,42 @@
 	if err != nil {
 		return nil, err
 	}
-	return []expiry{{"authority", authorityUntil}, {"node", until}}, keys.CheckValid(from, until, now)
+	return []certificateExpiry{{"authority", authorityUntil}, {"node", until}}, keys.CheckValid(from, until, now)
 }
 
-// checkExpiry reports each certificate whose end is near and clears the others.
-// Certificates that have passed their end fail every new connection between
-// nodes at once, so that the report must come long before.
-func checkExpiry(problems *observe.Problems, daysLeft metrics.Gauge, certificates []expiry, now time.Time, warnBefore time.Duration) {
-	least := certificates[0].until
+// checkExpiry reports each certificate that expires within warnBefore and clears the
+// others. Once a certificate has expired, every new connection between nodes fails,
+// so the report must come long before.
+func checkExpiry(problems *observe.Problems, daysLeft metrics.Gauge, certificates []certificateExpiry, now time.Time, warnBefore time.Duration) {
+	earliest := certificates[0].notAfter
 	for _, one := range certificates {
-		if one.until.Before(least) {
-			least = one.until
+		if one.notAfter.Before(earliest) {
+			earliest = one.notAfter
 		}
-		if one.until.Sub(now) < warnBefore {
-			problems.Report(observe.KindCertificate, one.subject, "the certificate expires at "+one.until.UTC().Format(time.RFC3339))
+		if one.notAfter.Sub(now) < warnBefore {
+			problems.Report(observe.KindCertificate, one.subject, "the certificate expires at "+one.notAfter.UTC().Format(time.RFC3339))
 		} else {
 			problems.Clear(observe.KindCertificate, one.subject)
 		}
 	}
-	daysLeft.Update(int64(least.Sub(now) / day))
+	daysLeft.Update(int64(earliest.Sub(now) / day))
 }
 
-// expiryWatch reports certificates that are about to expire.
-type expiryWatch struct {
+// expiryWatcher periodically reports certificates that are about to expire.
+type expiryWatcher struct {
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-const expiryCheck = time.Hour
+const expiryCheckInterval = time.Hour
 
-func watchExpiry(problems *observe.Problems, registry observe.Registry, certificates []expiry, warnBefore time.Duration) *expiryWatch {
+func startExpiryWatcher(problems *observe.Problems, registry observe.Registry, certificates []certificateExpiry, warnBefore time.Duration) *expiryWatcher {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &expiryWatch{stop: stop, done: make(chan struct{})}
+	w := &expiryWatcher{stop: stop, done: make(chan struct{})}
 	daysLeft := observe.Gauge(registry, "certificate_days_left")
 	go func() {
 		defer close(w.done)
-		ticker := time.NewTicker(expiryCheck)
+		ticker := time.NewTicker(expiryCheckInterval)
 		defer ticker.Stop()
 		for {
 			checkExpiry(problems, daysLeft, certificates, time.Now(), warnBefore)
@@ -106,7 +106,7 @@
 	return w
 }
 
-func (w *expiryWatch) close() {
+func (w *expiryWatcher) close() {
 	w.stop()
 	<-w.done
 }
--- a/internal/app/expiry_test.go
+++ b/internal/app/expiry_test.go
@@ -11,9 +11,10 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// A node's certificate nears its end while the process runs for weeks. The
-// problem must show before the end, and go once a longer one is in use.
-func TestACertificateNearItsEndIsAProblem(t *testing.T) {
+// A node's certificate nears its expiry while the process runs for weeks. The
+// problem must be reported before the expiry and cleared once a certificate with a
+// later expiry is in use.
+func TestACertificateNearItsExpiryIsAProblem(t *testing.T) {
 	issued := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	authority, err := keys.NewAuthority(issued, 100*day)
 	require.NoError(t, err)
@@ -30,16 +31,17 @@
 	require.Len(t, problems.List(), 1)
 	require.Equal(t, "node", problems.List()[0].Subject)
 	require.EqualValues(t, 13, daysLeft.Value())
-	longer, err := authority.Issue("vm-1", issued, 90*day)
+	renewed, err := authority.Issue("vm-1", issued, 90*day)
 	require.NoError(t, err)
-	certificates, err = readExpiries(authority.Certificate, longer.Certificate, issued)
+	certificates, err = readExpiries(authority.Certificate, renewed.Certificate, issued)
 	require.NoError(t, err)
 	checkExpiry(problems, daysLeft, certificates, issued.Add(7*day), 14*day)
 	require.Empty(t, problems.List())
 }
 
-// The authority itself is replaced: for a while the file holds the old one, which
-// has expired, and the new one. Nodes with the new one's certificates must start.
+// The authority's certificate is replaced. For a while the file holds the old one,
+// which has expired, and the new one; nodes with certificates of the new authority
+// must start.
 func TestAnAuthorityCanBeReplaced(t *testing.T) {
 	issued := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	former, err := keys.NewAuthority(issued, 10*day)
@@ -51,7 +53,7 @@
 	both := append(append([]byte(nil), former.Certificate...), present.Certificate...)
 	certificates, err := readExpiries(both, pair.Certificate, issued.Add(20*day))
 	require.NoError(t, err)
-	require.Equal(t, issued.Add(100*day), certificates[0].until)
+	require.Equal(t, issued.Add(100*day), certificates[0].notAfter)
 	_, err = readExpiries(former.Certificate, pair.Certificate, issued.Add(20*day))
 	require.ErrorContains(t, err, "expired")
 	_, err = readExpiries([]byte("nothing"), pair.Certificate, issued)
--- a/internal/app/handle.go
+++ b/internal/app/handle.go
@@ -6,7 +6,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// Handle implements peer.Handler: it hands a peer's request to its duty.
+// Handle implements peer.Handler: it passes a peer's request to the component that serves it.
 func (n *Node) Handle(inbound *peer.Inbound) {
 	if !n.ready.Load() {
 		inbound.Reply(peer.Refused(core.ReasonPeerUnreached), true)
@@ -33,7 +33,7 @@
 	case *peerpb.Envelope_ProblemsRequest:
 		n.gatherer.Answer(inbound)
 	default:
-		// A newer peer may send a body that this node does not know.
+		// A peer of a newer version may send a body that is unknown to this node.
 		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
 	}
 }
--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -11,10 +11,10 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// startHTTP opens the callers' and the operators' address.
+// startHTTP starts the servers for callers and operators.
 func (n *Node) startHTTP() error {
 	var err error
-	n.caller, err = n.serve(n.settings.CallerAddress, n.closeWhenLeaving(n.callerHandler()))
+	n.caller, err = n.serve(n.settings.CallerAddress, n.closeConnectionsWhenStopping(n.callerHandler()))
 	if err != nil {
 		return fault.Step("listen for callers", err)
 	}
@@ -45,7 +45,7 @@
 		Health:        n.health,
 		Status:        func() any { return n.Status() },
 		Dump:          n.dump,
-		Nodes:         n.nodes,
+		Nodes:         n.nodeAddresses,
 		Problems:      func() api.ProblemsReport { return api.ProblemsReport{Nodes: []api.NodeProblems{n.gatherer.Own()}} },
 		FleetProblems: n.gatherer.Fleet,
 		Metrics:       func(out io.Writer) { observe.WriteText(out, n.metrics) },
--- a/internal/app/links.go
+++ b/internal/app/links.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// linkLogPause is the least time between two lines on one peer: under load
-	// each request to a lost peer opens a link that fails.
-	linkLogPause = 10 * time.Second
-	maxLinkLogs  = 1024
+	// linkLogInterval is the minimum time between two log lines about one peer: under
+	// load, each request to a lost peer opens a link that fails.
+	linkLogInterval   = 10 * time.Second
+	maxLinkLogEntries = 1024
 )
 
-// linkLog writes why links to peers ended.
-type linkLog struct {
-	log   logrus.FieldLogger
-	mutex sync.Mutex
-	last  map[string]time.Time
+// linkLogger logs why links to peers ended, at a limited rate per peer.
+type linkLogger struct {
+	log        logrus.FieldLogger
+	mutex      sync.Mutex
+	lastLogged map[string]time.Time
 }
 
-func (l *linkLog) broken(target peer.Target, cause error) {
-	if !l.due(target.Address, time.Now()) {
+func (l *linkLogger) logBroken(target peer.Target, cause error) {
+	if !l.shouldLog(target.Address, time.Now()) {
 		return
 	}
 	line := l.log.WithError(cause).WithFields(logrus.Fields{"peer": target.Node, "address": target.Address})
 	if peer.CertificateRefused(cause) {
 		line.WithFields(logrus.Fields{"event": "peer_certificate_refused", "fix": "issue both nodes' certificates by one authority, see pistachiopier keys"}).
-			Error("a peer's certificate or ours was refused")
+			Error("link to peer failed: this node's or the peer's certificate was refused")
 		return
 	}
-	line.WithField("event", "peer_link_ended").Info("a link to a peer ended")
+	line.WithField("event", "peer_link_ended").Info("link to peer ended")
 }
 
-func (l *linkLog) due(address string, now time.Time) bool {
+func (l *linkLogger) shouldLog(address string, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if last, ok := l.last[address]; ok && now.Sub(last) < linkLogPause {
+	if last, ok := l.lastLogged[address]; ok && now.Sub(last) < linkLogInterval {
 		return false
 	}
-	if l.last == nil || len(l.last) >= maxLinkLogs {
-		l.last = map[string]time.Time{}
+	if l.lastLogged == nil || len(l.lastLogged) >= maxLinkLogEntries {
+		l.lastLogged = map[string]time.Time{}
 	}
-	l.last[address] = now
+	l.lastLogged[address] = now
 	return true
 }
--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -10,7 +10,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/ring"
 )
 
-// Status is a node's short state for operators.
+// Status is a summary of a node's state for operators.
 type Status struct {
 	Node           core.NodeID `json:"node"`
 	DataCentre     string      `json:"data_centre"`
@@ -20,14 +20,14 @@
 	View           uint64      `json:"view"`
 	Nodes          int         `json:"nodes"`
 	InFlight       int         `json:"in_flight"`
-	// Paused is set while the node confirms its beliefs after it stood still.
+	// Paused is set after a pause of the process, until the node has confirmed that its state is current.
 	Paused bool `json:"paused"`
-	// DrainedUpstreams counts the upstreams that were seen draining by any node.
+	// DrainedUpstreams counts the upstreams that any node has seen draining.
 	DrainedUpstreams int   `json:"drained_upstreams"`
 	UptimeMs         int64 `json:"uptime_ms"`
 }
 
-// Status reports the node's short state.
+// Status returns a summary of the node's state.
 func (n *Node) Status() Status {
 	status := Status{
 		Node:             n.identity.Node,
@@ -47,7 +47,7 @@
 	return status
 }
 
-// Dump is a node's whole state.
+// Dump is a node's detailed state.
 type Dump struct {
 	Status            any          `json:"status"`
 	Nodes             []route.Node `json:"nodes"`
@@ -58,7 +58,7 @@
 	SilentConnections int64        `json:"silent_upstream_connections"`
 	HomeRings         []ring.Stats `json:"home_rings"`
 	DroppedReplies    int64        `json:"dropped_upstream_replies"`
-	// OwnerShards are the queues and replicas of the shards served here.
+	// OwnerShards lists the queues and replicas of the shards that this node serves.
 	OwnerShards []owner.ShardDump `json:"owner_shards"`
 
 	// Quarantine lists the requests that are suspected or set aside because replicas ended while running them.
--- a/internal/app/metrics.go
+++ b/internal/app/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/ring"
 )
 
-// watchMetrics adds the gauges that are read from the node's parts.
+// watchMetrics registers the gauges that are read from the node's components.
 func (n *Node) watchMetrics() {
 	observe.Watch(n.metrics, "uptime_seconds", func() int64 { return int64(n.now() / time.Second) })
 	observe.Watch(n.metrics, "process_goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
@@ -30,15 +30,15 @@
 
 const memoryMetric = "/memory/classes/total:bytes"
 
-// processMemory is the memory that the Go runtime holds, in bytes.
+// processMemory returns the memory held by the Go runtime, in bytes.
 func processMemory() int64 {
 	sample := []metrics.Sample{{Name: memoryMetric}}
 	metrics.Read(sample)
 	return int64(sample[0].Value.Uint64())
 }
 
-// watchRings adds the sums over a duty's rings.
-func (n *Node) watchRings(duty string, read func() []ring.Stats) {
+// watchRings registers gauges of the sums over a component's rings.
+func (n *Node) watchRings(component string, read func() []ring.Stats) {
 	sum := func(pick func(ring.Stats) int64) func() int64 {
 		return func() int64 {
 			var total int64
@@ -48,10 +48,10 @@
 			return total
 		}
 	}
-	observe.Watch(n.metrics, duty+"_ring_depth", sum(func(s ring.Stats) int64 { return int64(s.Depth) }))
-	observe.Watch(n.metrics, duty+"_ring_capacity", sum(func(s ring.Stats) int64 { return int64(s.Capacity) }))
-	observe.Watch(n.metrics, duty+"_ring_refused_total", sum(func(s ring.Stats) int64 { return s.Refused }))
-	observe.Watch(n.metrics, duty+"_ring_dropped_total", sum(func(s ring.Stats) int64 { return s.Dropped }))
+	observe.Watch(n.metrics, component+"_ring_depth", sum(func(s ring.Stats) int64 { return int64(s.Depth) }))
+	observe.Watch(n.metrics, component+"_ring_capacity", sum(func(s ring.Stats) int64 { return int64(s.Capacity) }))
+	observe.Watch(n.metrics, component+"_ring_refused_total", sum(func(s ring.Stats) int64 { return s.Refused }))
+	observe.Watch(n.metrics, component+"_ring_dropped_total", sum(func(s ring.Stats) int64 { return s.Dropped }))
 }
 
 func (n *Node) watchListener(name string, listener *api.LimitedListener) {
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -1,4 +1,4 @@
-// Package app builds a node out of its parts with fx, and starts and stops it.
+// Package app builds a node from its components with fx, and starts and stops it.
 package app
 
 import (
@@ -40,7 +40,7 @@
 	problems *observe.Problems
 	metrics  observe.Registry
 	upstream *upstream.Client
-	// quarantine tracks requests that may end the replicas that run them.
+	// quarantine tracks requests that may crash the replicas that run them.
 	quarantine *quarantine.Duty
 	owner      *owner.Owner
 	entry      *entry.Entry
@@ -54,34 +54,34 @@
 	operator   *httpServer
 	gatherer   *gather.Gatherer
 	prober     *night.Prober
-	expiry     *expiryWatch
+	expiry     *expiryWatcher
 	rotation   api.Rotation
-	// stopping is set when a planned stop begins.
+	// stopping is set once a planned stop begins.
 	stopping atomic.Bool
-	// ready is set once every duty runs: a peer may ask before that.
+	// ready is set once every component runs; peers may send requests before that.
 	ready atomic.Bool
 }
 
-// httpServer is a server with the address it got.
+// httpServer is a server with the address that it listens on.
 type httpServer struct {
 	*http.Server
 	address  string
 	listener *api.LimitedListener
 }
 
-// Addresses are where a started node listens.
+// Addresses are the addresses that a started node listens on.
 type Addresses struct {
 	Caller   string
 	Peer     string
 	Operator string
 }
 
-// Addresses reports where the node listens, with the ports chosen for port 0.
+// Addresses returns the addresses that the node listens on, with the ports chosen for port 0.
 func (n *Node) Addresses() Addresses {
 	return Addresses{Caller: n.caller.address, Peer: n.server.Address(), Operator: n.operator.address}
 }
 
-// New describes a node as an fx application; Run or Start it.
+// New returns a node as an fx application, which its Run or Start method starts.
 func New(s *settings.Settings, log logrus.FieldLogger, options ...fx.Option) *fx.App {
 	base := []fx.Option{
 		fx.WithLogger(func() fxevent.Logger { return logs.Fx(log.WithField("node", s.Node)) }),
@@ -111,7 +111,7 @@
 	}
 	node.upstream.DetectEnded()
 	node.quarantine = quarantine.New(quarantine.Options{
-		Now: node.now, Changed: node.standingChanged,
+		Now: node.now, Changed: node.logStandingChange,
 		Self: node.identity.Node, Nodes: func() []route.Node { return node.belief.View().Nodes() },
 	})
 	return node, nil
--- a/internal/app/operate.go
+++ b/internal/app/operate.go
@@ -9,13 +9,13 @@
 	"github.com/pistachiopier/pistachiopier/internal/night"
 )
 
-// startOperating starts what operators need of the node: probes of idle
-// replicas, the watch on certificates, gathering and metrics.
-func (n *Node) startOperating(tlsConfig *tls.Config, certificates []expiry) {
+// startOperating starts the components for operators: probes of idle replicas,
+// certificate checks, the gathering of problems, and metrics.
+func (n *Node) startOperating(tlsConfig *tls.Config, certificates []certificateExpiry) {
 	n.gatherer = &gather.Gatherer{
 		Self:     n.identity,
 		TLS:      tlsConfig,
-		Nodes:    n.known,
+		Nodes:    n.knownNodes,
 		Problems: n.problems,
 		Now:      n.now,
 	}
@@ -31,8 +31,8 @@
 		InFlight:     n.settings.Probing.InFlight,
 	})
 	n.upstream.Observe(n.prober.Observe)
-	n.upstream.OnDropped(n.droppedReply)
-	n.expiry = watchExpiry(n.problems, n.metrics, certificates, n.settings.TLS.WarnBefore)
+	n.upstream.OnDropped(n.handleDroppedReply)
+	n.expiry = startExpiryWatcher(n.problems, n.metrics, certificates, n.settings.TLS.WarnBefore)
 	n.watchMetrics()
 }
 
@@ -45,8 +45,8 @@
 	}
 }
 
-// entries answers which addresses a caller may use. VMs that leave are not in
-// the view.
+// entries returns the addresses that a caller may use. The view does not contain
+// VMs that are leaving.
 func (n *Node) entries(dataCentre string) api.Entries {
 	var list []api.EntryAddress
 	for _, node := range n.belief.View().Nodes() {
@@ -55,16 +55,16 @@
 	return api.Entries{
 		Entries: n.rotation.Order(list, dataCentre, n.settings.Limits.Entries),
 		TTLMs:   n.settings.EntriesTTL.Milliseconds(),
-		// The key prefix names this node as the home of the caller's keys.
+		// The key prefix makes this node the home of the caller's keys.
 		KeyPrefix: n.home.Prefix(),
 	}
 }
 
-// nodes lists every node that the view or the VM list names: one that no longer
-// answers is what operators look for.
-func (n *Node) nodes() []api.NodeAddress {
+// nodeAddresses lists every node in the view or the VM list, since operators look for nodes
+// that no longer answer.
+func (n *Node) nodeAddresses() []api.NodeAddress {
 	list := []api.NodeAddress{}
-	for _, node := range n.known() {
+	for _, node := range n.knownNodes() {
 		list = append(list, api.NodeAddress{Node: node.ID, DataCentre: node.DataCentre, OperatorAddress: node.OperatorAddress})
 	}
 	return list
@@ -72,13 +72,13 @@
 
 func (n *Node) health() api.Health {
 	if n.stopping.Load() {
-		return api.Health{State: api.HealthDraining, Why: "the node was told to stop"}
+		return api.Health{State: api.HealthDraining, Why: "a planned stop is in progress"}
 	}
 	if n.belief.Config() == nil {
 		return api.Health{State: api.HealthStarting, Why: "no configuration is in force yet"}
 	}
 	if len(n.belief.View().Nodes()) == 0 {
-		return api.Health{State: api.HealthStarting, Why: "the VM list is not read yet"}
+		return api.Health{State: api.HealthStarting, Why: "the VM list has not been read yet"}
 	}
 	if count := len(n.problems.List()); count > 0 {
 		return api.Health{State: api.HealthDegraded, Why: strconv.Itoa(count) + " problems are present, see /v1/problems"}
--- a/internal/app/quarantine.go
+++ b/internal/app/quarantine.go
@@ -8,15 +8,15 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer"
 )
 
-// heardQuarantine compares the quarantine digest of another node with this node's. It ignores
+// receiveQuarantineDigest compares the quarantine digest of another node with this node's. It ignores
 // unknown nodes and does nothing before this node is ready.
-func (n *Node) heardQuarantine(from core.NodeID, digest uint64) {
+func (n *Node) receiveQuarantineDigest(from core.NodeID, digest uint64) {
 	if known, ok := n.belief.View().Node(from); ok && n.ready.Load() {
 		n.quarantine.Heard(peer.Target{Node: known.ID, Address: known.PeerAddress}, digest)
 	}
 }
 
-// SetAsideCount returns the number of request names that are set aside. A request may have two names, an exact and a broad one.
+// SetAsideCount returns the number of request keys that are set aside. A request may have an exact and a broad key.
 func (n *Node) SetAsideCount() int64 { return n.quarantine.Count(quarantine.SetAside) }
 
 // standingEvents maps the new standing of a request to the name of its log event.
@@ -24,8 +24,8 @@
 	quarantine.Trusted: "request_cleared", quarantine.Suspect: "request_suspected", quarantine.SetAside: "request_set_aside",
 }
 
-// standingChanged logs a change in the severity of a request and the node that reported it.
-func (n *Node) standingChanged(change quarantine.Change, from core.NodeID) {
+// logStandingChange logs a change in the severity of a request and the node that reported it.
+func (n *Node) logStandingChange(change quarantine.Change, from core.NodeID) {
 	record := change.Record
 	severity := record.Severity()
 	if severity == change.Former {
--- a/internal/app/start.go
+++ b/internal/app/start.go
@@ -16,8 +16,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer"
 )
 
-// startOrCleanUp starts the node. fx does not call the stop of a start that
-// failed, so that what did start is ended here.
+// startOrCleanUp starts the node. fx does not call the stop hook after a failed
+// start, so this method stops the components that did start.
 func (n *Node) startOrCleanUp(ctx context.Context) error {
 	err := n.start(ctx)
 	if err != nil {
@@ -26,9 +26,9 @@
 	return err
 }
 
-// start brings the duties up, those that answer before those that ask. Peers
-// may connect as soon as the peer port is open; Handle refuses their requests as
-// not run until every duty is there.
+// start starts the components, those that serve requests before those that send
+// them. Peers may connect as soon as the peer port is open; Handle refuses their
+// requests as not run until every component is running.
 func (n *Node) start(context.Context) error {
 	tlsConfig, certificates, err := loadTLS(n.settings.TLS, time.Now())
 	if err != nil {
@@ -48,14 +48,14 @@
 	n.members = n.startMembership()
 	n.quarantine.Start(n.pool)
 	n.ready.Store(true)
-	n.pool.OnLink(n.linkNews)
-	n.upstream.OnSilent(n.silentUpstream)
+	n.pool.OnLink(n.handleLinkUpdate)
+	n.upstream.OnSilent(n.handleSilentUpstream)
 	n.logStarted()
 	return nil
 }
 
-// startPeers opens both directions towards other nodes and makes the duties that
-// need them.
+// startPeers opens the pool of outgoing links and the peer listener, and creates the
+// components that need links.
 func (n *Node) startPeers(tlsConfig *tls.Config) error {
 	var err error
 	n.pool, err = peer.NewPool(tlsConfig, n.identity, n)
@@ -67,7 +67,7 @@
 	if err != nil {
 		return fault.Step("start home", err)
 	}
-	n.pool.OnBroken((&linkLog{log: n.log}).broken)
+	n.pool.OnBroken((&linkLogger{log: n.log}).logBroken)
 	n.server, err = peer.Listen(n.settings.PeerAddress, tlsConfig, n.identity, n)
 	if err != nil {
 		return fault.Step("listen for peers", err)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// self is this node as others route to it, with the ports chosen for port 0.
+// self returns this node's routing record for other nodes, with the ports chosen for port 0.
 func (n *Node) self() route.Node {
 	return route.Node{
 		ID:              n.identity.Node,
@@ -156,6 +156,6 @@
 		Heard:       n.config.Hint,
 
 		Quarantine:      n.quarantine.Digest,
-		HeardQuarantine: n.heardQuarantine,
+		HeardQuarantine: n.receiveQuarantineDigest,
 	})
 }
--- a/internal/app/started.go
+++ b/internal/app/started.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// logStarted tells the addresses, which settings with port 0 do not know.
+// logStarted logs the addresses, which the settings do not contain if a port is 0.
 func (n *Node) logStarted() {
 	addresses := n.Addresses()
 	n.log.WithFields(logrus.Fields{
--- a/internal/app/stop.go
+++ b/internal/app/stop.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	idlePoll = 5 * time.Millisecond
-	// finishLimit bounds the wait for peers to read the last replies.
-	finishLimit = time.Second
-	// leaveFirst and leaveRound bound how fast the mark of leaving spreads.
-	leaveFirst = 300 * time.Millisecond
-	leaveRound = 200 * time.Millisecond
-	// keepShare is the part of the time given for a stop that may go to callers
-	// with old addresses; the rest is for what is in flight.
-	keepShare = 2
+	idlePollInterval = 5 * time.Millisecond
+	// finishRepliesTimeout limits the wait for peers to read the last replies.
+	finishRepliesTimeout = time.Second
+	// leaveSpreadBase and leaveSpreadPerRound bound the time that the leaving mark takes to spread.
+	leaveSpreadBase     = 300 * time.Millisecond
+	leaveSpreadPerRound = 200 * time.Millisecond
+	// keepAcceptingDivisor sets the fraction of the stop's remaining time, 1/2, that may be
+	// spent on accepting callers with old addresses; the rest is for requests in flight.
+	keepAcceptingDivisor = 2
 )
 
-// stop is the planned stop. The order guards against cut-off requests: peers
-// stop routing here and entries stop naming this node at once, but callers keep
-// the addresses that they got for EntriesTTL, so the node serves on for that
-// long; then it takes no new callers, finishes what callers and peers wait for,
-// hands over and only then ends the duties. The context bounds it all.
+// stop performs the planned stop, in an order that cuts off no requests. Peers
+// stop routing here and entries stop listing this node immediately, but callers
+// keep addresses for EntriesTTL, so the node continues to serve for that time. It
+// then accepts no new callers, finishes the requests of callers and peers, hands
+// over stored outcomes and stops the components last. The context bounds the whole stop.
 func (n *Node) stop(ctx context.Context) error {
 	n.stopping.Store(true)
 	if n.ready.Load() {
@@ -40,53 +40,53 @@
 func (n *Node) drain(ctx context.Context) {
 	n.members.Leave()
 	n.log.WithField("event", "node_leaving").Info("planned stop: no longer an owner, still serving")
-	wait.For(ctx, n.keepAccepting(ctx))
+	wait.For(ctx, n.keepAcceptingTime(ctx))
 	if err := n.caller.Shutdown(ctx); err != nil {
-		n.log.WithError(err).WithField("event", "stop_cut_short").Error("callers' requests were cut off: stop_wait is over")
+		n.log.WithError(err).WithField("event", "stop_cut_short").Error("requests of callers were cut off: stop_wait has expired")
 	}
 	n.home.Stop(ctx)
 	n.owner.DrainSubmits(ctx)
 	for ctx.Err() == nil && n.inFlight() > 0 {
-		wait.For(ctx, idlePoll)
+		wait.For(ctx, idlePollInterval)
 	}
 	n.finishReplies(ctx)
-	if left := n.inFlight(); left > 0 {
-		n.log.WithFields(logrus.Fields{"event": "stop_cut_short", "in_flight": left}).Error("peers' requests were cut off: stop_wait is over")
+	if remaining := n.inFlight(); remaining > 0 {
+		n.log.WithFields(logrus.Fields{"event": "stop_cut_short", "in_flight": remaining}).Error("requests of peers were cut off: stop_wait has expired")
 	}
 }
 
-// finishReplies lets peers read what was answered last. A peer that stands still
-// must not hold the stop up, so the wait is short.
+// finishReplies waits until peers have read the last replies. The wait is short, so
+// that a peer whose process is paused does not delay the stop.
 func (n *Node) finishReplies(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, finishLimit)
+	ctx, cancel := context.WithTimeout(ctx, finishRepliesTimeout)
 	defer cancel()
 	n.server.Finish(ctx)
 }
 
-// keepAccepting is how long callers with old addresses are still served. Another
-// entry names this node until the mark of its leaving has reached it, and only
-// then do its callers' EntriesTTL begin to run out: a node that counted from its
-// own first moment of leaving would refuse those callers' connections.
-func (n *Node) keepAccepting(ctx context.Context) time.Duration {
-	keep := leaveKnown(len(n.belief.View().Nodes())) + n.settings.EntriesTTL
+// keepAcceptingTime returns how long callers with old addresses are still served. An
+// entry lists this node until the leaving mark reaches it, and callers keep that answer
+// for EntriesTTL from then on. If EntriesTTL were counted from the start of the stop
+// instead, the connections of such callers would be refused.
+func (n *Node) keepAcceptingTime(ctx context.Context) time.Duration {
+	keep := leaveSpreadTime(len(n.belief.View().Nodes())) + n.settings.EntriesTTL
 	if deadline, ok := ctx.Deadline(); ok {
-		keep = min(keep, time.Until(deadline)/keepShare)
+		keep = min(keep, time.Until(deadline)/keepAcceptingDivisor)
 	}
 	return keep
 }
 
-// leaveKnown is the time until every node has heard that one leaves. It grows by
-// a round of heartbeats each time the fleet doubles; docs/design/membership.md
-// has the measured times.
-func leaveKnown(nodes int) time.Duration {
-	return leaveFirst + time.Duration(bits.Len(uint(nodes)))*leaveRound
+// leaveSpreadTime returns the time until every node has received the leaving mark. It
+// grows by one round of heartbeats each time the fleet doubles;
+// docs/design/membership.md has the measured times.
+func leaveSpreadTime(nodes int) time.Duration {
+	return leaveSpreadBase + time.Duration(bits.Len(uint(nodes)))*leaveSpreadPerRound
 }
 
-// inFlight counts the questions being answered here and the requests of peers.
+// inFlight returns the number of queries of callers and requests of peers in flight.
 func (n *Node) inFlight() int { return n.entry.InFlight() + n.server.Open() }
 
-// close ends the duties. It also cleans up after a start that failed half-way,
-// when some of them are nil. The home ends last.
+// close stops the components. It also cleans up after a failed start, when some of
+// them are nil. The home is closed last.
 func (n *Node) close(ctx context.Context) error {
 	var callers error
 	if n.caller != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// closeServers ends the links to peers and the operators' interface.
+// closeServers closes the links to peers and the operator interface.
 func (n *Node) closeServers() error {
 	var failures []error
 	if n.server != nil {
@@ -134,10 +134,10 @@
 	return errors.Join(failures...)
 }
 
-// closeWhenLeaving asks callers to close their connections with the answer. An
-// idle connection that the server closes by itself may cross with a caller's
-// next request, which would then fail although it could have gone elsewhere.
-func (n *Node) closeWhenLeaving(next http.Handler) http.Handler {
+// closeConnectionsWhenStopping makes answers ask callers to close their connections. If the
+// server closed an idle connection itself, that could coincide with the caller's next
+// request, which would fail although another node could have served it.
+func (n *Node) closeConnectionsWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.stopping.Load() {
 			w.Header().Set("Connection", "close")
@@ -146,8 +146,8 @@
 	})
 }
 
-// Kill ends the node's connections at once, without a planned stop. Tests of lost
-// nodes use it; the application's own stop must follow.
+// Kill closes the node's connections immediately, without a planned stop. Tests use it
+// to simulate a lost node; the application must still be stopped afterwards.
 func (n *Node) Kill() {
 	n.members.Close()
 	_ = n.server.Close()
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client asks the system as a caller does: first which addresses to
-// use, then the question, at one of them.
+// Package client is a client of the system for callers: it fetches the entry
+// addresses, then sends queries and submissions to them.
 package client
 
 import (
@@ -18,15 +18,15 @@
 
 const (
 	maxReplyBytes = 64 << 20
-	// dialTimeout bounds a connection to a VM that is gone without a word, so
-	// that time is left for the next address.
+	// dialTimeout limits dialling a VM that disappeared without closing its
+	// connections, so that time remains for the next address.
 	dialTimeout = time.Second
 )
 
 // Client holds connections to entries.
 type Client struct{ http *http.Client }
 
-// New makes a client.
+// New returns a client.
 func New() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
@@ -34,21 +34,21 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Entries asks any entry which addresses to use.
+// Entries fetches the addresses to use from the entry at address.
 func (c *Client) Entries(ctx context.Context, address string) (api.Entries, error) {
 	var entries api.Entries
 	err := c.Get(ctx, address, "/v1/entries", &entries)
 	return entries, err
 }
 
-// Query asks the entry at address.
+// Query sends a query to the entry at address.
 func (c *Client) Query(ctx context.Context, address, service string, request api.QueryRequest) (api.QueryReply, error) {
 	var reply api.QueryReply
 	err := c.post(ctx, address, "/v1/query/"+service, request, &reply)
 	return reply, err
 }
 
-// Get reads a JSON document of a node.
+// Get fetches a JSON document from a node.
 func (c *Client) Get(ctx context.Context, address, path string, out any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -73,15 +73,15 @@
 func (c *Client) do(request *http.Request, out any) error {
 	response, err := c.http.Do(request)
 	if err != nil {
-		return &fault.Error{Code: fault.CodeLost, Outcome: core.Unknown, Message: "no answer from " + request.URL.Host, Fix: "ask another entry", Cause: err}
+		return &fault.Error{Code: fault.CodeLost, Outcome: core.Unknown, Message: "no answer from " + request.URL.Host, Fix: "use another entry", Cause: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return &fault.Error{Code: fault.CodeLost, Outcome: core.Unknown, Message: "the answer was cut", Fix: "ask another entry", Cause: err}
+		return &fault.Error{Code: fault.CodeLost, Outcome: core.Unknown, Message: "the answer was truncated", Fix: "use another entry", Cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusal(response.Status, body)
+		return toError(response.Status, body)
 	}
 	if err := json.Unmarshal(body, out); err != nil {
 		return &fault.Error{Code: fault.CodeInternal, Outcome: core.Unknown, Message: "the answer is not JSON", Cause: err}
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func refusal(status string, body []byte) error {
+func toError(status string, body []byte) error {
 	var reply api.ErrorReply
 	if err := json.Unmarshal(body, &reply); err != nil || reply.Code == "" {
 		return &fault.Error{Code: fault.CodeInternal, Outcome: core.Unknown, Message: "the entry answered " + status}
--- a/internal/client/submit.go
+++ b/internal/client/submit.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	callerIDBytes  = 12
-	submitPause    = 50 * time.Millisecond
-	maxSubmitPause = 2 * time.Second
+	keyIDBytes    = 12
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 2 * time.Second
 )
 
 // Submission is a must-not-repeat request.
@@ -30,29 +30,29 @@
 	Payload  json.RawMessage
 }
 
-// SubmissionResult is the end of a submission. Outcome holds for the request as a
-// whole, over all tries and keys.
+// SubmissionResult is the result of a submission. Outcome is that of the whole
+// request, over all attempts and keys.
 type SubmissionResult struct {
 	Outcome core.Outcome    `json:"-"`
 	Key     string          `json:"key"`
 	Tries   int             `json:"tries"`
 	Reply   api.SubmitReply `json:"reply"`
-	// Refusal is the last refusal when the outcome is not done.
+	// Refusal is the last refusal if the outcome is not done.
 	Refusal api.ErrorReply `json:"refusal"`
 }
 
-// NewKey makes a key of the prefix with a random id.
+// NewKey returns a key that consists of the prefix and a random id.
 func NewKey(prefix string) (string, error) {
-	var id [callerIDBytes]byte
+	var id [keyIDBytes]byte
 	if _, err := rand.Read(id[:]); err != nil {
-		return "", fault.Step("make a key", err)
+		return "", fault.Step("generate key", err)
 	}
 	return prefix + "." + hex.EncodeToString(id[:]), nil
 }
 
-// Submit sends one try to the entry at address. The reply is filled when it was
-// done, else the refusal; an unanswered try is a refusal too, whose ThisTry says
-// when no connection was had.
+// Submit sends one attempt to the entry at address. It returns a reply if the outcome
+// is done, else a refusal. An attempt without an answer is a refusal too; its ThisTry
+// is "not_run" if the connection failed.
 func (c *Client) Submit(ctx context.Context, address, service string, request api.SubmitRequest) (api.SubmitReply, api.ErrorReply) {
 	var reply api.SubmitReply
 	body, err := json.Marshal(request)
@@ -71,24 +71,24 @@
 	var reply api.SubmitReply
 	response, err := c.http.Do(post)
 	if err != nil {
-		return reply, unanswered(err)
+		return reply, noAnswer(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode == http.StatusOK {
 		if err := json.NewDecoder(response.Body).Decode(&reply); err != nil {
-			return api.SubmitReply{}, unanswered(err)
+			return api.SubmitReply{}, noAnswer(err)
 		}
 		return reply, api.ErrorReply{}
 	}
 	var refusal api.ErrorReply
 	if err := json.NewDecoder(response.Body).Decode(&refusal); err != nil || refusal.Code == "" {
-		return reply, unanswered(err)
+		return reply, noAnswer(err)
 	}
 	return reply, refusal
 }
 
-func unanswered(err error) api.ErrorReply {
-	refusal := api.ErrorReply{Outcome: core.Unknown.String(), Code: fault.CodeLost, Message: "the entry gave no answer"}
+func noAnswer(err error) api.ErrorReply {
+	refusal := api.ErrorReply{Outcome: core.Unknown.String(), Code: fault.CodeLost, Message: "no answer from the entry"}
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		refusal.ThisTry = core.NotRun.String()
@@ -96,10 +96,10 @@
 	return refusal
 }
 
-// SubmitOnce runs a submission to its end: it fetches a prefix at any of the
-// addresses, then repeats one key through the entries in turn until the outcome
-// is known or the context ends. Only when a key is proven not run, by its home or
-// because no try of it ever arrived, does it go on with a new key.
+// SubmitOnce runs a submission until its outcome is known or the context ends. It
+// fetches a key prefix from any of the addresses, then repeats one key through the
+// entries in turn. It uses a new key only if the former key is proven not to have
+// run: its home reports that, or every attempt with it failed before it could run.
 func (c *Client) SubmitOnce(ctx context.Context, addresses []string, submission Submission) (SubmissionResult, error) {
 	run := submitRun{client: c, submission: submission}
 	for i := 0; ; i++ {
@@ -108,11 +108,11 @@
 			run.entries = entries
 			break
 		}
-		if !wait.For(ctx, submitPause) {
-			return run.end, fault.NotRun(fault.CodeNotReady, "no entry gave a key prefix in time", "give the address of a running node")
+		if !wait.For(ctx, minRetryPause) {
+			return run.result, fault.NotRun(fault.CodeNotReady, "no entry returned a key prefix before the deadline", "give the address of a running node")
 		}
 	}
-	return run.run(ctx)
+	return run.execute(ctx)
 }
 
 // submitRun is the state of SubmitOnce.
@@ -120,38 +120,38 @@
 	client     *Client
 	submission Submission
 	entries    api.Entries
-	end        SubmissionResult
-	// clean is set while no try of the present key may have arrived.
-	clean bool
+	result     SubmissionResult
+	// noAttemptRan is set while every attempt with the current key is proven not to have run.
+	noAttemptRan bool
 }
 
-func (r *submitRun) run(ctx context.Context) (SubmissionResult, error) {
+func (r *submitRun) execute(ctx context.Context) (SubmissionResult, error) {
 	prefix := r.entries.KeyPrefix
 	for {
 		if err := r.newKey(prefix); err != nil {
-			return r.end, err
+			return r.result, err
 		}
-		again := r.tryKey(ctx)
-		if r.end.Outcome != core.NotRun || !again {
-			return r.end, nil
+		retry := r.repeatKey(ctx)
+		if r.result.Outcome != core.NotRun || !retry {
+			return r.result, nil
 		}
 		prefix = r.freshPrefix(ctx)
-		if prefix == "" || !wait.For(ctx, r.wait()) {
-			return r.end, nil
+		if prefix == "" || !wait.For(ctx, r.retryPause()) {
+			return r.result, nil
 		}
 	}
 }
 
 func (r *submitRun) newKey(prefix string) error {
 	key, err := NewKey(prefix)
-	r.end.Key, r.clean = key, true
+	r.result.Key, r.noAttemptRan = key, true
 	return err
 }
 
-// freshPrefix is the refusal's own, or that of any entry that answers.
+// freshPrefix returns the key prefix of the last refusal, or that of any entry that answers.
 func (r *submitRun) freshPrefix(ctx context.Context) string {
-	if r.end.Refusal.KeyPrefix != "" {
-		return r.end.Refusal.KeyPrefix
+	if r.result.Refusal.KeyPrefix != "" {
+		return r.result.Refusal.KeyPrefix
 	}
 	for _, entry := range r.entries.Entries {
 		if entries, err := r.client.Entries(ctx, entry.Address); err == nil && entries.KeyPrefix != "" {
@@ -161,79 +161,79 @@
 	return ""
 }
 
-// tryKey repeats the present key until its outcome is known. It reports whether
-// a new key may fare better.
-func (r *submitRun) tryKey(ctx context.Context) bool {
+// repeatKey repeats the current key until its outcome is known or the context ends. It
+// reports whether a new key may succeed.
+func (r *submitRun) repeatKey(ctx context.Context) bool {
 	for {
-		if !r.try(ctx) {
-			return mayFareBetter(r.end.Refusal.Code)
+		if !r.attempt(ctx) {
+			return newKeyMaySucceed(r.result.Refusal.Code)
 		}
-		if r.clean && r.end.Refusal.Code == fault.CodeHomeGone {
-			r.end.Outcome = core.NotRun
+		if r.noAttemptRan && r.result.Refusal.Code == fault.CodeHomeGone {
+			r.result.Outcome = core.NotRun
 			return true
 		}
-		if !wait.For(ctx, r.wait()) {
-			if r.clean {
-				r.end.Outcome = core.NotRun
+		if !wait.For(ctx, r.retryPause()) {
+			if r.noAttemptRan {
+				r.result.Outcome = core.NotRun
 			}
 			return false
 		}
 	}
 }
 
-// try makes one try and reports whether the key's outcome is still open.
-func (r *submitRun) try(ctx context.Context) bool {
-	entry := r.entries.Entries[r.end.Tries%len(r.entries.Entries)]
-	r.end.Tries++
+// attempt makes one attempt and reports whether to repeat the key.
+func (r *submitRun) attempt(ctx context.Context) bool {
+	entry := r.entries.Entries[r.result.Tries%len(r.entries.Entries)]
+	r.result.Tries++
 	reply, refusal := r.client.Submit(ctx, entry.Address, r.submission.Service, r.request(ctx))
-	r.end.Reply, r.end.Refusal = reply, refusal
+	r.result.Reply, r.result.Refusal = reply, refusal
 	switch {
 	case reply.Outcome == core.Done.String():
-		r.end.Outcome = core.Done
+		r.result.Outcome = core.Done
 		return false
-	case keyNotRun(refusal):
-		r.end.Outcome = core.NotRun
+	case isKeyNotRun(refusal):
+		r.result.Outcome = core.NotRun
 		return false
 	}
-	r.end.Outcome = core.Unknown
-	r.clean = r.clean && tryNotRun(refusal)
-	if r.clean && refusal.Code == fault.CodeTooLarge {
-		r.end.Outcome = core.NotRun
+	r.result.Outcome = core.Unknown
+	r.noAttemptRan = r.noAttemptRan && isAttemptNotRun(refusal)
+	if r.noAttemptRan && refusal.Code == fault.CodeTooLarge {
+		r.result.Outcome = core.NotRun
 		return false
 	}
-	// A key of which the home itself knows no more will not become known.
+	// For an expired key or a stored outcome the home will never know more.
 	return refusal.Code != fault.CodeKeyExpired && !refusal.Repeated
 }
 
-// keyNotRun reports whether the refusal speaks of the key. Only the submit path
-// does, and it then gives a fresh prefix; a "not run" without one, such as that
-// of an entry with too many connections, speaks of the refused try alone, and an
-// earlier try through another entry may have run.
-func keyNotRun(refusal api.ErrorReply) bool {
+// isKeyNotRun reports whether the refusal proves that the key did not run. Only the
+// submit path gives this proof, and it then returns a fresh prefix. A "not run" without
+// a prefix, such as that of an entry at its connection limit, holds for the refused
+// attempt alone; an earlier attempt through another entry may have run.
+func isKeyNotRun(refusal api.ErrorReply) bool {
 	return refusal.Outcome == core.NotRun.String() && refusal.KeyPrefix != ""
 }
 
-// tryNotRun reports whether the refused try is proven not to have run.
-func tryNotRun(refusal api.ErrorReply) bool {
+// isAttemptNotRun reports whether the refused attempt is proven not to have run.
+func isAttemptNotRun(refusal api.ErrorReply) bool {
 	return refusal.Outcome == core.NotRun.String() || refusal.ThisTry == core.NotRun.String()
 }
 
 func (r *submitRun) request(ctx context.Context) api.SubmitRequest {
-	request := api.SubmitRequest{Customer: r.submission.Customer, Key: r.end.Key, Payload: r.submission.Payload}
+	request := api.SubmitRequest{Customer: r.submission.Customer, Key: r.result.Key, Payload: r.submission.Payload}
 	if deadline, ok := ctx.Deadline(); ok {
-		left := max(1, time.Until(deadline).Milliseconds())
-		request.TimeoutMs = &left
+		remainingMs := max(1, time.Until(deadline).Milliseconds())
+		request.TimeoutMs = &remainingMs
 	}
 	return request
 }
 
-func (r *submitRun) wait() time.Duration {
-	asked := time.Duration(r.end.Refusal.RetryAfterMs) * time.Millisecond
-	return min(max(asked, submitPause), maxSubmitPause)
+func (r *submitRun) retryPause() time.Duration {
+	retryAfter := time.Duration(r.result.Refusal.RetryAfterMs) * time.Millisecond
+	return min(max(retryAfter, minRetryPause), maxRetryPause)
 }
 
-// mayFareBetter lists refusals that a later try under a new key may not meet.
-func mayFareBetter(code fault.Code) bool {
+// newKeyMaySucceed reports whether a later attempt with a new key may avoid the refusal.
+func newKeyMaySucceed(code fault.Code) bool {
 	switch code {
 	case fault.CodeDraining, fault.CodeOverloaded, fault.CodeKeyExpired, fault.CodeRefused, fault.CodeNotReady, fault.CodeHomeGone:
 		return true
--- a/internal/client/submit_test.go
+++ b/internal/client/submit_test.go
@@ -19,25 +19,25 @@
 
 const awaitLimit = 10 * time.Second
 
-// scripted is an entry that answers the tries of submits in order.
-type scripted struct {
+// scriptedEntry is an entry that returns the given answers to submit attempts in order.
+type scriptedEntry struct {
 	*httptest.Server
 	mutex   sync.Mutex
 	answers []any
 	keys    []string
 }
 
-func startScripted(t *testing.T, answers ...any) *scripted {
+func startScriptedEntry(t *testing.T, answers ...any) *scriptedEntry {
 	t.Helper()
-	s := &scripted{answers: answers}
+	s := &scriptedEntry{answers: answers}
 	s.Server = httptest.NewServer(http.HandlerFunc(s.serve))
 	t.Cleanup(s.Close)
 	return s
 }
 
-func (s *scripted) address() string { return strings.TrimPrefix(s.URL, "http://") }
+func (s *scriptedEntry) address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-func (s *scripted) serve(w http.ResponseWriter, r *http.Request) {
+func (s *scriptedEntry) serve(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if r.URL.Path == "/v1/entries" {
@@ -63,24 +63,24 @@
 	unreachable = api.ErrorReply{Outcome: "unknown", Code: fault.CodeHomeGone, ThisTry: "not_run"}
 )
 
-// A fee is quoted twice. The first try may have run, the second meets an entry
-// that refuses the connection as "not run", and a client that takes this for the
-// key's outcome goes on with a new key. Only the home's word, or that no try at
-// all arrived, allows a new key.
+// A request runs twice: its first attempt may have run, an entry refuses the connection
+// of the second as "not run", and a client that takes this for the key's outcome uses a
+// new key. A new key is allowed only if the home reports "not run" or if no attempt
+// with the old key can have run.
 func TestANewKeyOnlyWhenTheOldNeverRuns(t *testing.T) {
 	cases := map[string]struct {
 		answers []any
 		sameKey bool
 	}{
-		"after lost":                   {[]any{lost, done}, true},
-		"refused after lost":           {[]any{lost, fullEntry, done}, true},
-		"home unreachable after lost":  {[]any{lost, unreachable, done}, true},
-		"refused by the home":          {[]any{lost, keyRefused, done}, false},
-		"home unreachable, only tries": {[]any{fullEntry, unreachable, done}, false},
+		"after lost":                  {[]any{lost, done}, true},
+		"refused after lost":          {[]any{lost, fullEntry, done}, true},
+		"home unreachable after lost": {[]any{lost, unreachable, done}, true},
+		"refused by the home":         {[]any{lost, keyRefused, done}, false},
+		"home unreachable, none ran":  {[]any{fullEntry, unreachable, done}, false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			entry := startScripted(t, one.answers...)
+			entry := startScriptedEntry(t, one.answers...)
 			caller := New()
 			defer caller.Close()
 			ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
