--- a/internal/app/expiry.go
+++ b/internal/app/expiry.go
@@ -65,14 +65,14 @@
 // so the report must come long before.
 func checkExpiry(problems *observe.Problems, daysLeft metrics.Gauge, certificates []certificateExpiry, now time.Time, warnBefore time.Duration) {
 	earliest := certificates[0].notAfter
-	for _, one := range certificates {
-		if one.notAfter.Before(earliest) {
-			earliest = one.notAfter
+	for _, certificate := range certificates {
+		if certificate.notAfter.Before(earliest) {
+			earliest = certificate.notAfter
 		}
-		if one.notAfter.Sub(now) < warnBefore {
-			problems.Report(observe.KindCertificate, one.subject, "the certificate expires at "+one.notAfter.UTC().Format(time.RFC3339))
+		if certificate.notAfter.Sub(now) < warnBefore {
+			problems.Report(observe.KindCertificate, certificate.subject, "the certificate expires at "+certificate.notAfter.UTC().Format(time.RFC3339))
 		} else {
-			problems.Clear(observe.KindCertificate, one.subject)
+			problems.Clear(observe.KindCertificate, certificate.subject)
 		}
 	}
 	daysLeft.Update(int64(earliest.Sub(now) / day))
--- a/internal/client/submit_test.go
+++ b/internal/client/submit_test.go
@@ -78,9 +78,9 @@
 		"refused by the home":         {[]any{lost, keyRefused, done}, false},
 		"home unreachable, none ran":  {[]any{fullEntry, unreachable, done}, false},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			entry := startScriptedEntry(t, one.answers...)
+			entry := startScriptedEntry(t, test.answers...)
 			caller := New()
 			defer caller.Close()
 			ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
@@ -88,8 +88,8 @@
 			submitted, err := caller.SubmitOnce(ctx, []string{entry.address()}, Submission{Service: "fees"})
 			require.NoError(t, err)
 			require.Equal(t, core.Done, submitted.Outcome)
-			require.Len(t, entry.keys, len(one.answers))
-			require.Equal(t, one.sameKey, entry.keys[0] == entry.keys[len(entry.keys)-1])
+			require.Len(t, entry.keys, len(test.answers))
+			require.Equal(t, test.sameKey, entry.keys[0] == entry.keys[len(entry.keys)-1])
 		})
 	}
 }
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -47,7 +47,7 @@
 	{"no bound on extra sends", "internal/core/extra/extra.go", "if float64(extras+1) > ", "if false && float64(extras+1) > "},
 	{"404 before a configuration is known", "internal/edge/handler.go", "	if config == nil {\n", "	if config == nil {\n		http.NotFound(w, r)\n		return\n"},
 	{"what a former life may have run is sent again", "internal/replicaconn/conn.go", `outcome{err: &Error{Step: "await answer", Sent: true, Cause: cause}}`, `outcome{err: &Error{Step: "await answer", Sent: !errors.Is(cause, errRestarted), Cause: cause}}`},
-	{"entries without a known state are used", "platform/entry.go", "if state != wordReady && state != wordDraining {", "if false {"},
+	{"entries without a known state are used", "platform/entry.go", "if state != stateReady && state != stateDraining {", "if false {"},
 	{"a reload ends the callers' connections", "internal/edge/node.go", "	n.log.Life(\"settings_reloaded\"", `	n.callers.mutex.Lock()
 	for one := range n.callers.servers {
 		_ = one.Close()
