--- a/internal/app/stop.go
+++ b/internal/app/stop.go
@@ -95,14 +95,14 @@
 	if n.home != nil {
 		defer n.home.Close()
 	}
-	n.closeDuties()
+	n.closeComponents()
 	servers := n.closeServers()
 	n.upstream.Close()
 	n.platform.Close()
 	return errors.Join(callers, servers)
 }
 
-func (n *Node) closeDuties() {
+func (n *Node) closeComponents() {
 	if n.members != nil {
 		n.members.Close()
 		n.quarantine.Close()
