--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -11,10 +11,10 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// startHTTP opens the callers' and the operators' address.
+// startHTTP starts the servers for callers and operators.
 func (n *Node) startHTTP() error {
 	var err error
-	n.caller, err = n.serve(n.settings.CallerAddress, n.closeWhenLeaving(n.callerHandler()))
+	n.caller, err = n.serve(n.settings.CallerAddress, n.closeConnectionsWhenStopping(n.callerHandler()))
 	if err != nil {
 		return fault.Step("listen for callers", err)
 	}
@@ -28,7 +28,7 @@
 }
 
 func (n *Node) callerHandler() http.Handler {
-	return api.NewCaller(api.CallerParts{
+	return api.NewCallerHandler(api.CallerOptions{
 		Log:     n.log,
 		Entry:   n.entry,
 		Home:    n.home,
@@ -39,13 +39,13 @@
 }
 
 func (n *Node) operatorHandler() http.Handler {
-	return api.NewOperator(api.OperatorParts{
+	return api.NewOperatorHandler(api.OperatorOptions{
 		Log:           n.log,
 		BodyTimeout:   n.settings.Limits.BodyTimeout,
 		Health:        n.health,
 		Status:        func() any { return n.Status() },
 		Dump:          n.dump,
-		Nodes:         n.nodes,
+		Nodes:         n.nodeAddresses,
 		Problems:      func() api.ProblemsReport { return api.ProblemsReport{Nodes: []api.NodeProblems{n.gatherer.Own()}} },
 		FleetProblems: n.gatherer.Fleet,
 		Metrics:       func(out io.Writer) { observe.WriteText(out, n.metrics) },
--- a/internal/replicaconn/ended_test.go
+++ b/internal/replicaconn/ended_test.go
@@ -29,14 +29,14 @@
 func TestAReplicaThatEndsIsToldFromALostAnswer(t *testing.T) {
 	client, server := start(t)
 	notified := ends(client)
-	server.SetAct(func(seen platformtest.Seen) platformtest.Act {
+	server.SetBehaviour(func(seen platformtest.ReceivedRequest) platformtest.Behaviour {
 		switch seen.ID {
 		case "first":
 			return platformtest.Answer
 		case "lost":
-			return platformtest.Lose
+			return platformtest.CloseWithoutAnswer
 		default:
-			return platformtest.End
+			return platformtest.Crash
 		}
 	})
 	// An answered request first: no connection is opened for a while after one that ended without any answer.
@@ -57,10 +57,10 @@
 	client, server := start(t)
 	notified := ends(client)
 	begun, proceed := make(chan struct{}), make(chan struct{})
-	server.SetAct(func(platformtest.Seen) platformtest.Act {
+	server.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour {
 		close(begun)
 		<-proceed
-		return platformtest.End
+		return platformtest.Crash
 	})
 	abandon(t, client, request(server, "deadly"), begun)
 	close(proceed)
