--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -21,11 +21,11 @@
 
 // Budget limits the attempts beyond the first one of each request. It is implemented by budget.Group.
 type Budget interface {
-	// FirstTry records n first attempts to a service for a customer.
-	FirstTry(service string, customer core.Customer, n int)
-	// TryExtra takes a token for one extra attempt of the customer at the service. It returns false if
+	// RecordFirst records n first attempts to a service for a customer.
+	RecordFirst(service string, customer core.Customer, n int)
+	// TryTakeExtra takes a token for one extra attempt of the customer at the service. It returns false if
 	// none is left.
-	TryExtra(service string, customer core.Customer) bool
+	TryTakeExtra(service string, customer core.Customer) bool
 }
 
 // Config holds a shard's part of the configuration and the state that it shares with other shards of
--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -53,17 +53,17 @@
 	return &Budget{tokensPerFirstTry: int64(math.Round(config.Ratio * tokenUnits)), capacity: capacity, tokens: capacity}
 }
 
-// FirstTry records n first attempts.
-func (b *Budget) FirstTry(n int) {
+// RecordFirst records n first attempts.
+func (b *Budget) RecordFirst(n int) {
 	b.tokens = min(b.capacity, b.tokens+int64(n)*b.tokensPerFirstTry)
 }
 
-// CanExtra reports whether a token is available, without taking it.
-func (b *Budget) CanExtra() bool { return b.tokens >= tokenUnits }
+// CanTakeExtra reports whether a token is available, without taking it.
+func (b *Budget) CanTakeExtra() bool { return b.tokens >= tokenUnits }
 
-// TryExtra takes a token for a retry or a hedge. If it returns false, the attempt must not be sent.
-func (b *Budget) TryExtra() bool {
-	if !b.CanExtra() {
+// TryTakeExtra takes a token for a retry or a hedge. If it returns false, the attempt must not be sent.
+func (b *Budget) TryTakeExtra() bool {
+	if !b.CanTakeExtra() {
 		return false
 	}
 	b.tokens -= tokenUnits
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -19,8 +19,8 @@
 		first, extra := 0, 0
 		for _, n := range rapid.SliceOf(rapid.IntRange(0, 40)).Draw(t, "first attempts, 0 is an extra attempt") {
 			first += n
-			b.FirstTry(n)
-			if n == 0 && b.TryExtra() {
+			b.RecordFirst(n)
+			if n == 0 && b.TryTakeExtra() {
 				extra++
 			}
 		}
@@ -36,7 +36,7 @@
 	extra := 0
 	for i := range 1000 {
 		name := core.Customer(string(rune('a' + i)))
-		for g.TryExtra("prices", name) {
+		for g.TryTakeExtra("prices", name) {
 			extra++
 		}
 	}
@@ -48,17 +48,17 @@
 // customer a new floor. Evicting a full bucket has no effect.
 func TestOnlyFullBucketsAreEvicted(t *testing.T) {
 	g := NewGroup(GroupConfig{Customer: Config{Floor: 1}, MaxKeys: 2})
-	require.True(t, g.TryExtra("s", "empty"))
-	g.FirstTry("s", "quiet", 1)
-	require.True(t, g.TryExtra("s", "new"), "the full bucket of quiet is evicted")
-	require.False(t, g.TryExtra("s", "empty"), "an empty bucket must not be evicted")
+	require.True(t, g.TryTakeExtra("s", "empty"))
+	g.RecordFirst("s", "quiet", 1)
+	require.True(t, g.TryTakeExtra("s", "new"), "the full bucket of quiet is evicted")
+	require.False(t, g.TryTakeExtra("s", "empty"), "an empty bucket must not be evicted")
 }
 
 // Guards against a customer without tokens consuming those of the service, which would leave none for
 // the retries of other customers.
 func TestExtraAttemptTakesBothTokensOrNeither(t *testing.T) {
 	g := NewGroup(GroupConfig{Service: Config{Floor: 2}, Customer: Config{Floor: 1}})
-	require.True(t, g.TryExtra("s", "large"))
-	require.False(t, g.TryExtra("s", "large"), "the budget of the customer is exhausted")
-	require.True(t, g.TryExtra("s", "small"), "a refused attempt must not take a token of the service")
+	require.True(t, g.TryTakeExtra("s", "large"))
+	require.False(t, g.TryTakeExtra("s", "large"), "the budget of the customer is exhausted")
+	require.True(t, g.TryTakeExtra("s", "small"), "a refused attempt must not take a token of the service")
 }
--- a/internal/core/budget/group.go
+++ b/internal/core/budget/group.go
@@ -40,19 +40,19 @@
 	}
 }
 
-// FirstTry records n first attempts to a service for a customer.
-func (g *Group) FirstTry(service string, customer core.Customer, n int) {
-	g.services.get(service).FirstTry(n)
-	g.customers.get(customer).FirstTry(n)
+// RecordFirst records n first attempts to a service for a customer.
+func (g *Group) RecordFirst(service string, customer core.Customer, n int) {
+	g.services.get(service).RecordFirst(n)
+	g.customers.get(customer).RecordFirst(n)
 }
 
-// TryExtra takes a token of the service and one of the customer, or neither.
-func (g *Group) TryExtra(service string, customer core.Customer) bool {
+// TryTakeExtra takes a token of the service and one of the customer, or neither.
+func (g *Group) TryTakeExtra(service string, customer core.Customer) bool {
 	serviceBudget, customerBudget := g.services.get(service), g.customers.get(customer)
-	if !serviceBudget.CanExtra() || !customerBudget.CanExtra() {
+	if !serviceBudget.CanTakeExtra() || !customerBudget.CanTakeExtra() {
 		return false
 	}
-	return serviceBudget.TryExtra() && customerBudget.TryExtra()
+	return serviceBudget.TryTakeExtra() && customerBudget.TryTakeExtra()
 }
 
 // Size returns the number of buckets.
--- a/internal/core/query/plan.go
+++ b/internal/core/query/plan.go
@@ -102,11 +102,11 @@
 
 // Budget limits the attempts beyond the first ones.
 type Budget interface {
-	// FirstTry records n first attempts to a service.
-	FirstTry(service string, n int)
-	// TryExtra takes a token for one further attempt of one shard of a service, and reports whether
+	// RecordFirst records n first attempts to a service.
+	RecordFirst(service string, n int)
+	// TryTakeExtra takes a token for one further attempt of one shard of a service, and reports whether
 	// there was one.
-	TryExtra(service string) bool
+	TryTakeExtra(service string) bool
 }
 
 // Options are the parameters of one query.
--- a/internal/core/query/property_test.go
+++ b/internal/core/query/property_test.go
@@ -44,13 +44,13 @@
 	extra  int
 }
 
-func (b *countingBudget) FirstTry(_ string, n int) {
+func (b *countingBudget) RecordFirst(_ string, n int) {
 	b.first += n
-	b.bucket.FirstTry(n)
+	b.bucket.RecordFirst(n)
 }
 
-func (b *countingBudget) TryExtra(string) bool {
-	granted := b.bucket.TryExtra()
+func (b *countingBudget) TryTakeExtra(string) bool {
+	granted := b.bucket.TryTakeExtra()
 	if granted {
 		b.extra++
 	}
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -173,11 +173,15 @@
 	customer core.Customer
 }
 
-// FirstTry implements query.Budget.
-func (b customerBudget) FirstTry(service string, n int) { b.group.FirstTry(service, b.customer, n) }
+// RecordFirst implements query.Budget.
+func (b customerBudget) RecordFirst(service string, n int) {
+	b.group.RecordFirst(service, b.customer, n)
+}
 
-// TryExtra implements query.Budget.
-func (b customerBudget) TryExtra(service string) bool { return b.group.TryExtra(service, b.customer) }
+// TryTakeExtra implements query.Budget.
+func (b customerBudget) TryTakeExtra(service string) bool {
+	return b.group.TryTakeExtra(service, b.customer)
+}
 
 // plan returns a service's plan. With a new text it forgets what the former
 // one alone listed.
--- a/internal/sharedbudget/sharedbudget.go
+++ b/internal/sharedbudget/sharedbudget.go
@@ -20,16 +20,16 @@
 // New makes an empty Group.
 func New(config budget.GroupConfig) *Group { return &Group{group: budget.NewGroup(config)} }
 
-// FirstTry notes n first tries to a service for a customer.
-func (g *Group) FirstTry(service string, customer core.Customer, n int) {
+// RecordFirst notes n first tries to a service for a customer.
+func (g *Group) RecordFirst(service string, customer core.Customer, n int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.group.FirstTry(service, customer, n)
+	g.group.RecordFirst(service, customer, n)
 }
 
-// TryExtra takes a token of the service and one of the customer, or neither.
-func (g *Group) TryExtra(service string, customer core.Customer) bool {
+// TryTakeExtra takes a token of the service and one of the customer, or neither.
+func (g *Group) TryTakeExtra(service string, customer core.Customer) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.group.TryExtra(service, customer)
+	return g.group.TryTakeExtra(service, customer)
 }
