--- a/internal/api/caller.go
+++ b/internal/api/caller.go
@@ -105,26 +105,26 @@
 
 // toQuestion checks a request. What it leaves out takes its default, here or,
 // for the time and the least coverage, in the entry.
-func toQuestion(service string, request QueryRequest) (entry.Question, error) {
+func toQuestion(service string, request QueryRequest) (entry.Query, error) {
 	if err := checkCustomer(request.Customer); err != nil {
-		return entry.Question{}, err
+		return entry.Query{}, err
 	}
 	if request.LeastCoverage < 0 || request.LeastCoverage > 1 {
-		return entry.Question{}, fault.NotRun(fault.CodeBadRequest, "least_coverage is outside 0 to 1", "write a share such as 0.9")
+		return entry.Query{}, fault.NotRun(fault.CodeBadRequest, "least_coverage is outside 0 to 1", "write a share such as 0.9")
 	}
 	timeout, err := toTimeout(request.TimeoutMs)
 	if err != nil {
-		return entry.Question{}, err
+		return entry.Query{}, err
 	}
 	preference, err := toPreference(request.Prefer)
 	if err != nil {
-		return entry.Question{}, err
+		return entry.Query{}, err
 	}
 	body := request.Question
 	if len(body) == 0 {
 		body = json.RawMessage("null")
 	}
-	return entry.Question{
+	return entry.Query{
 		Service:       service,
 		Customer:      request.Customer,
 		Body:          body,
--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -62,7 +62,7 @@
 	OwnerShards []owner.ShardDump `json:"owner_shards"`
 
 	// Quarantine lists the requests that are suspected or set aside because replicas ended while running them.
-	Quarantine []quarantine.Request `json:"quarantine"`
+	Quarantine []quarantine.RequestStatus `json:"quarantine"`
 
 	Config   confwatch.Dump `json:"config"`
 	Problems any            `json:"problems"`
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -41,7 +41,7 @@
 	metrics  observe.Registry
 	upstream *upstream.Client
 	// quarantine tracks requests that may end the replicas that run them.
-	quarantine *quarantine.Duty
+	quarantine *quarantine.ReplicatedLedger
 	owner      *owner.Owner
 	entry      *entry.Entry
 	home       *home.Home
@@ -111,7 +111,7 @@
 	}
 	node.upstream.DetectEnded()
 	node.quarantine = quarantine.New(quarantine.Options{
-		Now: node.now, Changed: node.standingChanged,
+		Now: node.now, OnChange: node.standingChanged,
 		Self: node.identity.Node, Nodes: func() []route.Node { return node.belief.View().Nodes() },
 	})
 	return node, nil
--- a/internal/app/quarantine.go
+++ b/internal/app/quarantine.go
@@ -12,7 +12,7 @@
 // unknown nodes and does nothing before this node is ready.
 func (n *Node) heardQuarantine(from core.NodeID, digest uint64) {
 	if known, ok := n.belief.View().Node(from); ok && n.ready.Load() {
-		n.quarantine.Heard(peer.Target{Node: known.ID, Address: known.PeerAddress}, digest)
+		n.quarantine.CompareDigest(peer.Target{Node: known.ID, Address: known.PeerAddress}, digest)
 	}
 }
 
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -83,7 +83,7 @@
 	// allowancePart is this node's part of the allowance for extra arrivals, guarded by beliefs.mutex.
 	allowancePart extra.AllowancePart
 	// quarantine knows the requests that may end the replicas that run them.
-	quarantine *quarantine.Duty
+	quarantine *quarantine.ReplicatedLedger
 	// delegated counts the groups of sends in work for other nodes.
 	delegated atomic.Int64
 	ready     atomic.Bool
@@ -125,7 +125,7 @@
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.replicas.OnEnded(n.replicaEnded)
 	n.quarantine = quarantine.New(quarantine.Options{
-		Now: n.now, Changed: n.standingChanged,
+		Now: n.now, OnChange: n.standingChanged,
 		Self: n.identity.Node, Nodes: func() []route.Node { return n.view().Nodes() },
 	})
 	n.beliefs = newBeliefs(s.DataCentre, s.Regions, extra.Bound{}, n.now)
@@ -229,7 +229,7 @@
 // heardQuarantine takes what another node knows of requests that are set aside.
 func (n *Node) heardQuarantine(from core.NodeID, digest uint64) {
 	if known, ok := n.view().Node(from); ok && n.ready.Load() {
-		n.quarantine.Heard(peer.Target{Node: known.ID, Address: known.PeerAddress}, digest)
+		n.quarantine.CompareDigest(peer.Target{Node: known.ID, Address: known.PeerAddress}, digest)
 	}
 }
 
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -68,7 +68,7 @@
 // noteAnswered records that a replica of a shard has answered the request, which clears it as a whole and at that shard.
 func (q *request) noteAnswered(shard string) {
 	q.answered.Store(true)
-	q.node.quarantine.Answered(q.names, shard)
+	q.node.quarantine.RecordAnswer(q.names, shard)
 }
 
 // trialMarks returns the trial marks for a send that was not answered.
@@ -88,7 +88,7 @@
 // ended, and may not have run the request.
 func (q *request) noteTrial(one *exchange) {
 	if marks := trialMarks(one.send); marks != 0 && one.verdict == scatter.Failed && one.response == nil {
-		q.node.quarantine.Seen(q.identity(), q.describe(), one.send.Replica.Service, one.send.Replica.Incarnation(), marks|q.clearedMark())
+		q.node.quarantine.RecordFacts(q.identity(), q.describe(), one.send.Replica.Service, one.send.Replica.Incarnation(), marks|q.clearedMark())
 	}
 }
 
@@ -129,7 +129,7 @@
 			named = append(named, endedRequest{ID: q.id, Key: identity.Names().Exact.String(), Caller: q.caller(), Route: q.route.Name})
 		}
 		marks := quarantine.Ended | trialMarks(work.send.send) | q.clearedMark()
-		n.quarantine.Seen(identity, q.describe(), work.send.send.Replica.Service, life, marks)
+		n.quarantine.RecordFacts(identity, q.describe(), work.send.send.Replica.Service, life, marks)
 	}
 	fields["requests"] = named
 	n.metrics.replicaEnded()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -42,8 +42,8 @@
 	decimal       = 10
 )
 
-// Question is a caller's question to a service.
-type Question struct {
+// Query is a caller's question to a service.
+type Query struct {
 	Service  string
 	Customer core.Customer
 	Body     json.RawMessage
@@ -134,7 +134,7 @@
 
 // Ask answers a question. Its error is a *fault.Error with outcome not run; a
 // thin answer is not an error.
-func (e *Entry) Ask(ctx context.Context, question Question) (*Result, error) {
+func (e *Entry) Ask(ctx context.Context, question Query) (*Result, error) {
 	config := e.options.Belief.Config()
 	if config == nil {
 		return nil, fault.NotRun(fault.CodeNotReady, "no configuration is in force yet", "ask another entry")
@@ -201,7 +201,7 @@
 
 // resolveService finds the service asked; only one that may be repeated can be
 // queried, as a query is retried.
-func resolveService(text *catalog.Catalog, question Question) (*catalog.Service, error) {
+func resolveService(text *catalog.Catalog, question Query) (*catalog.Service, error) {
 	service := text.Services[question.Service]
 	if service == nil {
 		return nil, fault.NotRun(fault.CodeUnknownService, "service "+strconv.Quote(question.Service)+" is not in the text", "see pistachiopier check --explain")
@@ -212,7 +212,7 @@
 	return service, nil
 }
 
-func resolveCustomer(text *catalog.Catalog, question Question) (catalog.Customer, error) {
+func resolveCustomer(text *catalog.Catalog, question Query) (catalog.Customer, error) {
 	customer, known := text.Customer(question.Customer)
 	if !known {
 		return customer, fault.NotRun(fault.CodeUnknownCustomer, "customer "+strconv.Quote(string(question.Customer))+" is not in the text", "add the customer to the text")
@@ -220,7 +220,7 @@
 	return customer, nil
 }
 
-func (e *Entry) run(ctx context.Context, config *belief.Config, index string, question Question) (*Result, error) {
+func (e *Entry) run(ctx context.Context, config *belief.Config, index string, question Query) (*Result, error) {
 	id := e.next.Add(1)
 	if question.RequestID == "" {
 		question.RequestID = string(e.options.Self) + "-" + strconv.FormatUint(e.options.Incarnation, 36) + "-" + strconv.FormatUint(id, decimal)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -117,7 +117,7 @@
 
 func (f *fixture) ask(t *testing.T) *Result {
 	t.Helper()
-	result, err := f.Ask(context.Background(), Question{Service: "prices", Customer: "chef"})
+	result, err := f.Ask(context.Background(), Query{Service: "prices", Customer: "chef"})
 	require.NoError(t, err)
 	return result
 }
@@ -261,11 +261,11 @@
 	}))
 	done := make(chan query.Coverage, 1)
 	go func() {
-		result, _ := f.Ask(context.Background(), Question{Service: "prices", Customer: "chef"})
+		result, _ := f.Ask(context.Background(), Query{Service: "prices", Customer: "chef"})
 		done <- result.Coverage
 	}()
 	request := <-asks
-	_, err := f.Ask(context.Background(), Question{Service: "prices", Customer: "chef"})
+	_, err := f.Ask(context.Background(), Query{Service: "prices", Customer: "chef"})
 	typed := fault.As(err)
 	require.Equal(t, fault.CodeOverloaded, typed.Code)
 	require.Equal(t, core.NotRun, typed.Outcome)
@@ -287,11 +287,11 @@
 	}), func(o *Options) { o.Limits = entrylimit.Config{MaxInFlight: 2, Headroom: 1} })
 	var held sync.WaitGroup
 	hold := func(customer core.Customer) *peerpb.BundleRequest {
-		held.Go(func() { _, _ = f.Ask(context.Background(), Question{Service: "prices", Customer: customer}) })
+		held.Go(func() { _, _ = f.Ask(context.Background(), Query{Service: "prices", Customer: customer}) })
 		return <-asks
 	}
 	refused := func(customer core.Customer) {
-		_, err := f.Ask(context.Background(), Question{Service: "prices", Customer: customer})
+		_, err := f.Ask(context.Background(), Query{Service: "prices", Customer: customer})
 		require.Equal(t, fault.CodeOverloaded, fault.As(err).Code)
 	}
 	request := hold("import")
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -23,7 +23,7 @@
 // begun hands a new question to its loop.
 type begun struct {
 	id       uint64
-	question Question
+	question Query
 	config   *belief.Config
 	deadline core.Time
 	answers  chan<- answered
--- a/internal/entry/precautions.go
+++ b/internal/entry/precautions.go
@@ -8,7 +8,7 @@
 )
 
 // precautions converts the standings of a question at the services and shards of its plan.
-func (l *loop) precautions(plan *query.Plan, question Question) query.Precautions {
+func (l *loop) precautions(plan *query.Plan, question Query) query.Precautions {
 	var precautions query.Precautions
 	if l.options.Assessor == nil || l.options.Assessor.Empty() {
 		return precautions
--- a/internal/experiment/slopes_node.go
+++ b/internal/experiment/slopes_node.go
@@ -85,8 +85,8 @@
 	}), nil
 }
 
-func question() entry.Question {
-	return entry.Question{Service: "s-0-0", Customer: "large", Body: []byte(`"pork shoulder"`), Timeout: longTimeout}
+func question() entry.Query {
+	return entry.Query{Service: "s-0-0", Customer: "large", Body: []byte(`"pork shoulder"`), Timeout: longTimeout}
 }
 
 // questionText is the text of one question over the given number of shards:
--- a/internal/owner/evidence.go
+++ b/internal/owner/evidence.go
@@ -13,10 +13,10 @@
 type Recorder interface {
 	// Empty reports whether no request is remembered, in which case answers need not be recorded.
 	Empty() bool
-	// Seen records that a replica of a shard ended while running a request, or did not answer a trial.
-	Seen(identity quarantine.Identity, what, shard string, incarnation replica.Incarnation, fact quarantine.Fact)
-	// Answered records that a replica of a shard has answered a request.
-	Answered(names func() quarantine.Names, shard string)
+	// RecordFacts records that a replica of a shard ended while running a request, or did not answer a trial.
+	RecordFacts(identity quarantine.Identity, what, shard string, incarnation replica.Incarnation, fact quarantine.Fact)
+	// RecordAnswer records that a replica of a shard has answered a request.
+	RecordAnswer(names func() quarantine.Names, shard string)
 }
 
 // recordOutcome reports the result of a call to the recorder. The owner holds the connections, so only it can detect that a
@@ -30,9 +30,9 @@
 		return
 	}
 	if result.Outcome == core.Done {
-		recorder.Answered(func() quarantine.Names { return w.identity().Names() }, call.Ref.String())
+		recorder.RecordAnswer(func() quarantine.Names { return w.identity().Names() }, call.Ref.String())
 		if identity, _, ok := w.questionIdentity(); ok {
-			recorder.Answered(func() quarantine.Names { return identity().Names() }, "")
+			recorder.RecordAnswer(func() quarantine.Names { return identity().Names() }, "")
 		}
 		return
 	}
@@ -48,11 +48,11 @@
 		}).Warn("replica ended while running a request")
 	}
 	if marks != 0 {
-		recorder.Seen(w.identity(), w.describe(call), call.Ref.String(), l.incarnation(call.Address, result.Incarnation), marks)
+		recorder.RecordFacts(w.identity(), w.describe(call), call.Ref.String(), l.incarnation(call.Address, result.Incarnation), marks)
 	}
 	if identity, trial, ok := w.questionIdentity(); ok && marks&quarantine.Ended|trial != 0 {
 		what := w.describe(call) + ", over all services"
-		recorder.Seen(identity(), what, "", l.incarnation(call.Address, result.Incarnation), marks&quarantine.Ended|trial)
+		recorder.RecordFacts(identity(), what, "", l.incarnation(call.Address, result.Incarnation), marks&quarantine.Ended|trial)
 	}
 }
 
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -31,16 +31,16 @@
 type Options struct {
 	// Now reads the node's monotonic clock.
 	Now func() core.Time
-	// Changed, when set, is told each change; from is the node that told it, "" for this one. It must not block.
-	Changed func(change quarantine.Change, from core.NodeID)
+	// OnChange, when set, is told each change; from is the node that told it, "" for this one. It must not block.
+	OnChange func(change quarantine.Change, from core.NodeID)
 	// Self is the id of this node. Nodes returns the live nodes in ascending order of id; a node with few links also
 	// sends news to its successors in that order. If Nodes is nil, news is sent over open links only.
 	Self  core.NodeID
 	Nodes func() []route.Node
 }
 
-// Duty holds what a node knows of requests that may end the replicas that run them.
-type Duty struct {
+// ReplicatedLedger holds what a node knows of requests that may end the replicas that run them.
+type ReplicatedLedger struct {
 	options Options
 	links   Links
 	ctx     context.Context
@@ -62,16 +62,16 @@
 }
 
 // New makes a duty that knows of no request; Start lets it tell others.
-func New(options Options) *Duty {
+func New(options Options) *ReplicatedLedger {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Duty{
+	return &ReplicatedLedger{
 		options: options, ctx: ctx, stop: stop, wake: make(chan struct{}, 1),
 		ledger: quarantine.NewLedger(), news: map[quarantine.Key]core.NodeID{}, compared: map[core.NodeID]comparison{},
 	}
 }
 
 // Start begins to tell the other nodes.
-func (d *Duty) Start(links Links) {
+func (d *ReplicatedLedger) Start(links Links) {
 	d.links = links
 	d.done.Add(1)
 	go func() {
@@ -81,13 +81,13 @@
 }
 
 // Close ends the duty.
-func (d *Duty) Close() {
+func (d *ReplicatedLedger) Close() {
 	d.stop()
 	d.done.Wait()
 }
 
 // Digest sums up what is known of requests that are set aside; 0 is nothing.
-func (d *Duty) Digest() uint64 { return d.digest.Load() }
+func (d *ReplicatedLedger) Digest() uint64 { return d.digest.Load() }
 
 // Assessment holds the standings of an incoming request.
 type Assessment struct {
@@ -121,11 +121,11 @@
 }
 
 // Empty reports whether no request is remembered.
-func (d *Duty) Empty() bool { return d.known.Load() == 0 }
+func (d *ReplicatedLedger) Empty() bool { return d.known.Load() == 0 }
 
 // Assess returns the standings of an incoming request, as a whole and at the given shards. identity is not called if no
 // request is remembered, and the body is not hashed if no remembered request matches in everything else.
-func (d *Duty) Assess(identity func() quarantine.Identity, shards []string) Assessment {
+func (d *ReplicatedLedger) Assess(identity func() quarantine.Identity, shards []string) Assessment {
 	if d.known.Load() == 0 {
 		return Assessment{}
 	}
@@ -154,8 +154,8 @@
 	return assessment
 }
 
-// Seen records the outcome of a request at a replica of a shard: the replica ended, or did not answer a trial.
-func (d *Duty) Seen(identity quarantine.Identity, what, shard string, life replica.Incarnation, fact quarantine.Fact) {
+// RecordFacts records the outcome of a request at a replica of a shard: the replica ended, or did not answer a trial.
+func (d *ReplicatedLedger) RecordFacts(identity quarantine.Identity, what, shard string, life replica.Incarnation, fact quarantine.Fact) {
 	now := d.options.Now()
 	heads := identity.HeadNames()
 	names := heads.WithBody(identity.Body)
@@ -171,8 +171,8 @@
 // anyVariant ends the description of a broad name.
 const anyVariant = ", or with another query or caller"
 
-// Answered records that a replica of a shard has answered a request. names is called only if any request is remembered.
-func (d *Duty) Answered(names func() quarantine.Names, shard string) {
+// RecordAnswer records that a replica of a shard has answered a request. names is called only if any request is remembered.
+func (d *ReplicatedLedger) RecordAnswer(names func() quarantine.Names, shard string) {
 	if d.known.Load() == 0 {
 		return
 	}
@@ -188,7 +188,7 @@
 }
 
 // take changes the ledger, and tells what is new.
-func (d *Duty) take(from core.NodeID, change func() []quarantine.Change) {
+func (d *ReplicatedLedger) take(from core.NodeID, change func() []quarantine.Change) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	changes := change()
@@ -199,8 +199,8 @@
 		if one.New {
 			d.noteNews(one.Record.Key, from)
 		}
-		if d.options.Changed != nil {
-			d.options.Changed(one, from)
+		if d.options.OnChange != nil {
+			d.options.OnChange(one, from)
 		}
 	}
 	d.note()
@@ -212,7 +212,7 @@
 
 // noteNews notes that a request is to be told of; the mutex must be held. What came from several nodes, or was seen here as
 // well, is told to all: each of them lacks a part of it.
-func (d *Duty) noteNews(key quarantine.Key, from core.NodeID) {
+func (d *ReplicatedLedger) noteNews(key quarantine.Key, from core.NodeID) {
 	if former, queued := d.news[key]; queued && former != from {
 		from = ""
 	}
@@ -220,45 +220,45 @@
 }
 
 // note keeps what is read without the mutex, which must be held.
-func (d *Duty) note() {
+func (d *ReplicatedLedger) note() {
 	d.known.Store(int64(d.ledger.Len()))
 	d.digest.Store(d.ledger.Digest())
 }
 
-// Request is what operators see of a request that is remembered.
-type Request struct {
-	Key      string `json:"key"`
-	What     string `json:"what"`
-	Standing string `json:"standing"`
+// RequestStatus is what operators see of a request that is remembered.
+type RequestStatus struct {
+	Key         string `json:"key"`
+	Description string `json:"what"`
+	Standing    string `json:"standing"`
 	// SetAsideShards counts the shards where the request is set aside; 0 if it is set aside as a whole.
 	SetAsideShards int   `json:"set_aside_shards,omitempty"`
-	Ended          int   `json:"replicas_ended"`
+	EndedReplicas  int   `json:"replicas_ended"`
 	SinceMs        int64 `json:"since_ms"`
 }
 
 // Requests lists the requests that are not trusted, the most severe first.
-func (d *Duty) Requests() []Request {
+func (d *ReplicatedLedger) Requests() []RequestStatus {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.options.Now()
-	var list []Request
+	var list []RequestStatus
 	for _, one := range d.ledger.Records() {
 		if one.Severity() == quarantine.Trusted {
 			continue
 		}
-		list = append(list, Request{Key: one.Key.String(), What: one.Description, Standing: one.Severity().String(), SetAsideShards: one.SetAsideShards(), Ended: one.EndedCount(), SinceMs: (now - one.FirstAt).Milliseconds()})
+		list = append(list, RequestStatus{Key: one.Key.String(), Description: one.Description, Standing: one.Severity().String(), SetAsideShards: one.SetAsideShards(), EndedReplicas: one.EndedCount(), SinceMs: (now - one.FirstAt).Milliseconds()})
 	}
 	return list
 }
 
 // Count returns the number of names whose severity is the given standing.
-func (d *Duty) Count(standing quarantine.Standing) int64 {
+func (d *ReplicatedLedger) Count(standing quarantine.Standing) int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return int64(d.ledger.Count(standing))
 }
 
-func (d *Duty) run() {
+func (d *ReplicatedLedger) run() {
 	expire := time.NewTicker(expireEvery)
 	defer expire.Stop()
 	for {
@@ -277,7 +277,7 @@
 }
 
 // pause lets news gather; it reports false when the duty ends.
-func (d *Duty) pause() bool {
+func (d *ReplicatedLedger) pause() bool {
 	timer := time.NewTimer(gather)
 	defer timer.Stop()
 	select {
@@ -288,7 +288,7 @@
 	}
 }
 
-func (d *Duty) expire() {
+func (d *ReplicatedLedger) expire() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.ledger.Expire(d.options.Now())
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -26,7 +26,7 @@
 	// lost is the share of the messages that are lost; parted, when set, tells between which nodes none gets through.
 	lost   float64
 	parted func(one, other int) bool
-	duties []*Duty
+	duties []*ReplicatedLedger
 	// messages counts those that were sent.
 	messages int
 }
@@ -74,8 +74,8 @@
 		links := one.links.(*links)
 		for _, to := range links.to {
 			if n.passes(i, to) {
-				n.duties[to].Heard(target(i), one.Digest())
-				one.Heard(target(to), n.duties[to].Digest())
+				n.duties[to].CompareDigest(target(i), one.Digest())
+				one.CompareDigest(target(to), n.duties[to].Digest())
 			}
 		}
 	}
@@ -130,7 +130,7 @@
 		if i > 0 {
 			marks |= quarantine.Trial
 		}
-		n.duties[i*(len(n.duties)-1)/2].Seen(deadly, "deadly", "s", replica.Incarnation{ID: fmt.Sprint("i-", i)}, marks)
+		n.duties[i*(len(n.duties)-1)/2].RecordFacts(deadly, "deadly", "s", replica.Incarnation{ID: fmt.Sprint("i-", i)}, marks)
 	}
 }
 
@@ -163,7 +163,7 @@
 		n.duties[i].Start(&links{net: n, at: i, to: to})
 		t.Cleanup(n.duties[i].Close)
 	}
-	n.duties[0].Seen(deadly, "deadly", "s", replica.Incarnation{ID: "i"}, quarantine.Ended)
+	n.duties[0].RecordFacts(deadly, "deadly", "s", replica.Incarnation{ID: "i"}, quarantine.Ended)
 	require.Eventually(t, func() bool { return n.agree(deadly, quarantine.Suspect) }, patience, time.Millisecond)
 }
 
@@ -184,8 +184,8 @@
 	n.parted = func(one, other int) bool { return one%2 != other%2 }
 	other := quarantine.Identity{Path: "/other"}
 	for i := range 3 {
-		n.duties[0].Seen(deadly, "deadly", "s", replica.Incarnation{ID: fmt.Sprint("i-", i)}, quarantine.Ended|quarantine.Trial)
-		n.duties[1].Seen(other, "other", "s", replica.Incarnation{ID: fmt.Sprint("j-", i)}, quarantine.Ended|quarantine.Trial)
+		n.duties[0].RecordFacts(deadly, "deadly", "s", replica.Incarnation{ID: fmt.Sprint("i-", i)}, quarantine.Ended|quarantine.Trial)
+		n.duties[1].RecordFacts(other, "other", "s", replica.Incarnation{ID: fmt.Sprint("j-", i)}, quarantine.Ended|quarantine.Trial)
 	}
 	require.Eventually(t, func() bool { return n.duties[0].Digest() != 0 && n.duties[1].Digest() != 0 }, patience, time.Millisecond)
 	n.mutex.Lock()
@@ -204,7 +204,7 @@
 	popular := func(i int) quarantine.Identity { return quarantine.Identity{Path: fmt.Sprint("/popular/", i)} }
 	for lost := range 200 {
 		for question := range 3 {
-			n.duties[lost%30].Seen(popular(question), "popular", "s", replica.Incarnation{ID: fmt.Sprint("i-", lost)}, quarantine.Ended)
+			n.duties[lost%30].RecordFacts(popular(question), "popular", "s", replica.Incarnation{ID: fmt.Sprint("i-", lost)}, quarantine.Ended)
 		}
 	}
 	require.Eventually(t, func() bool { return n.agree(popular(0), quarantine.Suspect) }, patience, time.Millisecond)
@@ -212,7 +212,7 @@
 		require.True(t, n.agree(popular(question), quarantine.Suspect))
 	}
 	require.Zero(t, n.duties[0].Digest())
-	n.duties[7].Answered(func() quarantine.Names { return popular(0).Names() }, "s")
+	n.duties[7].RecordAnswer(func() quarantine.Names { return popular(0).Names() }, "s")
 	require.Equal(t, quarantine.Trusted, n.duties[7].Assess(func() quarantine.Identity { return popular(0) }, nil).Request)
 }
 
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -26,7 +26,7 @@
 
 // tell passes news on over each link. Links make a net that joins all nodes, and each passes on what it did not know: so
 // news reaches every node within some round trips, over whichever links hold.
-func (d *Duty) tell() {
+func (d *ReplicatedLedger) tell() {
 	records, sources := d.takeNews()
 	if len(records) == 0 {
 		return
@@ -51,7 +51,7 @@
 // the successors of this node in the order of ids. Shortly after startup a node has opened at most one link, and news
 // would not reach a node without incoming links until a heartbeat. Every node is the successor of another one, so
 // that news reaches all of them.
-func (d *Duty) newsTargets() []peer.Target {
+func (d *ReplicatedLedger) newsTargets() []peer.Target {
 	targets := d.links.Linked()
 	if d.options.Nodes == nil || len(targets) >= minNewsTargets {
 		return targets
@@ -68,7 +68,7 @@
 	return targets
 }
 
-func (d *Duty) takeNews() (records []*peerpb.QuarantineRecord, sources []core.NodeID) {
+func (d *ReplicatedLedger) takeNews() (records []*peerpb.QuarantineRecord, sources []core.NodeID) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.options.Now()
@@ -81,7 +81,7 @@
 	return records, sources
 }
 
-func (d *Duty) ask(target peer.Target, message *peerpb.QuarantineNews) {
+func (d *ReplicatedLedger) ask(target peer.Target, message *peerpb.QuarantineNews) {
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_QuarantineNews{QuarantineNews: message}}
 	d.links.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		// What a lost link did not carry is found by comparing digests.
@@ -91,9 +91,9 @@
 	})
 }
 
-// Heard compares what another node knows of requests that are set aside, and asks it for all where that differs. A
+// CompareDigest compares what another node knows of requests that are set aside, and asks it for all where that differs. A
 // node that has started, or comes back from behind a partition, so has what it missed with the first heartbeat.
-func (d *Duty) Heard(from peer.Target, digest uint64) {
+func (d *ReplicatedLedger) CompareDigest(from peer.Target, digest uint64) {
 	if digest == d.digest.Load() {
 		return
 	}
@@ -110,7 +110,7 @@
 
 // compareWith makes the message that asks a node for all; nil when it is too soon. Where more is set aside than
 // a message holds, two nodes may never agree: the pause grows while comparing brings nothing.
-func (d *Duty) compareWith(node core.NodeID) *peerpb.QuarantineNews {
+func (d *ReplicatedLedger) compareWith(node core.NodeID) *peerpb.QuarantineNews {
 	now := d.options.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -123,7 +123,7 @@
 }
 
 // all lists what is known, the most severe first; the mutex must be held.
-func (d *Duty) all(now core.Time) []*peerpb.QuarantineRecord {
+func (d *ReplicatedLedger) all(now core.Time) []*peerpb.QuarantineRecord {
 	var list []*peerpb.QuarantineRecord
 	for _, one := range d.ledger.Records() {
 		if one.Severity() == quarantine.Trusted || len(list) >= maxWhole {
@@ -135,7 +135,7 @@
 }
 
 // Handle takes what another node tells.
-func (d *Duty) Handle(inbound *peer.Inbound) {
+func (d *ReplicatedLedger) Handle(inbound *peer.Inbound) {
 	message := inbound.Envelope.GetQuarantineNews()
 	d.takeUp(inbound.From.Node, message)
 	reply := &peerpb.QuarantineNews{}
@@ -147,7 +147,7 @@
 	inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_QuarantineNews{QuarantineNews: reply}}, true)
 }
 
-func (d *Duty) takeUp(from core.NodeID, message *peerpb.QuarantineNews) {
+func (d *ReplicatedLedger) takeUp(from core.NodeID, message *peerpb.QuarantineNews) {
 	for _, one := range message.GetRecords() {
 		now := d.options.Now()
 		if record, ok := decode(one, now); ok {
@@ -157,7 +157,7 @@
 }
 
 // learn merges what a node told. One that brings something new is compared with again soon; the mutex must be held.
-func (d *Duty) learn(from core.NodeID, record quarantine.Record, now core.Time) []quarantine.Change {
+func (d *ReplicatedLedger) learn(from core.NodeID, record quarantine.Record, now core.Time) []quarantine.Change {
 	changes := d.ledger.Merge(record, now)
 	if len(changes) > 0 {
 		delete(d.compared, from)
