--- a/internal/owner/actions.go
+++ b/internal/owner/actions.go
@@ -12,18 +12,18 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// calmAfter is how long a shard must refuse nothing for load until it no longer
-// counts as overloaded.
-const calmAfter = 10 * time.Second
+// overloadReportFor is how long a shard is reported as overloaded after it last
+// refused a request because of load.
+const overloadReportFor = 10 * time.Second
 
-// step gives the machine an event and does what it asks for.
+// step passes an event to the shard's machine and executes the resulting actions.
 func (l *loop) step(s *shard, e admit.Event) {
 	for _, action := range s.machine.Step(l.options.Now(), e) {
 		switch a := action.(type) {
 		case admit.Dispatch:
 			l.dispatch(s, a)
 		case admit.Abort:
-			s.tries[a.Try].cancel()
+			s.attempts[a.Try].cancel()
 		case admit.Settle:
 			l.settle(s, a)
 		case admit.Refuse:
@@ -36,36 +36,36 @@
 			l.alarms.Set(s.ref, a.At)
 		}
 	}
-	l.meters.queued(s.machine.Waiting() - s.waiting)
-	s.waiting = s.machine.Waiting()
-	l.forgetIdle(s)
+	l.meters.addWaiting(s.machine.Waiting() - s.countedWaiting)
+	s.countedWaiting = s.machine.Waiting()
+	l.forgetIfIdle(s)
 }
 
-// dispatch runs a try on its own goroutine. There are never more of them than
-// connections that this node may open: the machine keeps each replica's requests
-// within its connection share.
+// dispatch runs an attempt on its own goroutine. The number of these goroutines is
+// bounded by the connections that this node may open, because the machine keeps the
+// requests at each replica within the connection share.
 func (l *loop) dispatch(s *shard, a admit.Dispatch) {
 	l.meters.dispatched[a.Kind].Inc(1)
 	ctx, cancel := context.WithCancel(l.ctx)
 	waiting := s.requests[a.Request]
-	waiting.tries = append(waiting.tries, a.Try)
-	s.tries[a.Try] = &running{cancel: cancel, request: a.Request, address: a.Address, kind: a.Kind, startedAt: l.options.Now()}
+	waiting.attempts = append(waiting.attempts, a.Try)
+	s.attempts[a.Try] = &attempt{cancel: cancel, request: a.Request, address: a.Address, kind: a.Kind, startedAt: l.options.Now()}
 	work := waiting.work
 	call := work.call()
 	call.Address = a.Address
 	call.Ref = s.ref
 	call.TimeLeft = a.TimeLeft
-	l.tries.Add(1)
+	l.calls.Add(1)
 	go func() {
-		defer l.tries.Done()
+		defer l.calls.Done()
 		defer cancel()
 		result := l.sendUnlessPaused(ctx, work, call)
-		_ = l.events.Put(l.ctx, ended{ref: s.ref, try: a.Try, result: result})
+		_ = l.events.Put(l.ctx, callEnded{ref: s.ref, attempt: a.Try, result: result})
 	}()
 }
 
-// sendUnlessPaused runs a request's call. What was queued before this process
-// stood still is not sent: another node may own the replica by now.
+// sendUnlessPaused runs a request's call. A request that was queued before a pause of
+// this process is not sent: another node may own the replica by now.
 func (l *loop) sendUnlessPaused(ctx context.Context, w work, call upstream.Call) upstream.Result {
 	if l.options.Belief.Paused() {
 		return upstream.Result{Outcome: core.NotRun, Reason: core.ReasonPeerUnreached, RetryAfter: pausedRetryAfter, Load: -1}
@@ -78,18 +78,18 @@
 	return result
 }
 
-func (l *loop) ended(e ended) {
+func (l *loop) handleCallEnd(e callEnded) {
 	s := l.shards[e.ref]
-	if s == nil || s.tries[e.try] == nil {
+	if s == nil || s.attempts[e.attempt] == nil {
 		return
 	}
-	t := s.tries[e.try]
+	t := s.attempts[e.attempt]
 	t.result, t.ended, t.endedAt = e.result, true, l.options.Now()
 	if e.result.Refused {
 		l.meters.refused.Inc(1)
 	}
 	l.step(s, admit.TryEnded{
-		Try:        e.try,
+		Try:        e.attempt,
 		Outcome:    e.result.Outcome,
 		Reason:     e.result.Reason,
 		Draining:   e.result.Draining,
@@ -99,60 +99,60 @@
 		Load:       e.result.Load,
 	})
 	if s.requests[t.request] == nil {
-		delete(s.tries, e.try)
+		delete(s.attempts, e.attempt)
 	}
 }
 
-// take removes a request and the tries of it that have ended; the others are
-// removed at their end.
-func (s *shard) take(id admit.RequestID) *request {
-	taken := s.requests[id]
-	if taken == nil {
+// remove removes a request and its ended attempts. Attempts that are still running are
+// removed when they end.
+func (s *shard) remove(id admit.RequestID) *request {
+	removed := s.requests[id]
+	if removed == nil {
 		return nil
 	}
 	delete(s.requests, id)
-	for _, try := range taken.tries {
-		if s.tries[try].ended {
-			delete(s.tries, try)
+	for _, attemptID := range removed.attempts {
+		if s.attempts[attemptID].ended {
+			delete(s.attempts, attemptID)
 		}
 	}
-	return taken
+	return removed
 }
 
 func (l *loop) settle(s *shard, a admit.Settle) {
-	result := s.tries[a.Try].result
+	result := s.attempts[a.Try].result
 	if result.Reason == core.ReasonDeadline {
 		l.logPastDeadline(s, a.Request, a.Hedge)
 	}
-	if settled := s.take(a.Request); settled != nil {
+	if settled := s.remove(a.Request); settled != nil {
 		settled.work.settle(result, a.Tries)
 	}
 }
 
 func (l *loop) refuse(s *shard, a admit.Refuse) {
-	l.meters.shed(a.Reason)
+	l.meters.countShed(a.Reason)
 	if a.Reason == core.ReasonOverloaded {
 		s.overloaded = true
-		l.options.Problems.Report(observe.KindOverloaded, s.ref.String(), "the shard's replicas take less than customers ask")
-		l.calms.Set(s.ref, l.options.Now()+calmAfter)
+		l.options.Problems.Report(observe.KindOverloaded, s.ref.String(), "the replicas of the shard serve fewer requests than customers send")
+		l.overloadAlarms.Set(s.ref, l.options.Now()+overloadReportFor)
 	}
 	if a.Reason == core.ReasonDeadline {
 		l.logPastDeadline(s, a.Request, admit.HedgeNone)
 	}
-	if refused := s.take(a.Request); refused != nil {
+	if refused := s.remove(a.Request); refused != nil {
 		refused.work.refuse(a.Reason, a.RetryAfter)
 	}
 }
 
-// calm clears the shard's overload.
-func (l *loop) calm(s *shard) {
+// clearOverload clears the report that the shard is overloaded.
+func (l *loop) clearOverload(s *shard) {
 	if s.overloaded {
 		s.overloaded = false
 		l.options.Problems.Clear(observe.KindOverloaded, s.ref.String())
 	}
 }
 
-// The names of the states of the replica chart that operators are told of.
+// stateDown is the state of the replica state chart that is reported as a problem.
 const stateDown = "down"
 
 func (l *loop) healthChanged(s *shard, a admit.HealthChanged) {
@@ -165,7 +165,7 @@
 	}).Info("replica changed state")
 	switch {
 	case a.To == stateDown:
-		l.options.Problems.Report(observe.KindReplicaDown, observe.ReplicaSubject(s.ref, a.Address), "it does not answer requests")
+		l.options.Problems.Report(observe.KindReplicaDown, observe.ReplicaSubject(s.ref, a.Address), "the replica does not answer requests")
 	case a.From == stateDown:
 		l.options.Problems.Clear(observe.KindReplicaDown, observe.ReplicaSubject(s.ref, a.Address))
 	}
--- a/internal/owner/budget_test.go
+++ b/internal/owner/budget_test.go
@@ -20,33 +20,33 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// All replicas of a service fail. Its shards lie on all loops of the node, and
-// each loop had a budget of its own: the node added four floors of retries to
-// upstreams that were down already. Retries and hedges of the node must stay
-// under one bound.
-func TestExtraTriesOfANodeStayUnderOneBound(t *testing.T) {
+// Guards against a separate retry budget for each loop. All replicas of a service
+// fail, and its shards are spread over all loops: with four budgets the node would add
+// four times the floor in retries to upstreams that are already down. Retries and
+// hedges of the node together must stay within one budget.
+func TestExtraAttemptsOfANodeStayWithinOneBudget(t *testing.T) {
 	const shards, rounds = 10 * defaultLoops, 3
-	b := startBench(t)
+	b := startFixture(t)
 	b.publishFailing(shards)
 	for range rounds {
 		for shard := range shards {
 			b.askShard(shard)
 		}
 		for range shards {
-			require.NotEqualValues(t, core.Done, b.part().GetOutcome())
+			require.NotEqualValues(t, core.Done, b.nextPart().GetOutcome())
 		}
 	}
 	first := b.counter("owner_first_tries_total")
 	extra := b.counter("owner_retries_total") + b.counter("owner_hedges_total")
-	t.Logf("%d first tries, %d extra", first, extra)
+	t.Logf("%d first attempts, %d extra attempts", first, extra)
 	require.Positive(t, first)
 	require.LessOrEqual(t, extra, first/10+budget.DefaultFloor)
 	require.Positive(t, extra)
 }
 
-// publishFailing lists a service of shards with two replicas that fail what they
-// take, after it may have run.
-func (b *bench) publishFailing(shards int) {
+// publishFailing publishes a service with the given number of shards. Each has two
+// replicas that answer every request with status 500, so that it may have run.
+func (b *fixture) publishFailing(shards int) {
 	failing := func() string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(upstream.HeaderRequestID, r.Header.Get(upstream.HeaderRequestID))
@@ -65,8 +65,8 @@
 	b.belief.SetConfig(&belief.Config{Revision: 2, Catalog: parsed})
 }
 
-// askShard sends one request to the shard for a customer of its own.
-func (b *bench) askShard(shard int) {
+// askShard sends one request to the shard, each shard for a different customer.
+func (b *fixture) askShard(shard int) {
 	ref := core.ShardRef{Service: "prices", Shard: shard}
 	message := &peerpb.BundleRequest{
 		Customer:   fmt.Sprintf("customer-%d", shard),
--- a/internal/owner/bundle.go
+++ b/internal/owner/bundle.go
@@ -11,35 +11,35 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// bundleReply counts the shards of a message that are still to be answered.
+// bundleReply counts the shards of a BundleRequest that are not yet answered.
 type bundleReply struct {
 	inbound   *peer.Inbound
 	remaining int
 	stopWatch func() bool
 }
 
-// bundleWork is one shard of a bundle request.
+// bundleWork is the request for one shard of a BundleRequest.
 type bundleWork struct {
 	reply *bundleReply
 	ask   *peerpb.ShardAsk
 }
 
-func (l *loop) bundleArrived(text *catalog.Catalog, e arrived, stopWatch func() bool) {
+func (l *loop) handleBundle(cat *catalog.Catalog, e requestReceived, stopWatch func() bool) {
 	message := e.inbound.Envelope.GetBundleRequest()
-	customer, _ := text.Customer(core.Customer(message.GetCustomer()))
+	customer, _ := cat.Customer(core.Customer(message.GetCustomer()))
 	reply := &bundleReply{inbound: e.inbound, remaining: len(message.GetAsks()), stopWatch: stopWatch}
 	offered := admit.Offered{
 		Customer: customer.Name,
 		Weight:   customer.Weight,
-		Deadline: e.at + timeLeft(message.GetTimeLeftUs()),
+		Deadline: e.at + remainingTime(message.GetTimeLeftUs()),
 	}
 	for _, ask := range message.GetAsks() {
 		w := &bundleWork{reply: reply, ask: ask}
-		if reason := refusedByText(text, core.BundleID(message.GetBundle()), ask); reason != core.ReasonNone {
+		if reason := refusalReason(cat, core.BundleID(message.GetBundle()), ask); reason != core.ReasonNone {
 			w.refuse(reason, 0)
 			continue
 		}
-		s := l.shard(text, core.ShardRef{Service: ask.GetService(), Shard: int(ask.GetShard())})
+		s := l.shard(cat, core.ShardRef{Service: ask.GetService(), Shard: int(ask.GetShard())})
 		if s == nil {
 			w.refuse(core.ReasonNotOwner, 0)
 			continue
@@ -59,7 +59,7 @@
 	}
 }
 
-func (w *bundleWork) settle(result upstream.Result, tries int) {
+func (w *bundleWork) settle(result upstream.Result, attempts int) {
 	part := &peerpb.Part{
 		Service:      w.ask.GetService(),
 		Shard:        w.ask.GetShard(),
@@ -68,7 +68,7 @@
 		Outcome:      uint32(result.Outcome),
 		Reason:       string(result.Reason),
 		RetryAfterMs: uint64(result.RetryAfter.Milliseconds()),
-		Tries:        uint32(tries),
+		Tries:        uint32(attempts),
 		Broken:       result.Broken,
 	}
 	for _, version := range result.Serves {
--- a/internal/owner/dump.go
+++ b/internal/owner/dump.go
@@ -7,30 +7,30 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/admit"
 )
 
-// ShardDump is one shard's state for operators.
+// ShardDump is the state of one shard, for operators.
 type ShardDump struct {
 	Shard core.ShardRef `json:"shard"`
 	Role  string        `json:"role"`
 	admit.State
 }
 
-// inspected asks a loop for the state of its shards.
-type inspected struct{ reply chan<- []ShardDump }
+// dumpRequested requests the state of a loop's shards.
+type dumpRequested struct{ reply chan<- []ShardDump }
 
-func (inspected) isEvent() {}
+func (dumpRequested) isEvent() {}
 
-// Dump returns the state of every shard that this node serves, by name. It
-// waits for the loops; after Close it returns what the loops had answered.
+// Dump returns the state of all shards that this node serves, sorted by name. It waits
+// for each loop; loops that were closed before they answered are left out.
 func (o *Owner) Dump() []ShardDump {
 	var dump []ShardDump
 	for _, l := range o.loops {
 		reply := make(chan []ShardDump, 1)
-		if l.events.Put(l.ctx, inspected{reply: reply}) != nil {
+		if l.events.Put(l.ctx, dumpRequested{reply: reply}) != nil {
 			continue
 		}
 		select {
-		case part := <-reply:
-			dump = append(dump, part...)
+		case shards := <-reply:
+			dump = append(dump, shards...)
 		case <-l.ctx.Done():
 		}
 	}
@@ -38,10 +38,10 @@
 	return dump
 }
 
-func (l *loop) inspect(e inspected) {
-	part := make([]ShardDump, 0, len(l.shards))
+func (l *loop) dump(e dumpRequested) {
+	shards := make([]ShardDump, 0, len(l.shards))
 	for ref, s := range l.shards {
-		part = append(part, ShardDump{Shard: ref, Role: s.role.String(), State: s.machine.State(l.options.Now())})
+		shards = append(shards, ShardDump{Shard: ref, Role: s.role.String(), State: s.machine.State(l.options.Now())})
 	}
-	e.reply <- part
+	e.reply <- shards
 }
--- a/internal/owner/evidence.go
+++ b/internal/owner/evidence.go
@@ -14,7 +14,7 @@
 	// Empty reports whether no request is remembered, in which case answers need not be recorded.
 	Empty() bool
 	// RecordFacts records that a replica of a shard ended while running a request, or did not answer a trial.
-	RecordFacts(identity quarantine.Identity, what, shard string, incarnation replica.Incarnation, fact quarantine.Fact)
+	RecordFacts(identity quarantine.Identity, description, shard string, incarnation replica.Incarnation, fact quarantine.Fact)
 	// RecordAnswer records that a replica of a shard has answered a request.
 	RecordAnswer(names func() quarantine.Names, shard string)
 }
@@ -31,7 +31,7 @@
 	}
 	if result.Outcome == core.Done {
 		recorder.RecordAnswer(func() quarantine.Names { return w.identity().Names() }, call.Ref.String())
-		if identity, _, ok := w.questionIdentity(); ok {
+		if identity, _, ok := w.closureIdentity(); ok {
 			recorder.RecordAnswer(func() quarantine.Names { return identity().Names() }, "")
 		}
 		return
@@ -50,9 +50,9 @@
 	if marks != 0 {
 		recorder.RecordFacts(w.identity(), w.describe(call), call.Ref.String(), l.incarnation(call.Address, result.Incarnation), marks)
 	}
-	if identity, trial, ok := w.questionIdentity(); ok && marks&quarantine.Ended|trial != 0 {
-		what := w.describe(call) + ", over all services"
-		recorder.RecordFacts(identity(), what, "", l.incarnation(call.Address, result.Incarnation), marks&quarantine.Ended|trial)
+	if identity, trial, ok := w.closureIdentity(); ok && marks&quarantine.Ended|trial != 0 {
+		description := w.describe(call) + ", over all services"
+		recorder.RecordFacts(identity(), description, "", l.incarnation(call.Address, result.Incarnation), marks&quarantine.Ended|trial)
 	}
 }
 
@@ -73,8 +73,8 @@
 	return quarantine.ServiceQuery(w.ask.GetService(), core.Customer(message.GetCustomer()), message.GetQuestion())
 }
 
-// questionIdentity implements work.
-func (w *bundleWork) questionIdentity() (identity func() quarantine.Identity, trial quarantine.Fact, ok bool) {
+// closureIdentity implements work.
+func (w *bundleWork) closureIdentity() (identity func() quarantine.Identity, trial quarantine.Fact, ok bool) {
 	message := w.reply.inbound.Envelope.GetBundleRequest()
 	if query.Trial(w.ask.GetTrial()) == query.QueryTrial {
 		trial = quarantine.Trial
@@ -110,8 +110,8 @@
 	return quarantine.Submit(message.GetService(), core.Customer(message.GetCustomer()), message.GetPayload())
 }
 
-// questionIdentity implements work. A submit is sent to one service only.
-func (w *submitWork) questionIdentity() (identity func() quarantine.Identity, trial quarantine.Fact, ok bool) {
+// closureIdentity implements work. A submit is sent to one service only.
+func (w *submitWork) closureIdentity() (identity func() quarantine.Identity, trial quarantine.Fact, ok bool) {
 	return nil, 0, false
 }
 
@@ -120,5 +120,5 @@
 	return "submit to " + call.Ref.Service + " by customer " + string(call.Customer) + ", key " + call.SubmitKey
 }
 
-// trialMarks implements work. A submit is sent to one replica only, so that every send of it is a trial.
+// trialMarks implements work. A submit is sent to one replica only, so every send of it is a trial.
 func (w *submitWork) trialMarks() quarantine.Fact { return quarantine.Trial | quarantine.ShardTrial }
--- a/internal/owner/held.go
+++ b/internal/owner/held.go
@@ -5,55 +5,57 @@
 	"sync"
 )
 
-// submits counts the must-not-repeat requests that this owner holds, so that a
-// planned stop cuts none of them off.
-type submits struct {
+// submitTracker counts the must-not-repeat requests in flight at this owner, so that
+// a planned stop can wait for them.
+type submitTracker struct {
 	mutex    sync.Mutex
-	held     int
+	inFlight int
 	draining bool
 	idle     chan struct{}
 }
 
-// enter takes in one request, unless the owner is stopping.
-func (s *submits) enter() bool {
+// begin counts a new request. It returns false if the owner is draining.
+func (s *submitTracker) begin() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.draining {
 		return false
 	}
-	s.held++
+	s.inFlight++
 	return true
 }
 
-// leave lets one request go that was entered.
-func (s *submits) leave() {
+// end must be called at the end of each request for which begin returned true.
+func (s *submitTracker) end() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.held--
-	s.signal()
+	s.inFlight--
+	s.closeIdleIfDone()
 }
 
-// signal tells who drains that none is held; the mutex must be held.
-func (s *submits) signal() {
-	if s.draining && s.held == 0 && s.idle != nil {
+// closeIdleIfDone closes idle if the owner is draining and no request is in flight.
+// The mutex must be held.
+func (s *submitTracker) closeIdleIfDone() {
+	if s.draining && s.inFlight == 0 && s.idle != nil {
 		close(s.idle)
 		s.idle = nil
 	}
 }
 
-// drain refuses new requests; the channel closes when none is held.
-func (s *submits) drain() <-chan struct{} {
+// drain makes begin return false. The returned channel is closed once no request is
+// in flight.
+func (s *submitTracker) drain() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.draining = true
 	idle := make(chan struct{})
 	s.idle = idle
-	s.signal()
+	s.closeIdleIfDone()
 	return idle
 }
 
-// DrainSubmits refuses new must-not-repeat requests and waits for the held ones
-// to end, or for the context's end.
+// DrainSubmits refuses new must-not-repeat requests and waits until those in flight
+// have ended or the context is done.
 func (o *Owner) DrainSubmits(ctx context.Context) {
 	select {
 	case <-o.submits.drain():
--- a/internal/owner/late.go
+++ b/internal/owner/late.go
@@ -17,8 +17,8 @@
 // volume under overload.
 const pastDeadlineLogInterval = time.Second
 
-// loggedTry is one try of a request in a part_past_deadline line.
-type loggedTry struct {
+// loggedAttempt is one attempt of a request in a part_past_deadline line.
+type loggedAttempt struct {
 	Replica   string      `json:"replica"`
 	Kind      string      `json:"kind"`
 	StartedMs int64       `json:"began_ms"`
@@ -29,7 +29,7 @@
 
 var kindNames = [...]string{admit.KindFirst: "first", admit.KindRedispatch: "redispatch", admit.KindRetry: "retry", admit.KindHedge: "hedge"}
 
-// logPastDeadline logs the tries of a request that ends at its deadline without an answer, at most once per shard and
+// logPastDeadline logs the attempts of a request that ends at its deadline without an answer, at most once per shard and
 // pastDeadlineLogInterval. Times are offsets from the log line in milliseconds, zero or negative.
 func (l *loop) logPastDeadline(s *shard, id admit.RequestID, hedge admit.HedgeState) {
 	expired := s.requests[id]
@@ -38,17 +38,17 @@
 		return
 	}
 	s.pastDeadlineLoggedAt = now
-	var tries []loggedTry
-	for _, try := range expired.tries {
-		t := s.tries[try]
-		entry := loggedTry{Replica: t.address, Kind: kindNames[t.kind], StartedMs: (t.startedAt - now).Milliseconds()}
+	var attempts []loggedAttempt
+	for _, attemptID := range expired.attempts {
+		t := s.attempts[attemptID]
+		entry := loggedAttempt{Replica: t.address, Kind: kindNames[t.kind], StartedMs: (t.startedAt - now).Milliseconds()}
 		if t.ended {
 			entry.EndedMs, entry.Outcome, entry.Reason = (t.endedAt - now).Milliseconds(), t.result.Outcome.String(), t.result.Reason
 		}
-		tries = append(tries, entry)
+		attempts = append(attempts, entry)
 	}
 	l.options.Log.WithFields(logrus.Fields{
 		"event": "part_past_deadline", "shard": s.ref.String(), "request": expired.work.call().RequestID, "role": s.role.String(),
-		"hedge": hedge, "tries": tries, "waiting": s.machine.Waiting(), "state": s.machine.State(now),
+		"hedge": hedge, "tries": attempts, "waiting": s.machine.Waiting(), "state": s.machine.State(now),
 	}).Info("request reached its deadline without an answer from the shard")
 }
--- a/internal/owner/layout_test.go
+++ b/internal/owner/layout_test.go
@@ -17,26 +17,26 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// pricesText is a text of one service with the given number of shards, of one
-// replica with one slot each.
-func pricesText(t *testing.T, revision uint64, shards int) *belief.Config {
+// pricesConfig returns a configuration of one service with the given number of shards,
+// each with one replica of one slot.
+func pricesConfig(t *testing.T, revision uint64, shards int) *belief.Config {
 	t.Helper()
 	var b strings.Builder
 	b.WriteString("version: 1\nindexes: [i]\nservices:\n  - name: prices\n    index: i\n    slots: 1\n    shards:\n")
 	for i := range shards {
 		fmt.Fprintf(&b, "      - replicas: [{address: \"127.0.0.1:%d\"}]\n", i+1)
 	}
-	text, err := catalog.Parse([]byte(b.String()))
+	parsed, err := catalog.Parse([]byte(b.String()))
 	require.NoError(t, err)
-	return &belief.Config{Revision: revision, Catalog: text}
+	return &belief.Config{Revision: revision, Catalog: parsed}
 }
 
-// A question planned for two shards waits in the owner's queue while the
-// service is split into four. Sent on, shard 0 of two would be answered by the
-// replica of shard 0 of four, and the answer would lack half and not say so.
-func TestQueuedAsksOfAFormerLayoutAreNotSent(t *testing.T) {
+// Guards against an incomplete answer that counts as complete. A query planned for two
+// shards is queued at the owner while the service is split into four. If it were sent,
+// the replica of shard 0 of four would answer for shard 0 of two.
+func TestQueuedRequestsOfAnEarlierLayoutAreNotSent(t *testing.T) {
 	store := belief.NewStore()
-	before, after := pricesText(t, 1, 2), pricesText(t, 2, 4)
+	before, after := pricesConfig(t, 1, 2), pricesConfig(t, 2, 4)
 	store.SetConfig(before)
 	client := upstream.NewClient()
 	defer client.Close()
@@ -45,7 +45,7 @@
 	l := newLoop(ctx, Options{Belief: store, Upstream: client, Now: func() core.Time { return 0 }})
 	replies := map[string]*peerpb.Part{}
 	ask := func(id string, shards int) {
-		l.arrived(arrived{inbound: peer.NewInbound(ctx, peer.Identity{}, bundleOf(before, id, shards), func(reply *peerpb.Envelope) {
+		l.handleRequest(requestReceived{inbound: peer.NewInbound(ctx, peer.Identity{}, bundleOf(before, id, shards), func(reply *peerpb.Envelope) {
 			replies[id] = reply.GetPart()
 		})})
 	}
@@ -57,8 +57,8 @@
 	require.Equal(t, string(core.ReasonLayout), replies["queued"].GetReason())
 	require.EqualValues(t, core.NotRun, replies["queued"].GetOutcome())
 	require.Equal(t, string(core.ReasonLayout), replies["running"].GetReason())
-	require.EqualValues(t, core.Unknown, replies["running"].GetOutcome(), "it was sent and may have run")
-	require.NotContains(t, replies, "new layout", "it is queued or running")
+	require.EqualValues(t, core.Unknown, replies["running"].GetOutcome(), "the request was sent and may have run")
+	require.NotContains(t, replies, "new layout", "the request is queued or running")
 	ask("old layout", 2)
 	require.Equal(t, string(core.ReasonLayout), replies["old layout"].GetReason())
 }
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -10,10 +10,10 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// meters are the owner's metrics, shared by its loops.
+// meters holds the owner's metrics. All loops share it.
 type meters struct {
 	registry observe.Registry
-	// dispatched counts upstream requests by admit.Kind.
+	// dispatched counts upstream requests, indexed by admit.Kind.
 	dispatched [admit.KindHedge + 1]metrics.Counter
 	refused    metrics.Counter
 	// ended counts replicas that ended while running a request, once for each request they were running.
@@ -34,13 +34,13 @@
 	return m
 }
 
-// shed counts a request that was refused, by its reason.
-func (m *meters) shed(reason core.Reason) {
+// countShed counts a refused request under its reason.
+func (m *meters) countShed(reason core.Reason) {
 	observe.Counter(m.registry, "owner_shed_"+string(reason)+"_total").Inc(1)
 }
 
-// queued adds a change of the number of waiting requests.
-func (m *meters) queued(change int) {
+// addWaiting adds a change in the number of queued requests.
+func (m *meters) addWaiting(change int) {
 	if change != 0 {
 		m.depth.Update(m.waiting.Add(int64(change)))
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,6 +1,6 @@
-// Package owner is the role that holds all the tier's connections to the
-// replicas of its bundles: it takes parts requests from entries, queues them
-// and runs them upstream.
+// Package owner implements the owner role. An owner holds all connections of the
+// tier to the replicas of its bundles: it receives shard requests from entries,
+// queues them and sends them upstream.
 package owner
 
 import (
@@ -26,37 +26,37 @@
 	ringDepth    = 8192
 )
 
-// Options are the parts and settings of an Owner.
+// Options are the dependencies and settings of an Owner.
 type Options struct {
 	Self     core.NodeID
 	Belief   *belief.Store
 	Upstream *upstream.Client
-	// Now reads the node's monotonic clock.
+	// Now returns the time on the node's monotonic clock.
 	Now      func() core.Time
 	Log      logrus.FieldLogger
 	Problems *observe.Problems
 	Metrics  observe.Registry
-	// Recorder, when set, receives the outcomes of requests at replicas.
+	// Recorder receives the outcomes of requests at replicas; it may be nil.
 	Recorder Recorder
-	// Loops is the number of goroutines; 0 takes the default.
+	// Loops is the number of goroutines; 0 means defaultLoops.
 	Loops int
-	// meters and budget are shared by the loops, number tells them apart.
+	// meters and budget are shared by the loops; number is the index of the loop.
 	meters *meters
 	budget *sharedbudget.Group
 	number int
 }
 
-// Owner runs the owner's duty on a fixed number of goroutines; a bundle always
-// belongs to the same one.
+// Owner runs the owner role on a fixed number of goroutines. Each bundle is always
+// handled by the same one.
 type Owner struct {
 	options Options
 	loops   []*loop
 	stop    context.CancelFunc
 	done    sync.WaitGroup
-	submits submits
+	submits submitTracker
 }
 
-// New starts an owner; Close ends it.
+// New starts an owner. It runs until Close.
 func New(options Options) *Owner {
 	if options.Loops == 0 {
 		options.Loops = defaultLoops
@@ -79,13 +79,13 @@
 	return owner
 }
 
-// Close ends the duty. Requests in flight are abandoned.
+// Close stops the owner. Requests in flight are abandoned.
 func (o *Owner) Close() {
 	o.stop()
 	o.done.Wait()
 }
 
-// Rings reports the depth of each loop's ring.
+// Rings returns the statistics of each loop's event ring.
 func (o *Owner) Rings() []ring.Stats {
 	stats := make([]ring.Stats, 0, len(o.loops))
 	for _, l := range o.loops {
@@ -103,8 +103,8 @@
 	}
 }
 
-// HandleBundle takes a BundleRequest. What this node does not own is refused as
-// not run, with this node's view.
+// HandleBundle handles a BundleRequest. A bundle that this node does not own is
+// refused as not run, with the ID of this node's view.
 func (o *Owner) HandleBundle(inbound *peer.Inbound) {
 	request := inbound.Envelope.GetBundleRequest()
 	config := o.options.Belief.Config()
@@ -122,29 +122,29 @@
 		return
 	}
 	l := o.loops[uint32(bundle.ID)%uint32(len(o.loops))]
-	if !l.events.TryPut(arrived{inbound: inbound, at: o.options.Now()}) {
+	if !l.events.TryPut(requestReceived{inbound: inbound, at: o.options.Now()}) {
 		refuse(inbound, core.ReasonOverloaded, 0)
 	}
 }
 
-func (o *Owner) owns(text *catalog.Catalog, bundle *catalog.Bundle, rank int) bool {
-	if text.Policy.Routing == catalog.RoutingDirect {
+func (o *Owner) owns(cat *catalog.Catalog, bundle *catalog.Bundle, rank int) bool {
+	if cat.Policy.Routing == catalog.RoutingDirect {
 		return true
 	}
-	place := o.options.Belief.View().RankOf(bundle.ID, bundle.DataCentre, o.options.Belief.Self())
-	return place <= max(rank, successorPlace)
+	ownRank := o.options.Belief.View().RankOf(bundle.ID, bundle.DataCentre, o.options.Belief.Self())
+	return ownRank <= max(rank, successorRank)
 }
 
-// successorPlace is the place that takes over from the owner. While views
-// differ, a node may be the owner by one and the successor by the other; the
-// connection share leaves room for both, so both serve.
-const successorPlace = 1
+// successorRank is the rank of the node that takes over from the owner. While views
+// differ, one node can be the owner in one view and the successor in another. Both
+// ranks serve requests, because the connection share leaves room for two nodes.
+const successorRank = 1
 
-// pausedRetryAfter is when a node that confirms its beliefs is likely done.
+// pausedRetryAfter is the usual time until a paused node has confirmed its state.
 const pausedRetryAfter = 500 * time.Millisecond
 
-// refusePaused refuses work while the beliefs may have expired. The reason makes
-// the entry ask the next node of the bundle's order.
+// refusePaused refuses a request while this node's view and configuration may be
+// stale. The reason makes the entry ask the next node in the bundle's owner order.
 func refusePaused(inbound *peer.Inbound) {
 	reply := peer.Refused(core.ReasonPeerUnreached)
 	reply.GetRefusal().RetryAfterMs = uint64(pausedRetryAfter.Milliseconds())
@@ -157,4 +157,4 @@
 	inbound.Reply(reply, true)
 }
 
-func timeLeft(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
+func remainingTime(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -25,12 +25,13 @@
 )
 
 const (
-	awaitLimit = 10 * time.Second
-	awaitPause = 2 * time.Millisecond
+	awaitLimit    = 10 * time.Second
+	awaitInterval = 2 * time.Millisecond
 )
 
-// bench is an owner with one service of one shard.
-type bench struct {
+// fixture is an owner and its surroundings. Unless a test publishes another
+// configuration, the service prices has one shard.
+type fixture struct {
 	t        *testing.T
 	owner    *Owner
 	belief   *belief.Store
@@ -39,12 +40,12 @@
 	parts    chan *peerpb.Part
 }
 
-func startBench(t *testing.T, addresses ...string) *bench {
+func startFixture(t *testing.T, addresses ...string) *fixture {
 	started := time.Now()
 	now := func() core.Time { return time.Since(started) }
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	b := &bench{t: t, belief: belief.NewStore(), problems: observe.NewProblems(now), metrics: observe.NewRegistry(), parts: make(chan *peerpb.Part, 2*maxQueue)}
+	b := &fixture{t: t, belief: belief.NewStore(), problems: observe.NewProblems(now), metrics: observe.NewRegistry(), parts: make(chan *peerpb.Part, 2*maxQueue)}
 	client := upstream.NewClient()
 	t.Cleanup(func() { goleak.VerifyNone(t, goleak.IgnoreCurrent()) })
 	t.Cleanup(client.Close)
@@ -56,7 +57,7 @@
 	return b
 }
 
-func (b *bench) publish(addresses ...string) {
+func (b *fixture) publish(addresses ...string) {
 	text := "version: 1\nindexes: [i]\nservices:\n  - name: other\n    index: i\n    shards: [{replicas: [{address: \"127.0.0.9:9\"}]}]\n"
 	if len(addresses) > 0 {
 		text += "  - name: prices\n    index: i\n    shards:\n      - replicas:\n"
@@ -69,8 +70,8 @@
 	b.belief.SetConfig(&belief.Config{Revision: 1, Catalog: parsed})
 }
 
-// ask sends one request to the shard; its part comes on b.parts.
-func (b *bench) ask(customer string) {
+// ask sends one request to the shard. The reply is sent to b.parts.
+func (b *fixture) ask(customer string) {
 	message := &peerpb.BundleRequest{
 		Customer:   customer,
 		RequestId:  customer,
@@ -83,22 +84,22 @@
 	b.owner.HandleBundle(peer.NewInbound(context.Background(), peer.Identity{}, envelope, func(reply *peerpb.Envelope) { b.parts <- reply.GetPart() }))
 }
 
-func (b *bench) part() *peerpb.Part {
+func (b *fixture) nextPart() *peerpb.Part {
 	select {
 	case part := <-b.parts:
 		return part
 	case <-time.After(awaitLimit):
-		require.Fail(b.t, "no part in time")
+		require.Fail(b.t, "no part arrived within awaitLimit")
 		return nil
 	}
 }
 
-func (b *bench) await(what string, holds func() bool) {
+func (b *fixture) await(condition string, holds func() bool) {
 	b.t.Helper()
-	require.Eventually(b.t, holds, awaitLimit, awaitPause, what)
+	require.Eventually(b.t, holds, awaitLimit, awaitInterval, condition)
 }
 
-func (b *bench) has(kind observe.Kind) bool {
+func (b *fixture) hasProblem(kind observe.Kind) bool {
 	for _, problem := range b.problems.List() {
 		if problem.Kind == kind {
 			return true
@@ -107,7 +108,7 @@
 	return false
 }
 
-func (b *bench) counter(name string) int64 { return observe.Counter(b.metrics, name).Count() }
+func (b *fixture) counter(name string) int64 { return observe.Counter(b.metrics, name).Count() }
 
 func startReplica(t *testing.T, behaviour standin.Behaviour) *standin.Upstream {
 	u, err := standin.StartUpstream("127.0.0.1:0", behaviour)
@@ -116,87 +117,87 @@
 	return u
 }
 
-// A chef's query meets a replica whose process is gone: the connection is
-// refused, the work is proven not run and goes to the other replica, and the
-// operators are told until the text drops the dead one.
-func TestRefusedConnectionGoesToTheOtherReplica(t *testing.T) {
+// One of two replicas refuses connections because its process has ended. The request is
+// known not to have run and is redispatched to the other replica. The replica is
+// reported as down until the configuration no longer lists it.
+func TestRefusedConnectionIsRedispatchedToTheOtherReplica(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	dead := listener.Addr().String()
 	require.NoError(t, listener.Close())
 	good := startReplica(t, standin.Behaviour{Versions: []uint64{7}})
-	b := startBench(t, dead, good.Address())
+	b := startFixture(t, dead, good.Address())
 	for range 5 {
 		b.ask("chef")
-		require.EqualValues(t, core.Done, b.part().GetOutcome())
+		require.EqualValues(t, core.Done, b.nextPart().GetOutcome())
 	}
 	require.Positive(t, b.counter("owner_refused_connections_total"))
 	require.Positive(t, b.counter("owner_redispatches_total"))
-	require.True(t, b.has(observe.KindReplicaDown))
+	require.True(t, b.hasProblem(observe.KindReplicaDown))
 	require.Equal(t, "down", b.owner.Dump()[0].Replicas[0].State)
 
 	b.publish(good.Address())
-	b.await("the dead replica is forgotten", func() bool {
-		return !b.has(observe.KindReplicaDown) && len(b.owner.Dump()[0].Replicas) == 1
+	b.await("the dead replica is removed", func() bool {
+		return !b.hasProblem(observe.KindReplicaDown) && len(b.owner.Dump()[0].Replicas) == 1
 	})
 }
 
-// An import of the large customer fills the queue of a shard whose replica is
-// silent. A chef's query comes then: it takes the place of the import's newest
-// request, which is refused at once with the time to come back.
-func TestFullQueueCostsTheLargeCustomer(t *testing.T) {
+// The large customer has filled the queue of a shard whose replica does not answer. A
+// request of another customer takes the place of the newest one of the large customer,
+// which is refused at once with a retry-after time.
+func TestFullQueueShedsTheLargeCustomer(t *testing.T) {
 	silent := startReplica(t, standin.Behaviour{Silent: true, Versions: []uint64{7}})
-	b := startBench(t, silent.Address())
+	b := startFixture(t, silent.Address())
 	for range maxQueue + 1 {
 		b.ask("large")
 	}
 	b.await("the queue is full", func() bool { return len(b.owner.Dump()) == 1 && b.owner.Dump()[0].Waiting == maxQueue })
 	b.ask("chef")
-	part := b.part()
+	part := b.nextPart()
 	require.EqualValues(t, core.NotRun, part.GetOutcome())
 	require.Equal(t, string(core.ReasonOverloaded), part.GetReason())
 	require.Positive(t, part.GetRetryAfterMs())
-	require.True(t, b.has(observe.KindOverloaded))
+	require.True(t, b.hasProblem(observe.KindOverloaded))
 	customers := b.owner.Dump()[0].Customers
 	require.Len(t, customers, 2)
-	require.Equal(t, 1, customers[0].Waiting, "the chef's query waits")
+	require.Equal(t, 1, customers[0].Waiting, "the query of chef is queued")
 	require.Equal(t, maxQueue-1, customers[1].Waiting)
 	require.EqualValues(t, maxQueue, observe.Gauge(b.metrics, "owner_queue_depth").Value())
 }
 
-// A service leaves the text while its queue is full: what waits is refused, and
-// nothing of it stays in memory or among the problems.
-func TestServiceThatLeavesIsForgotten(t *testing.T) {
+// A service is removed from the configuration. Its shard must be removed from memory,
+// with no problem left listed for it.
+func TestRemovedServiceIsForgotten(t *testing.T) {
 	good := startReplica(t, standin.Behaviour{Versions: []uint64{7}})
-	b := startBench(t, good.Address())
+	b := startFixture(t, good.Address())
 	b.ask("chef")
-	b.part()
+	b.nextPart()
 	require.Len(t, b.owner.Dump(), 1)
 	b.publish()
-	b.await("the shard is forgotten", func() bool { return len(b.owner.Dump()) == 0 })
+	b.await("the shard is removed", func() bool { return len(b.owner.Dump()) == 0 })
 	require.Empty(t, b.problems.List())
 }
 
-// A shard was overloaded at noon. The register must say so while it refuses work
-// and stop saying so some time after, also when no request comes any more.
-func TestOverloadIsClearedAfterACalmTime(t *testing.T) {
+// A shard is reported as overloaded while it refuses requests. The report must be
+// cleared overloadReportFor after the last refusal, also if no further request arrives.
+func TestOverloadReportIsClearedAfterTheLastRefusal(t *testing.T) {
 	now := core.Time(0)
 	clock := func() core.Time { return now }
-	b := &bench{t: t, belief: belief.NewStore(), problems: observe.NewProblems(clock)}
+	b := &fixture{t: t, belief: belief.NewStore(), problems: observe.NewProblems(clock)}
 	b.publish("127.0.0.1:9")
 	client := upstream.NewClient()
 	defer client.Close()
 	l := newLoop(context.Background(), Options{Belief: b.belief, Upstream: client, Now: clock, Problems: b.problems, Metrics: observe.NewRegistry()})
 	s := l.shard(b.belief.Config().Catalog, core.ShardRef{Service: "prices"})
 	l.refuse(s, admit.Refuse{Reason: core.ReasonOverloaded})
-	now = calmAfter - 1
+	now = overloadReportFor - 1
 	l.wake()
-	require.True(t, b.has(observe.KindOverloaded))
+	require.True(t, b.hasProblem(observe.KindOverloaded))
 	l.refuse(s, admit.Refuse{Reason: core.ReasonOverloaded})
-	now = calmAfter + 1
+	now = overloadReportFor + 1
 	l.wake()
-	require.True(t, b.has(observe.KindOverloaded), "it refused work meanwhile")
-	now = 2 * calmAfter
+	require.True(t, b.hasProblem(observe.KindOverloaded), "another request was refused in the meantime")
+	now = 2 * overloadReportFor
 	l.wake()
 	require.Empty(t, b.problems.List())
 }
--- a/internal/owner/pause_test.go
+++ b/internal/owner/pause_test.go
@@ -15,9 +15,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// An owner stood still while another took over its replicas. Work that comes
-// after the wake is refused as not run at once, with the time to come back, and
-// work that was queued before is not sent.
+// An owner was paused while another node took over its replicas. A request that arrives
+// after the pause is refused as not run at once, with a retry-after time. A request
+// that was queued before the pause is not sent.
 func TestAPausedOwnerSendsNothing(t *testing.T) {
 	text, err := catalog.Parse([]byte("version: 1\nindexes: [i]\nservices:\n  - name: a\n    index: i\n    shards: [{replicas: [{address: \"127.0.0.1:9\", data_centre: d}]}]\n"))
 	require.NoError(t, err)
@@ -35,5 +35,5 @@
 
 	result := owner.loops[0].sendUnlessPaused(context.Background(), &bundleWork{}, upstream.Call{Address: "127.0.0.1:9"})
 	require.Equal(t, core.NotRun, result.Outcome)
-	require.Nil(t, result.Cause, "no connection was tried")
+	require.Nil(t, result.Cause, "no connection was attempted")
 }
--- a/internal/owner/shard.go
+++ b/internal/owner/shard.go
@@ -10,44 +10,44 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// shard is one shard's machine with the messages behind its requests.
+// shard is one shard's machine with its queued requests and their attempts.
 type shard struct {
 	ref      core.ShardRef
 	role     admit.Role
 	machine  *admit.Shard
 	requests map[admit.RequestID]*request
-	tries    map[admit.AttemptID]*running
-	// waiting is the queue's depth as it was last counted in the metrics.
-	waiting int
+	attempts map[admit.AttemptID]*attempt
+	// countedWaiting is the queue depth that is included in the metric.
+	countedWaiting int
 	// pastDeadlineLoggedAt is when part_past_deadline was last logged for this shard; 0 means never.
 	pastDeadlineLoggedAt core.Time
-	// retired is set when the shard is to be forgotten once it is idle.
+	// retired is set if the shard is to be removed once it is idle.
 	retired bool
-	// overloaded is set while the problem stands in the register.
+	// overloaded is set while the shard is reported as overloaded.
 	overloaded bool
 }
 
-// shard returns the shard's machine, made on first use, or nil when the text
-// does not know the shard.
-func (l *loop) shard(text *catalog.Catalog, ref core.ShardRef) *shard {
+// shard returns a shard, which is created on first use, or nil if the configuration
+// does not list it.
+func (l *loop) shard(cat *catalog.Catalog, ref core.ShardRef) *shard {
 	if existing := l.shards[ref]; existing != nil {
 		return existing
 	}
-	if text.Shard(ref) == nil {
+	if cat.Shard(ref) == nil {
 		return nil
 	}
-	created := &shard{ref: ref, requests: map[admit.RequestID]*request{}, tries: map[admit.AttemptID]*running{}}
-	created.machine = admit.NewShard(l.configure(text, created))
+	created := &shard{ref: ref, requests: map[admit.RequestID]*request{}, attempts: map[admit.AttemptID]*attempt{}}
+	created.machine = admit.NewShard(l.configure(cat, created))
 	l.shards[ref] = created
 	return created
 }
 
-// configure gives each replica its share of connections and returns the
-// machine's configuration.
-func (l *loop) configure(text *catalog.Catalog, s *shard) admit.Config {
-	service := text.Services[s.ref.Service]
-	written := text.Shard(s.ref)
-	s.role = l.role(text, written.Bundle)
+// configure sets the connection limit of each replica and returns the configuration
+// of the machine.
+func (l *loop) configure(cat *catalog.Catalog, s *shard) admit.Config {
+	service := cat.Services[s.ref.Service]
+	listed := cat.Shard(s.ref)
+	s.role = l.role(cat, listed.Bundle)
 	share := admit.ConnectionShare(service.Connections, s.role, len(l.options.Belief.View().Nodes()))
 	config := admit.Config{
 		Service:    service.Name,
@@ -56,32 +56,33 @@
 		MaxQueue:   maxQueue,
 		DataCentre: l.dataCentre(),
 		Budget:     l.options.budget,
-		Latency:    l.latency(service.Name),
+		Latency:    l.histogram(service.Name),
 		Jitter:     l.jitter,
 	}
-	for _, replica := range written.Replicas {
-		l.limit(s.ref, replica.Address, share)
+	for _, replica := range listed.Replicas {
+		l.limitConnections(s.ref, replica.Address, share)
 		config.Replicas = append(config.Replicas, admit.ReplicaConfig{Address: replica.Address, DataCentre: replica.DataCentre, Draining: replica.Draining || l.options.Belief.Drained(replica.Address)})
 	}
 	return config
 }
 
-// limit sets the connections to one replica. With a share of 0 it is not used.
-func (l *loop) limit(ref core.ShardRef, address string, share int) {
+// limitConnections sets the connection limit of one replica. With a share of 0 the
+// replica is not used.
+func (l *loop) limitConnections(ref core.ShardRef, address string, share int) {
 	l.options.Upstream.Limit(address, share)
 	if share > 0 {
 		return
 	}
-	l.options.Problems.Report(observe.KindReplicaDown, observe.ReplicaSubject(ref, address), "its connection limit is too small to be shared between nodes")
+	l.options.Problems.Report(observe.KindReplicaDown, observe.ReplicaSubject(ref, address), "the connection limit of the replica is too small to be shared between the nodes")
 }
 
-func (l *loop) role(text *catalog.Catalog, id core.BundleID) admit.Role {
-	if text.Policy.Routing == catalog.RoutingDirect {
+func (l *loop) role(cat *catalog.Catalog, id core.BundleID) admit.Role {
+	if cat.Policy.Routing == catalog.RoutingDirect {
 		return admit.RoleDirect
 	}
-	bundle := text.Bundles[id]
-	first, known := l.options.Belief.View().Rank(id, bundle.DataCentre, 0)
-	if known && first.ID == l.options.Self {
+	bundle := cat.Bundles[id]
+	owner, known := l.options.Belief.View().Rank(id, bundle.DataCentre, 0)
+	if known && owner.ID == l.options.Self {
 		return admit.RoleOwner
 	}
 	return admit.RoleFallback
@@ -92,19 +93,20 @@
 	return self.DataCentre
 }
 
-// latency returns the histogram that the service's shards of this loop share.
-func (l *loop) latency(service string) *latency.Histogram {
-	learnt := l.latencies[service]
-	if learnt == nil {
-		learnt = &latency.Histogram{}
-		l.latencies[service] = learnt
+// histogram returns the latency histogram that the shards of a service on this loop
+// share.
+func (l *loop) histogram(service string) *latency.Histogram {
+	histogram := l.histograms[service]
+	if histogram == nil {
+		histogram = &latency.Histogram{}
+		l.histograms[service] = histogram
 	}
-	return learnt
+	return histogram
 }
 
-// reload brings every machine up to the present text and view. Shards that the
-// text no longer lists, and idle ones that this node no longer owns, finish what
-// they run and are forgotten.
+// reload applies the current configuration and view to all machines. Shards that the
+// configuration no longer lists finish their running requests and are then removed.
+// Idle shards that this node no longer owns are removed as well.
 func (l *loop) reload() {
 	config := l.options.Belief.Config()
 	if config == nil {
@@ -126,44 +128,44 @@
 			l.step(s, admit.Reconfigured{})
 		}
 	}
-	for service := range l.latencies {
+	for service := range l.histograms {
 		if config.Catalog.Services[service] == nil {
-			delete(l.latencies, service)
+			delete(l.histograms, service)
 		}
 	}
 }
 
-// forgetIdle drops a retired shard that has nothing left to do.
-func (l *loop) forgetIdle(s *shard) {
+// forgetIfIdle removes a retired shard that is idle.
+func (l *loop) forgetIfIdle(s *shard) {
 	if !s.retired || !s.machine.Idle() {
 		return
 	}
-	l.calm(s)
+	l.clearOverload(s)
 	l.alarms.Clear(s.ref)
-	l.calms.Clear(s.ref)
+	l.overloadAlarms.Clear(s.ref)
 	delete(l.shards, s.ref)
 }
 
-// forgetReplica closes the connections to a replica that this node no longer
-// needs. An address that the text has moved to another shard is left alone: its
-// connections are that shard's by now.
+// forgetReplica closes the connections to a replica that the shard no longer uses.
+// If the configuration now lists the address at another shard, the connections are
+// kept, because that shard uses them.
 func (l *loop) forgetReplica(s *shard, address string) {
 	l.options.Problems.Clear(observe.KindReplicaDown, observe.ReplicaSubject(s.ref, address))
 	config := l.options.Belief.Config()
-	if config != nil && !has(config.Catalog.Shard(s.ref), address) && listed(config.Catalog, address) {
+	if config != nil && !hasReplica(config.Catalog.Shard(s.ref), address) && listsReplica(config.Catalog, address) {
 		return
 	}
 	l.options.Upstream.Forget(address)
 }
 
-func has(written *catalog.Shard, address string) bool {
-	return written != nil && slices.ContainsFunc(written.Replicas, func(r catalog.Replica) bool { return r.Address == address })
+func hasReplica(shard *catalog.Shard, address string) bool {
+	return shard != nil && slices.ContainsFunc(shard.Replicas, func(r catalog.Replica) bool { return r.Address == address })
 }
 
-func listed(text *catalog.Catalog, address string) bool {
-	for _, service := range text.Services {
+func listsReplica(cat *catalog.Catalog, address string) bool {
+	for _, service := range cat.Services {
 		for i := range service.Shards {
-			if has(&service.Shards[i], address) {
+			if hasReplica(&service.Shards[i], address) {
 				return true
 			}
 		}
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -14,16 +14,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// maxSubmitReplyBytes bounds the payload passed back to a home. A message over
-// the peers' limit would end the stream, and with it the outcomes of all that is
-// open there; the outcome without its payload is worth more.
+// maxSubmitReplyBytes limits the payload returned to a home. A message over the peer
+// protocol's limit would end the stream and lose the outcomes of all requests on it,
+// so a larger payload is dropped and the outcome is sent without it.
 const maxSubmitReplyBytes = 2 << 20
 
-// HandleSubmit takes a SubmitRequest from the home of its key. A Refusal says
-// that it was not run and may be routed elsewhere.
+// HandleSubmit handles a SubmitRequest from the home of its key. A Refusal means that
+// the request was not run and may be sent to another owner.
 //
-// The request is not withdrawn when its home is lost: the home can no longer be
-// told, but what was begun ends in order rather than in a cut connection.
+// The request is not withdrawn if the link to its home is lost. The home then does not
+// receive the outcome, but a started upstream request still ends normally instead of
+// with a closed connection.
 func (o *Owner) HandleSubmit(inbound *peer.Inbound) {
 	message := inbound.Envelope.GetSubmitRequest()
 	at := o.options.Now()
@@ -33,30 +34,30 @@
 		refuse(inbound, core.ReasonNotOwner, o.options.Belief.View().ID())
 		return
 	}
-	if !o.submits.enter() {
+	if !o.submits.begin() {
 		refuse(inbound, core.ReasonDraining, 0)
 		return
 	}
 	w := &submitWork{
 		inbound: inbound,
 		ref:     ref,
-		owns:    func() bool { return o.ownsAsked(message, bundle.ID) },
+		owns:    func() bool { return o.stillOwns(message, bundle.ID) },
 		now:     o.options.Now,
-		permit:  once.NewPermit(at + timeLeft(message.GetTimeLeftUs())),
-		leave:   o.submits.leave,
+		permit:  once.NewPermit(at + remainingTime(message.GetTimeLeftUs())),
+		end:     o.submits.end,
 	}
 	l := o.loops[uint32(bundle.ID)%uint32(len(o.loops))]
-	if !l.events.TryPut(arrived{inbound: inbound, at: at, submit: w}) {
-		o.submits.leave()
+	if !l.events.TryPut(requestReceived{inbound: inbound, at: at, submit: w}) {
+		o.submits.end()
 		refuse(inbound, core.ReasonOverloaded, 0)
 	}
 }
 
-// bundleOf returns the bundle of the shard that a request is for, or nil when the
-// text in force has none. A service that was repartitioned counts as none: the
-// home chose the shard by the former number of shards, and its number stands for
-// other data now. A request that waited over the change would be recorded where
-// nobody looks for it; refused as not owned, its home routes it anew.
+// bundleOf returns the bundle of the requested shard, or nil if the configuration in
+// force does not list the shard or the service was repartitioned. In the latter case
+// the home chose the shard by the earlier number of shards, and that number now refers
+// to other data: a request that was queued during the change would be recorded in the
+// wrong shard. It is refused as not owned, so that its home routes it again.
 func (o *Owner) bundleOf(message *peerpb.SubmitRequest) *catalog.Bundle {
 	config := o.options.Belief.Config()
 	if config == nil {
@@ -73,14 +74,15 @@
 	return config.Catalog.Bundles[shard.Bundle]
 }
 
-// ownsAsked reports whether the request's shard is in the bundle still, and the
-// bundle is this node's.
-func (o *Owner) ownsAsked(message *peerpb.SubmitRequest, id core.BundleID) bool {
+// stillOwns reports whether the requested shard is still in the bundle and this node
+// owns the bundle.
+func (o *Owner) stillOwns(message *peerpb.SubmitRequest, id core.BundleID) bool {
 	bundle := o.bundleOf(message)
 	return bundle != nil && bundle.ID == id && o.ownsNow(id, message.GetRank())
 }
 
-// ownsNow checks ownership by what this node believes at the moment.
+// ownsNow reports whether this node owns the bundle by its current view and
+// configuration.
 func (o *Owner) ownsNow(id core.BundleID, rank uint32) bool {
 	config := o.options.Belief.Config()
 	if config == nil || config.Catalog.Bundles[id] == nil {
@@ -95,59 +97,59 @@
 	ref     core.ShardRef
 	owns    func() bool
 	now     func() core.Time
-	leave   func()
-	// mutex guards the permit: sends end on goroutines of their own.
+	end     func()
+	// mutex guards the permit, because each send runs on its own goroutine.
 	mutex  sync.Mutex
 	permit *once.Permit
 }
 
-func (l *loop) submitArrived(text *catalog.Catalog, e arrived) {
+func (l *loop) handleSubmit(cat *catalog.Catalog, e requestReceived) {
 	message := e.inbound.Envelope.GetSubmitRequest()
-	s := l.shard(text, e.submit.ref)
+	s := l.shard(cat, e.submit.ref)
 	if s == nil {
 		e.submit.refuse(core.ReasonNotOwner, 0)
 		return
 	}
-	customer, _ := text.Customer(core.Customer(message.GetCustomer()))
+	customer, _ := cat.Customer(core.Customer(message.GetCustomer()))
 	l.offer(s, e.inbound, e.submit, admit.Offered{
 		Customer: customer.Name,
 		Weight:   customer.Weight,
-		Deadline: e.at + timeLeft(message.GetTimeLeftUs()),
+		Deadline: e.at + remainingTime(message.GetTimeLeftUs()),
 		Once:     true,
 	})
 }
 
-// send runs a request's call. A must-not-repeat one needs its permit, which
-// reads the clock and the ownership anew: between the machine's decision and
-// this line the process may have been paused.
+// send runs a request's call. A must-not-repeat request needs its permit, which checks
+// the clock and the ownership again: the process may have been paused since the
+// machine decided to send.
 func (l *loop) send(ctx context.Context, w work, call upstream.Call) upstream.Result {
 	submit, ok := w.(*submitWork)
 	if !ok {
 		return l.options.Upstream.Do(ctx, call)
 	}
-	left, refusal := submit.take()
+	remaining, refusal := submit.acquirePermit()
 	if refusal != nil {
 		return upstream.Result{Outcome: refusal.Outcome, Reason: refusal.Reason, Load: -1}
 	}
-	call.TimeLeft = left
+	call.TimeLeft = remaining
 	result := l.options.Upstream.Do(ctx, call)
-	submit.ended(result.Outcome)
+	submit.releasePermit(result.Outcome)
 	return result
 }
 
-func (w *submitWork) take() (time.Duration, *once.Refusal) {
+func (w *submitWork) acquirePermit() (time.Duration, *once.Refusal) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.permit.Acquire(w.now(), w.owns())
 }
 
-func (w *submitWork) ended(outcome core.Outcome) {
+func (w *submitWork) releasePermit(outcome core.Outcome) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.permit.ReleaseIfNotRun(outcome)
 }
 
-func (w *submitWork) capped(outcome core.Outcome) core.Outcome {
+func (w *submitWork) reportable(outcome core.Outcome) core.Outcome {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.permit.ReportableOutcome(outcome)
@@ -165,28 +167,28 @@
 
 func (w *submitWork) settle(result upstream.Result, _ int) {
 	message := &peerpb.SubmitReply{
-		Outcome:      uint32(w.capped(result.Outcome)),
+		Outcome:      uint32(w.reportable(result.Outcome)),
 		Code:         string(result.Reason),
 		Payload:      result.Payload,
 		RetryAfterMs: uint64(result.RetryAfter.Milliseconds()),
 	}
 	if len(message.Payload) > maxSubmitReplyBytes {
 		message.Payload = nil
-		message.Message = "the payload was too large to pass on"
+		message.Message = "the reply payload exceeds 2 MiB and was dropped"
 	}
 	w.reply(message)
 }
 
 func (w *submitWork) refuse(reason core.Reason, retryAfter time.Duration) {
 	w.reply(&peerpb.SubmitReply{
-		Outcome:      uint32(w.capped(core.NotRun)),
+		Outcome:      uint32(w.reportable(core.NotRun)),
 		Code:         string(reason),
 		RetryAfterMs: uint64(retryAfter.Milliseconds()),
 	})
 }
 
-// reply answers the home. On this hop the code is a core.Reason.
+// reply answers the home. Between owner and home, Code holds a core.Reason.
 func (w *submitWork) reply(message *peerpb.SubmitReply) {
-	w.leave()
+	w.end()
 	w.inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_SubmitReply{SubmitReply: message}}, true)
 }
--- a/internal/owner/submit_test.go
+++ b/internal/owner/submit_test.go
@@ -15,9 +15,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// An owner is paused after it chose a replica for an invoice and before it sends.
-// When it wakes the time is over, or the shard has another owner: it must not
-// send, and "not run" is true.
+// An owner is paused between choosing a replica for a must-not-repeat request and
+// sending it. After the pause the deadline has passed, or the shard has another owner:
+// the owner must not send the request, and reports "not run".
 func TestAPausedOwnerDoesNotSend(t *testing.T) {
 	u, err := standin.StartUpstream("127.0.0.1:0", standin.Behaviour{Versions: []uint64{1}})
 	require.NoError(t, err)
@@ -39,7 +39,7 @@
 			continue
 		}
 		require.Equal(t, core.NotRun, result.Outcome)
-		require.Equal(t, core.NotRun, w.capped(result.Outcome))
+		require.Equal(t, core.NotRun, w.reportable(result.Outcome))
 	}
 	require.Equal(t, map[string]int{"k.k": 1}, u.Submits())
 }
@@ -55,18 +55,18 @@
 	}
 }
 
-// An owner stops as planned with an invoice at its upstream. The stop waits for
-// the end and takes no new one.
+// An owner is stopped as planned while a must-not-repeat request is in flight. The stop
+// waits for its end, and new requests are refused.
 func TestAStoppingOwnerFinishesItsSubmits(t *testing.T) {
-	var s submits
-	require.True(t, s.enter())
+	var s submitTracker
+	require.True(t, s.begin())
 	idle := s.drain()
-	require.False(t, s.enter())
+	require.False(t, s.begin())
 	select {
 	case <-idle:
-		t.Fatal("the stop did not wait")
+		t.Fatal("drain did not wait for the request in flight")
 	default:
 	}
-	s.leave()
+	s.end()
 	<-idle
 }
