--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry is the role that takes a caller's question: it plans, scatters
-// to the owners, gathers and reports coverage.
+// Package entry implements the entry role. An entry receives queries from callers,
+// plans them, sends them to the owners of the shards, gathers the parts and reports
+// the coverage of the answer.
 package entry
 
 import (
@@ -30,32 +31,32 @@
 	ringDepth    = 8192
 	retryPause   = 10 * time.Millisecond
 	maxTries     = 3
-	// maxReroutes lets a shard be asked again for about 0.3 s while views or
-	// texts of two nodes differ: 10 ms, doubled each time.
+	// maxReroutes allows a shard to be asked again for about 0.3 s while the views or
+	// configurations of two nodes differ: the delay is 10 ms, doubled each time.
 	maxReroutes = 5
 	maxSwitches = 3
 	maxReplans  = 2
-	// fallbackShare and reserveShare are the parts of a question's time after
-	// which an owner counts as silent, and in which no version is changed.
-	fallbackShare = 4
-	reserveShare  = 8
-	decimal       = 10
+	// An owner counts as silent after timeout/fallbackDivisor. In the last
+	// timeout/reserveDivisor of a query its version is not switched.
+	fallbackDivisor = 4
+	reserveDivisor  = 8
+	decimal         = 10
 )
 
-// Query is a caller's question to a service.
+// Query is a caller's query to a service.
 type Query struct {
 	Service  string
 	Customer core.Customer
 	Body     json.RawMessage
-	// Timeout is the time the caller gives; 0 takes the service's.
+	// Timeout is how long the caller waits; 0 means the timeout of the service.
 	Timeout       time.Duration
 	LeastCoverage float64
 	Preference    query.Preference
-	// RequestID is the caller's own id, or empty.
+	// RequestID is the caller's ID of the request; if it is empty, the entry assigns one.
 	RequestID string
 }
 
-// Result is the answer with what the entry adds.
+// Result is the answer to a query with details that the entry adds.
 type Result struct {
 	query.Answer
 	RequestID string
@@ -64,26 +65,26 @@
 	Elapsed   time.Duration
 }
 
-// Options are the parts of an Entry.
+// Options are the dependencies and settings of an Entry.
 type Options struct {
 	Self        core.NodeID
 	Incarnation uint64
 	Belief      *belief.Store
 	Peers       peer.Asker
-	// Now reads the node's monotonic clock.
+	// Now returns the time on the node's monotonic clock.
 	Now      func() core.Time
 	Log      logrus.FieldLogger
 	Problems *observe.Problems
 	Metrics  observe.Registry
-	// Assessor, when set, returns the standings of questions that may end replicas.
+	// Assessor returns the standings of queries that may end replicas; it may be nil.
 	Assessor quarantine.Assessor
-	// Limits bound the requests in work; zero values take the defaults.
+	// Limits bound the requests in flight; zero values mean the defaults.
 	Limits entrylimit.Config
-	// ringDepth is the depth of each loop's ring, in events; 0 takes the default.
+	// ringDepth is the capacity of each loop's ring in events; 0 means the default.
 	ringDepth int
 }
 
-// Entry runs the entry's duty on a fixed number of goroutines.
+// Entry runs the entry role on a fixed number of goroutines.
 type Entry struct {
 	options Options
 	loops   []*loop
@@ -94,7 +95,7 @@
 	metrics *meters
 }
 
-// New starts an entry; Close ends it.
+// New starts an entry. It runs until Close.
 func New(options Options) *Entry {
 	if options.ringDepth == 0 {
 		options.ringDepth = ringDepth
@@ -114,16 +115,16 @@
 	return entry
 }
 
-// Close ends the duty. Ask must not be called any longer.
+// Close stops the entry. Ask must not be called after it.
 func (e *Entry) Close() {
 	e.stop()
 	e.done.Wait()
 }
 
-// InFlight is the number of callers' requests in work.
-func (e *Entry) InFlight() int { return e.limiter.total() }
+// InFlight returns the number of callers' requests in flight.
+func (e *Entry) InFlight() int { return e.limiter.inFlight() }
 
-// Rings reports the depth of each loop's ring.
+// Rings returns the statistics of each loop's event ring.
 func (e *Entry) Rings() []ring.Stats {
 	stats := make([]ring.Stats, 0, len(e.loops))
 	for _, l := range e.loops {
@@ -132,123 +133,125 @@
 	return stats
 }
 
-// Ask answers a question. Its error is a *fault.Error with outcome not run; a
-// thin answer is not an error.
-func (e *Entry) Ask(ctx context.Context, question Query) (*Result, error) {
+// Ask runs a query and returns its answer. A query that was refused returns a
+// *fault.Error with outcome not run. An incomplete answer is not an error.
+func (e *Entry) Ask(ctx context.Context, q Query) (*Result, error) {
 	config := e.options.Belief.Config()
 	if config == nil {
-		return nil, fault.NotRun(fault.CodeNotReady, "no configuration is in force yet", "ask another entry")
+		return nil, fault.NotRun(fault.CodeNotReady, "no configuration is in force yet", "retry at another entry")
 	}
 	if e.options.Belief.Paused() {
 		return nil, pausedRefusal()
 	}
-	service, err := resolveService(config.Catalog, question)
+	service, err := resolveService(config.Catalog, q)
 	if err != nil {
 		return nil, err
 	}
-	customer, err := resolveCustomer(config.Catalog, question)
+	customer, err := resolveCustomer(config.Catalog, q)
 	if err != nil {
 		return nil, err
 	}
-	if question.Timeout < 0 {
-		return nil, fault.NotRun(fault.CodePastDeadline, "the deadline has passed", "give more time")
+	if q.Timeout < 0 {
+		return nil, fault.NotRun(fault.CodePastDeadline, "the deadline has passed", "use a longer timeout")
 	}
-	if question.Timeout == 0 {
-		question.Timeout = service.Timeout
+	if q.Timeout == 0 {
+		q.Timeout = service.Timeout
 	}
-	if err := e.limiter.enter(customer); err != nil {
+	if err := e.limiter.acquire(customer); err != nil {
 		e.metrics.refused.Inc(1)
 		return nil, err
 	}
 	started := e.options.Now()
-	defer func() { e.limiter.leave(customer.Name, e.options.Now()-started) }()
-	e.metrics.questions.Inc(1)
-	return e.run(ctx, config, service.Index, question)
+	defer func() { e.limiter.release(customer.Name, e.options.Now()-started) }()
+	e.metrics.queries.Inc(1)
+	return e.run(ctx, config, service.Index, q)
 }
 
-// Admit takes a place for a request that another duty of this node runs, such as
-// a submit; leave must be called at its end. The error is that of a query which
-// finds no place. A customer that this node's text does not list is only bound
-// to its share of the places: whoever runs the request judges it.
-func (e *Entry) Admit(name core.Customer) (leave func(), err error) {
+// Admit counts a request that another role of this node runs, such as a submit, against
+// the entry's limits. release must be called at the end of the request. The error is
+// the same as for a query over the limits. A customer that this node's configuration
+// does not list is limited only to its share: the node that runs the request decides
+// whether to accept the customer.
+func (e *Entry) Admit(name core.Customer) (release func(), err error) {
 	customer := catalog.Customer{Name: name, InFlight: math.MaxInt}
 	if config := e.options.Belief.Config(); config != nil {
 		if listed, known := config.Catalog.Customer(name); known {
 			customer = listed
 		}
 	}
-	if err := e.limiter.enter(customer); err != nil {
+	if err := e.limiter.acquire(customer); err != nil {
 		e.metrics.refused.Inc(1)
 		return nil, err
 	}
 	started := e.options.Now()
-	return func() { e.limiter.leave(customer.Name, e.options.Now()-started) }, nil
+	return func() { e.limiter.release(customer.Name, e.options.Now()-started) }, nil
 }
 
-// pausedRetryAfter is when a node that confirms its beliefs is likely done.
+// pausedRetryAfter is the usual time until a paused node has confirmed its state.
 const pausedRetryAfter = 100 * time.Millisecond
 
-// pausedRefusal turns a question away while this node confirms what it believes.
+// pausedRefusal returns the error for a query that arrives while this node confirms its
+// state after a pause.
 func pausedRefusal() error {
 	return &fault.Error{
 		Code:       fault.CodeNotReady,
 		Outcome:    core.NotRun,
-		Message:    "the process stood still and confirms its beliefs",
-		Fix:        "ask another entry, or come back",
+		Message:    "the process was paused and is confirming its view and configuration",
+		Fix:        "retry at another entry, or later",
 		RetryAfter: pausedRetryAfter,
 	}
 }
 
-// resolveService finds the service asked; only one that may be repeated can be
-// queried, as a query is retried.
-func resolveService(text *catalog.Catalog, question Query) (*catalog.Service, error) {
-	service := text.Services[question.Service]
+// resolveService returns the queried service. Only an idempotent service can be queried,
+// because a query may be retried.
+func resolveService(cat *catalog.Catalog, q Query) (*catalog.Service, error) {
+	service := cat.Services[q.Service]
 	if service == nil {
-		return nil, fault.NotRun(fault.CodeUnknownService, "service "+strconv.Quote(question.Service)+" is not in the text", "see pistachiopier check --explain")
+		return nil, fault.NotRun(fault.CodeUnknownService, "service "+strconv.Quote(q.Service)+" is not in the configuration", "see pistachiopier check --explain")
 	}
 	if !service.Idempotent {
-		return nil, fault.NotRun(fault.CodeWrongMethod, "service "+question.Service+" must not be repeated", "use /v1/submit/"+question.Service)
+		return nil, fault.NotRun(fault.CodeWrongMethod, "requests to service "+q.Service+" must not be repeated", "use /v1/submit/"+q.Service)
 	}
 	return service, nil
 }
 
-func resolveCustomer(text *catalog.Catalog, question Query) (catalog.Customer, error) {
-	customer, known := text.Customer(question.Customer)
+func resolveCustomer(cat *catalog.Catalog, q Query) (catalog.Customer, error) {
+	customer, known := cat.Customer(q.Customer)
 	if !known {
-		return customer, fault.NotRun(fault.CodeUnknownCustomer, "customer "+strconv.Quote(string(question.Customer))+" is not in the text", "add the customer to the text")
+		return customer, fault.NotRun(fault.CodeUnknownCustomer, "customer "+strconv.Quote(string(q.Customer))+" is not in the configuration", "add the customer to the configuration")
 	}
 	return customer, nil
 }
 
-func (e *Entry) run(ctx context.Context, config *belief.Config, index string, question Query) (*Result, error) {
+func (e *Entry) run(ctx context.Context, config *belief.Config, index string, q Query) (*Result, error) {
 	id := e.next.Add(1)
-	if question.RequestID == "" {
-		question.RequestID = string(e.options.Self) + "-" + strconv.FormatUint(e.options.Incarnation, 36) + "-" + strconv.FormatUint(id, decimal)
+	if q.RequestID == "" {
+		q.RequestID = string(e.options.Self) + "-" + strconv.FormatUint(e.options.Incarnation, 36) + "-" + strconv.FormatUint(id, decimal)
 	}
 	started := e.options.Now()
-	answers := make(chan answered, 1)
+	results := make(chan askResult, 1)
 	l := e.loops[id%uint64(len(e.loops))]
-	begun := begun{
+	received := queryReceived{
 		id:       id,
-		question: question,
+		query:    q,
 		config:   config,
-		deadline: started + question.Timeout,
-		answers:  answers,
+		deadline: started + q.Timeout,
+		results:  results,
 	}
-	if !l.events.TryPut(begun) {
+	if !l.events.TryPut(received) {
 		e.metrics.refused.Inc(1)
-		return nil, e.limiter.ringFull()
+		return nil, e.limiter.ringFullError()
 	}
-	stop := context.AfterFunc(ctx, func() { _ = l.events.Put(l.ctx, stepped{id: id, event: query.Cancelled{}}) })
+	stop := context.AfterFunc(ctx, func() { _ = l.events.Put(l.ctx, queryEvent{id: id, event: query.Cancelled{}}) })
 	defer stop()
 	select {
-	case answer := <-answers:
-		if answer.refused != nil {
+	case result := <-results:
+		if result.refused != nil {
 			e.metrics.refused.Inc(1)
-			return nil, answer.refused
+			return nil, result.refused
 		}
-		return &Result{Answer: answer.Answer, RequestID: question.RequestID, Index: index, Revision: answer.revision, Elapsed: e.options.Now() - started}, nil
+		return &Result{Answer: result.Answer, RequestID: q.RequestID, Index: index, Revision: result.revision, Elapsed: e.options.Now() - started}, nil
 	case <-l.ctx.Done():
-		return nil, &fault.Error{Code: fault.CodeLost, Outcome: core.Unknown, Message: "the entry was stopped", Fix: "ask another entry"}
+		return nil, &fault.Error{Code: fault.CodeLost, Outcome: core.Unknown, Message: "the entry was stopped before the query was answered", Fix: "retry at another entry"}
 	}
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -26,8 +26,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// config is a text of one service, prices, with the given number of shards in
-// bundles of two or more; customer chef may have one request in flight.
+// config returns a configuration of one service, prices, with the given number of shards
+// and a bundle size of 4. Customer chef may have one request in flight.
 func config(t *testing.T, revision uint64, shards int) *belief.Config {
 	t.Helper()
 	var b strings.Builder
@@ -36,15 +36,16 @@
 	for i := range shards {
 		fmt.Fprintf(&b, "      - replicas: [{address: \"127.0.0.1:%d\"}]\n", 9000+i)
 	}
-	text, err := catalog.Parse([]byte(b.String()))
+	parsed, err := catalog.Parse([]byte(b.String()))
 	require.NoError(t, err)
-	return &belief.Config{Revision: revision, Catalog: text}
+	return &belief.Config{Revision: revision, Catalog: parsed}
 }
 
-// owners answers the entry's messages by a function, whichever node is asked.
+// owners is a peer.Asker that answers all requests with one function, regardless of the
+// target.
 type owners func(request *peerpb.BundleRequest, sink peer.Sink)
 
-// nodes answers by the node that is asked.
+// nodes is a peer.Asker that answers by target node.
 type nodes map[core.NodeID]owners
 
 // Ask implements peer.Asker.
@@ -74,7 +75,7 @@
 	}}}
 }
 
-// answerAll answers each shard but those that the function refuses.
+// answerAll answers each requested shard, except those for which refuse returns a reason.
 func answerAll(refuse func(*peerpb.ShardAsk) core.Reason) owners {
 	return func(request *peerpb.BundleRequest, sink peer.Sink) {
 		for i, ask := range request.GetAsks() {
@@ -95,18 +96,18 @@
 	metrics  observe.Registry
 }
 
-func start(t *testing.T, first *belief.Config, peers peer.Asker, alter ...func(*Options)) *fixture {
+func start(t *testing.T, first *belief.Config, peers peer.Asker, change ...func(*Options)) *fixture {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	began := time.Now()
-	now := func() core.Time { return time.Since(began) }
+	started := time.Now()
+	now := func() core.Time { return time.Since(started) }
 	f := &fixture{belief: belief.NewStore(), problems: observe.NewProblems(now), metrics: observe.NewRegistry()}
 	f.belief.SetConfig(first)
 	f.belief.SetView(route.NewView([]route.Node{{ID: "vm-1"}}))
 	options := Options{Self: "vm-1", Belief: f.belief, Peers: peers, Now: now, Log: log, Problems: f.problems, Metrics: f.metrics}
-	for _, one := range alter {
-		one(&options)
+	for _, apply := range change {
+		apply(&options)
 	}
 	f.Entry = New(options)
 	t.Cleanup(f.Close)
@@ -122,10 +123,10 @@
 	return result
 }
 
-// A supervisor's list would miss half a catalogue and call itself whole: the
-// service is split from two shards into four while the question is planned by
-// the old text, and shard 0 of two is not shard 0 of four. The owner, which has
-// the new text, refuses; the entry must plan anew and ask all four.
+// Guards against an incomplete answer that counts as complete. The service is split from
+// two shards into four while a query is planned with the old configuration, and shard 0
+// of two holds other data than shard 0 of four. The owner has the new configuration and
+// refuses; the entry must replan and ask all four shards.
 func TestAServiceRepartitionedMidQuestionIsAskedAnew(t *testing.T) {
 	var f *fixture
 	after := config(t, 2, 4)
@@ -144,18 +145,18 @@
 	require.EqualValues(t, 1, f.count("entry_replans_total"))
 }
 
-// The owner has a newer text that this node never gets in time. The answer is
-// thin and says why, long before the deadline.
+// The owner has a newer configuration that this node does not receive in time. The answer
+// is incomplete, gives the reason, and is sent long before the deadline.
 func TestARepartitionNotYetSeenHereEndsThin(t *testing.T) {
 	f := start(t, config(t, 1, 2), answerAll(func(*peerpb.ShardAsk) core.Reason { return core.ReasonLayout }))
 	result := f.ask(t)
 	require.Zero(t, result.Coverage.Answered)
 	require.Equal(t, core.ReasonLayout, result.Coverage.Missing[0].Reason)
-	require.Empty(t, result.Reason, "the deadline was not waited for")
+	require.Empty(t, result.Reason, "the entry must not wait for the deadline")
 }
 
-// A thin list went unnoticed overnight. The problem must stand while answers
-// lack the service's shard, and go once one is whole.
+// Guards against incomplete answers that no operator notices. The thin service must be
+// reported while its shard is missing from answers, and cleared after a complete one.
 func TestAThinServiceIsReportedUntilWhole(t *testing.T) {
 	var broken atomic.Bool
 	f := start(t, config(t, 1, 3), answerAll(func(ask *peerpb.ShardAsk) core.Reason {
@@ -179,10 +180,10 @@
 	require.Empty(t, f.problems.List())
 }
 
-// An operator mends the shard, sees whole answers and still finds the problem
-// listed: the questions went to other loops than the thin one's, and each loop
-// knew only its own reports. One whole answer must clear it, on whichever loop.
-func TestOneWholeAnswerClearsAThinService(t *testing.T) {
+// Guards against a problem that stays listed after the shard has recovered: each loop
+// knew only its own reports, and complete answers on other loops did not clear them. One
+// complete answer on any loop must clear the report.
+func TestOneCompleteAnswerClearsAThinService(t *testing.T) {
 	var broken atomic.Bool
 	f := start(t, config(t, 1, 3), answerAll(func(ask *peerpb.ShardAsk) core.Reason {
 		if broken.Load() && ask.GetShard() == 2 {
@@ -198,12 +199,12 @@
 		require.Len(t, f.problems.List(), 1)
 		broken.Store(false)
 		f.ask(t)
-		require.Empty(t, f.problems.List(), "after %d thin answers", thin)
+		require.Empty(t, f.problems.List(), "after %d incomplete answers", thin)
 	}
 }
 
-// An owner ends its reply after the first of two shards. Without a guard the
-// other shard is waited for until the deadline although nothing can come.
+// An owner ends its reply after the first of two shards. The entry must ask for the other
+// shard again at once, not wait for it until the deadline.
 func TestACutReplyIsAskedAgainAtOnce(t *testing.T) {
 	var messages atomic.Int64
 	f := start(t, config(t, 1, 2), owners(func(request *peerpb.BundleRequest, sink peer.Sink) {
@@ -219,27 +220,27 @@
 	require.Less(t, result.Elapsed, 5*time.Second)
 }
 
-// Every shard fails and each question is tried again. The retries that the node
-// adds must stay under one bound, not under one for each of its loops: the sick
-// upstreams would get the floor four times over from every node.
-func TestRetriesOfANodeStayUnderOneBound(t *testing.T) {
-	const questions = 60
+// Every shard fails and each query is retried. The retries of the node must stay within
+// one budget. With a budget for each of its four loops, the failing upstreams would get
+// four times the floor from every node.
+func TestRetriesOfANodeStayWithinOneBudget(t *testing.T) {
+	const queries = 60
 	f := start(t, config(t, 1, 1), owners(func(request *peerpb.BundleRequest, sink peer.Sink) {
 		failed := refusal(request.GetAsks()[0], core.ReasonUpstreamFailed, true)
 		failed.GetPart().Outcome = uint32(core.Unknown)
 		sink(failed, nil)
 	}))
 	extra := 0
-	for range questions {
+	for range queries {
 		extra += f.ask(t).Retries
 	}
-	require.LessOrEqual(t, extra, questions/10+budget.DefaultFloor)
+	require.LessOrEqual(t, extra, queries/10+budget.DefaultFloor)
 	require.GreaterOrEqual(t, extra, budget.DefaultFloor)
 }
 
-// A new version was learnt by one loop. The next question, on another loop, must
-// ask for it at once.
-func TestAVersionIsLearntForTheWholeNode(t *testing.T) {
+// One loop has learnt of a new version. The next query runs on another loop and must ask
+// for that version at once.
+func TestVersionsAreSharedBetweenLoops(t *testing.T) {
 	var asked []uint64
 	whole := answerAll(func(*peerpb.ShardAsk) core.Reason { return core.ReasonNone })
 	f := start(t, config(t, 1, 1), owners(func(request *peerpb.BundleRequest, sink peer.Sink) {
@@ -251,8 +252,8 @@
 	require.Equal(t, []uint64{0, 7}, asked)
 }
 
-// A customer over its limit is told so at once, with when to come back.
-func TestOverTheLimitIsRefusedWithAWayBack(t *testing.T) {
+// A customer over its limit is refused at once, with a retry-after time.
+func TestCustomerOverItsLimitIsRefusedWithRetryAfter(t *testing.T) {
 	release := make(chan peer.Sink, 1)
 	asks := make(chan *peerpb.BundleRequest, 1)
 	f := start(t, config(t, 1, 1), owners(func(request *peerpb.BundleRequest, sink peer.Sink) {
@@ -276,10 +277,10 @@
 	require.Zero(t, f.InFlight())
 }
 
-// An operator gives a small VM room for two questions. One customer may hold no
-// more than its share of them, a second one takes the last place, and a third is
-// refused at once; each refusal is counted by its cause.
-func TestThePlacesAreThoseOfTheSettings(t *testing.T) {
+// The settings allow two queries in flight. The first customer is limited to its share,
+// the second one fills the entry, and the third is refused at once. Each refusal is
+// counted under its cause.
+func TestInFlightLimitsAreThoseOfTheSettings(t *testing.T) {
 	asks, release := make(chan *peerpb.BundleRequest, 2), make(chan peer.Sink, 2)
 	f := start(t, config(t, 1, 1), owners(func(request *peerpb.BundleRequest, sink peer.Sink) {
 		asks <- request
@@ -307,9 +308,9 @@
 	require.Zero(t, f.InFlight())
 }
 
-// The owner of a shard has just handed it over. The question must follow to the
-// new owner by the view in force now, not by the one it was planned with.
-func TestNotOwnerIsAskedAgainByTheNewestView(t *testing.T) {
+// The owner of a shard has changed. The query must be rerouted to the new owner with the
+// current view, not the view that it was planned with.
+func TestNotOwnerIsReroutedByTheCurrentView(t *testing.T) {
 	var f *fixture
 	whole := answerAll(func(*peerpb.ShardAsk) core.Reason { return core.ReasonNone })
 	f = start(t, config(t, 1, 2), nodes{
--- a/internal/entry/knowledge.go
+++ b/internal/entry/knowledge.go
@@ -8,44 +8,44 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/query"
 )
 
-// knowledge is what the node's loops have learnt of the shards' versions. It is
-// one for all: with one for each loop, a new version was met four times over.
-type knowledge struct {
+// versionTable holds the index versions that the shards serve. All loops of the node
+// share it: with one table for each loop, each of the four had to learn a new version.
+type versionTable struct {
 	mutex    sync.RWMutex
 	core     *query.ShardVersions
 	revision uint64
 }
 
-func newKnowledge() *knowledge { return &knowledge{core: query.NewShardVersions()} }
+func newVersionTable() *versionTable { return &versionTable{core: query.NewShardVersions()} }
 
-// learn takes a shard's own word. Nearly always it is known already, and then
-// readers go on beside it.
-func (k *knowledge) learn(ref core.ShardRef, serves []core.Version) {
-	k.mutex.RLock()
-	known := k.core.UpToDate(ref, serves)
-	k.mutex.RUnlock()
+// update records the versions that a shard reports. They are almost always known
+// already, and then only the read lock is taken, which does not block other readers.
+func (v *versionTable) update(ref core.ShardRef, serves []core.Version) {
+	v.mutex.RLock()
+	known := v.core.UpToDate(ref, serves)
+	v.mutex.RUnlock()
 	if known {
 		return
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.core.Update(ref, serves)
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	v.core.Update(ref, serves)
 }
 
-func (k *knowledge) preferred(plan *query.Plan) core.Version {
-	k.mutex.RLock()
-	defer k.mutex.RUnlock()
-	return k.core.Preferred(plan)
+func (v *versionTable) preferred(plan *query.Plan) core.Version {
+	v.mutex.RLock()
+	defer v.mutex.RUnlock()
+	return v.core.Preferred(plan)
 }
 
-// retain forgets the shards that a newer text no longer lists, once for each
-// revision; a loop that still holds an older text forgets nothing by it.
-func (k *knowledge) retain(config *belief.Config) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if config.Revision <= k.revision {
+// retain removes the shards that a newer configuration no longer lists, once for each
+// revision. It ignores the older configuration of a loop that has not caught up.
+func (v *versionTable) retain(config *belief.Config) {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	if config.Revision <= v.revision {
 		return
 	}
-	k.revision = config.Revision
-	k.core.Retain(func(ref core.ShardRef) bool { return config.Catalog.Shard(ref) != nil })
+	v.revision = config.Revision
+	v.core.Retain(func(ref core.ShardRef) bool { return config.Catalog.Shard(ref) != nil })
 }
--- a/internal/entry/limiter.go
+++ b/internal/entry/limiter.go
@@ -14,11 +14,11 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// limiter shares the entry's places between the callers' goroutines.
+// limiter makes an entrylimit.Limiter safe for concurrent use and counts its refusals.
 type limiter struct {
 	mutex sync.Mutex
 	core  *entrylimit.Limiter
-	// refused counts the refusals by verdict.
+	// refused counts the refusals, by decision.
 	refused map[entrylimit.Decision]metrics.Counter
 }
 
@@ -28,40 +28,41 @@
 		entrylimit.ShareExceeded:        observe.Counter(registry, "entry_refused_share_total"),
 		entrylimit.Full:                 observe.Counter(registry, "entry_refused_full_total"),
 	}}
-	observe.Watch(registry, "entry_in_flight", func() int64 { return int64(l.total()) })
+	observe.Watch(registry, "entry_in_flight", func() int64 { return int64(l.inFlight()) })
 	return l
 }
 
-// enter takes a place, or says what to do instead. leave must follow a nil.
-func (l *limiter) enter(customer catalog.Customer) error {
+// acquire admits a request or returns the error to send to the caller. If it returns
+// nil, release must be called at the end of the request.
+func (l *limiter) acquire(customer catalog.Customer) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	verdict := l.core.Acquire(customer.Name, customer.InFlight)
-	if counter := l.refused[verdict]; counter != nil {
+	decision := l.core.Acquire(customer.Name, customer.InFlight)
+	if counter := l.refused[decision]; counter != nil {
 		counter.Inc(1)
 	}
-	switch verdict {
+	switch decision {
 	case entrylimit.CustomerLimitReached:
-		return l.overloaded("the customer has "+strconv.Itoa(customer.InFlight)+" requests in flight here, its limit", "come back later or raise in_flight in the text")
+		return l.overloaded("the customer has reached its limit of "+strconv.Itoa(customer.InFlight)+" requests in flight at this entry", "retry later or raise in_flight in the configuration")
 	case entrylimit.ShareExceeded:
-		return l.overloaded("the customer holds its share of this entry", "come back later or spread the requests over all entries")
+		return l.overloaded("the customer has reached its share of the requests in flight at this entry", "retry later or spread the requests over all entries")
 	case entrylimit.Full:
-		return l.overloaded("the entry has "+strconv.Itoa(l.core.InFlight())+" requests in flight, its limit", "ask another entry")
+		return l.overloaded("the entry has reached its limit with "+strconv.Itoa(l.core.InFlight())+" requests in flight", "retry at another entry")
 	default:
 		return nil
 	}
 }
 
-func (l *limiter) leave(customer core.Customer, took time.Duration) {
+func (l *limiter) release(customer core.Customer, took time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.core.Release(customer, took)
 }
 
-func (l *limiter) ringFull() error {
+func (l *limiter) ringFullError() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.overloaded("the entry's ring is full", "ask another entry")
+	return l.overloaded("the event queue of the entry is full", "retry at another entry")
 }
 
 func (l *limiter) overloaded(message, fix string) error {
@@ -74,7 +75,7 @@
 	}
 }
 
-func (l *limiter) total() int {
+func (l *limiter) inFlight() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.core.InFlight()
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -17,71 +17,72 @@
 	"github.com/pistachiopier/pistachiopier/internal/sharedbudget"
 )
 
-// event is what a loop's ring carries.
+// event is an element of a loop's ring.
 type event interface{ isEvent() }
 
-// begun hands a new question to its loop.
-type begun struct {
+// queryReceived passes a new query to its loop.
+type queryReceived struct {
 	id       uint64
-	question Query
+	query    Query
 	config   *belief.Config
 	deadline core.Time
-	answers  chan<- answered
+	results  chan<- askResult
 }
 
-// answered is a question's answer and the text that it was drawn by.
-type answered struct {
+// askResult is the result of one call of Entry.Ask. revision is that of the configuration
+// that the answer was planned with.
+type askResult struct {
 	query.Answer
 	revision uint64
-	// refused is the error of a question that was refused and not run.
+	// refused is the error of a query that was refused and not run.
 	refused error
 }
 
-// stepped is an event for one question's machine.
-type stepped struct {
+// queryEvent is an event for the machine of one query.
+type queryEvent struct {
 	id    uint64
 	event query.Event
-	// plan is the one that the event's shards are counted by; nil is none.
+	// plan is the plan that the need indexes of the event refer to; it may be nil.
 	plan *query.Plan
 }
 
-func (begun) isEvent()   {}
-func (stepped) isEvent() {}
+func (queryReceived) isEvent() {}
+func (queryEvent) isEvent()    {}
 
-// shared is what a node's loops have in common; each part is safe for
-// concurrent use.
+// shared is the state that all loops of a node share. Each field is safe for concurrent
+// use.
 type shared struct {
-	metrics   *meters
-	thin      *thinWatch
-	budget    *sharedbudget.Group
-	knowledge *knowledge
+	metrics  *meters
+	thin     *thinReporter
+	budget   *sharedbudget.Group
+	versions *versionTable
 }
 
 func newShared(options Options) *shared {
 	return &shared{
-		metrics:   newMeters(options.Metrics),
-		thin:      newThinWatch(options.Problems),
-		budget:    sharedbudget.New(budget.GroupConfig{}),
-		knowledge: newKnowledge(),
+		metrics:  newMeters(options.Metrics),
+		thin:     newThinReporter(options.Problems),
+		budget:   sharedbudget.New(budget.GroupConfig{}),
+		versions: newVersionTable(),
 	}
 }
 
-// loop is one goroutine's share of the questions.
+// loop handles a subset of the queries on one goroutine.
 type loop struct {
 	*shared
 	options Options
 	ctx     context.Context
 	events  *ring.Ring[event]
 	alarms  *alarm.Alarms[uint64]
-	open    map[uint64]*open
-	plans   plans
-	// own are events that this goroutine made itself; see replies.
-	own []stepped
+	open    map[uint64]*openQuery
+	plans   planCache
+	// ownEvents are events that this goroutine has created itself; see replySink.
+	ownEvents []queryEvent
 }
 
-// open is one question being answered.
-type open struct {
-	begun
+// openQuery is a query that is not yet answered.
+type openQuery struct {
+	queryReceived
 	machine *query.Machine
 	tickets map[query.SendID]peer.Ticket
 }
@@ -93,7 +94,7 @@
 		ctx:     ctx,
 		events:  ring.New[event](options.ringDepth),
 		alarms:  alarm.New[uint64](),
-		open:    map[uint64]*open{},
+		open:    map[uint64]*openQuery{},
 	}
 }
 
@@ -114,52 +115,53 @@
 		for _, id := range l.alarms.Pop(l.options.Now()) {
 			l.step(id, query.Woken{})
 		}
-		l.drainOwn()
+		l.handleOwnEvents()
 	}
 }
 
-// drainOwn handles the loop's own events, and those that they lead to, in order.
-func (l *loop) drainOwn() {
-	for i := 0; i < len(l.own); i++ {
-		l.handle(l.own[i])
+// handleOwnEvents handles the loop's own events, and those that result from them, in
+// order.
+func (l *loop) handleOwnEvents() {
+	for i := 0; i < len(l.ownEvents); i++ {
+		l.handle(l.ownEvents[i])
 	}
-	clear(l.own)
-	l.own = l.own[:0]
+	clear(l.ownEvents)
+	l.ownEvents = l.ownEvents[:0]
 }
 
 func (l *loop) handle(e event) {
 	switch e := e.(type) {
-	case begun:
+	case queryReceived:
 		l.begin(e)
-	case stepped:
-		l.learn(e)
+	case queryEvent:
+		l.recordVersions(e)
 		l.step(e.id, e.event)
 	}
 }
 
-func (l *loop) begin(e begun) {
-	plan := l.plan(e.config, e.question.Service)
-	precautions := l.precautions(plan, e.question)
-	if refused := refuseSetAside(plan, precautions, e.question.LeastCoverage); refused != nil {
+func (l *loop) begin(e queryReceived) {
+	plan := l.plan(e.config, e.query.Service)
+	precautions := l.precautions(plan, e.query)
+	if refused := refuseSetAside(plan, precautions, e.query.LeastCoverage); refused != nil {
 		l.metrics.setAside.Inc(1)
-		e.answers <- answered{refused: refused}
+		e.results <- askResult{refused: refused}
 		return
 	}
-	l.open[e.id] = &open{
-		begun: e,
+	l.open[e.id] = &openQuery{
+		queryReceived: e,
 		machine: query.New(plan, query.Options{
 			Deadline:      e.deadline,
-			LeastCoverage: e.question.LeastCoverage,
-			Preference:    e.question.Preference,
-			Preferred:     l.knowledge.preferred(plan),
+			LeastCoverage: e.query.LeastCoverage,
+			Preference:    e.query.Preference,
+			Preferred:     l.versions.preferred(plan),
 			RetryPause:    retryPause,
 			MaxTries:      maxTries,
 			MaxReroutes:   maxReroutes,
 			MaxSwitches:   maxSwitches,
-			SwitchReserve: e.question.Timeout / reserveShare,
+			SwitchReserve: e.query.Timeout / reserveDivisor,
 			MaxReplans:    maxReplans,
-			FallbackAfter: e.question.Timeout / fallbackShare,
-			Budget:        customerBudget{group: l.budget, customer: e.question.Customer},
+			FallbackAfter: e.query.Timeout / fallbackDivisor,
+			Budget:        customerBudget{group: l.budget, customer: e.query.Customer},
 			Precautions:   precautions,
 		}),
 		tickets: map[query.SendID]peer.Ticket{},
@@ -167,7 +169,7 @@
 	l.step(e.id, query.Started{})
 }
 
-// customerBudget is one customer's view of the node's budgets.
+// customerBudget applies the node's budgets to one customer.
 type customerBudget struct {
 	group    *sharedbudget.Group
 	customer core.Customer
@@ -183,28 +185,29 @@
 	return b.group.TryTakeExtra(service, b.customer)
 }
 
-// plan returns a service's plan. With a new text it forgets what the former
-// one alone listed.
+// plan returns the plan of a service. With a new configuration it also removes the state
+// of shards and services that the configuration no longer lists.
 func (l *loop) plan(config *belief.Config, service string) *query.Plan {
 	if l.plans.config != config {
-		l.knowledge.retain(config)
+		l.versions.retain(config)
 		l.thin.retain(func(name string) bool { return config.Catalog.Services[name] != nil })
 	}
 	return l.plans.get(config, service)
 }
 
-// replan offers the question the text in force, when that is not its own.
-func (l *loop) replan(q *open) {
+// replan passes the plan of the configuration in force to the query's machine, if the
+// query was planned with another configuration.
+func (l *loop) replan(q *openQuery) {
 	config := l.options.Belief.Config()
 	if config == q.config {
 		return
 	}
-	plan := l.plan(config, q.question.Service)
+	plan := l.plan(config, q.query.Service)
 	if plan == nil {
 		return
 	}
 	q.config = config
-	l.step(q.id, query.Replanned{Plan: plan, Precautions: l.precautions(plan, q.question)})
+	l.step(q.id, query.Replanned{Plan: plan, Precautions: l.precautions(plan, q.query)})
 }
 
 func (l *loop) step(id uint64, e query.Event) {
@@ -234,49 +237,49 @@
 	}
 }
 
-func (l *loop) finish(q *open, answer query.Answer) {
+func (l *loop) finish(q *openQuery, answer query.Answer) {
 	l.alarms.Clear(q.id)
 	delete(l.open, q.id)
-	l.metrics.answered(&answer)
-	service := q.config.Catalog.Services[q.question.Service]
-	l.thin.answered(q.machine.Plan(), &answer, service == nil || q.question.Timeout < service.Timeout)
-	q.answers <- answered{Answer: answer, revision: q.config.Revision}
+	l.metrics.countAnswer(&answer)
+	service := q.config.Catalog.Services[q.query.Service]
+	l.thin.recordAnswer(q.machine.Plan(), &answer, service == nil || q.query.Timeout < service.Timeout)
+	q.results <- askResult{Answer: answer, revision: q.config.Revision}
 }
 
-// learn keeps what shards say of their versions, also from failed parts. A
-// reply to a former plan's send counts its shards in another order.
-func (l *loop) learn(e stepped) {
+// recordVersions records the versions that shards report, also in failed parts. Replies
+// to sends of an earlier plan are skipped, because their need indexes refer to it.
+func (l *loop) recordVersions(e queryEvent) {
 	q := l.open[e.id]
 	if q == nil || q.machine.Plan() != e.plan {
 		return
 	}
 	switch event := e.event.(type) {
 	case query.PartArrived:
-		l.learnShard(e.plan, event.Need, event.Serves)
+		l.recordShardVersions(e.plan, event.Need, event.Serves)
 	case query.PartFailed:
-		l.learnShard(e.plan, event.Need, event.Serves)
+		l.recordShardVersions(e.plan, event.Need, event.Serves)
 	}
 }
 
-func (l *loop) learnShard(plan *query.Plan, need int, serves []core.Version) {
+func (l *loop) recordShardVersions(plan *query.Plan, need int, serves []core.Version) {
 	if need != noShard {
-		l.knowledge.learn(plan.Needs[need].Ref, serves)
+		l.versions.update(plan.Needs[need].Ref, serves)
 	}
 }
 
-func (l *loop) send(q *open, a query.Send) {
+func (l *loop) send(q *openQuery, a query.Send) {
 	node, ok := l.node(q.config.Catalog, a)
 	if !ok {
-		l.own = append(l.own, stepped{id: q.id, event: query.SendFailed{Send: a.ID, Outcome: core.NotRun, Reason: core.ReasonPeerUnreached}})
+		l.ownEvents = append(l.ownEvents, queryEvent{id: q.id, event: query.SendFailed{Send: a.ID, Outcome: core.NotRun, Reason: core.ReasonPeerUnreached}})
 		return
 	}
 	message := &peerpb.BundleRequest{
-		Customer:       string(q.question.Customer),
-		RequestId:      q.question.RequestID,
+		Customer:       string(q.query.Customer),
+		RequestId:      q.query.RequestID,
 		Bundle:         uint32(a.Bundle),
 		Version:        uint64(a.Version),
 		TimeLeftUs:     uint64(a.TimeLeft.Microseconds()),
-		Question:       q.question.Body,
+		Question:       q.query.Body,
 		View:           l.options.Belief.View().ID(),
 		Rank:           uint32(a.Rank),
 		ConfigRevision: q.config.Revision,
@@ -290,29 +293,29 @@
 	}
 	target := peer.Target{Node: node.ID, Address: node.PeerAddress}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_BundleRequest{BundleRequest: message}}
-	replies := &replies{loop: l, deadline: q.deadline, asking: true}
+	replies := &replySink{loop: l, deadline: q.deadline, asking: true}
 	q.tickets[a.ID] = l.options.Peers.Ask(target, envelope, l.sink(q, a, replies))
-	l.own = append(l.own, replies.asked()...)
+	l.ownEvents = append(l.ownEvents, replies.endAsk()...)
 }
 
-// node finds the node at the send's place of the bundle's order. With direct
-// routing every entry asks itself.
-func (l *loop) node(text *catalog.Catalog, a query.Send) (route.Node, bool) {
-	if text.Policy.Routing == catalog.RoutingDirect {
+// node returns the node at the send's rank in the bundle's owner order. With direct
+// routing each entry sends to itself.
+func (l *loop) node(cat *catalog.Catalog, a query.Send) (route.Node, bool) {
+	if cat.Policy.Routing == catalog.RoutingDirect {
 		return route.Node{ID: l.options.Self}, true
 	}
-	bundle := text.Bundles[a.Bundle]
+	bundle := cat.Bundles[a.Bundle]
 	if bundle == nil {
 		return route.Node{}, false
 	}
 	return l.options.Belief.View().Rank(a.Bundle, bundle.DataCentre, a.Rank)
 }
 
-func (l *loop) ask(q *open, need int, version core.Version) *peerpb.ShardAsk {
+func (l *loop) ask(q *openQuery, need int, version core.Version) *peerpb.ShardAsk {
 	plan := q.machine.Plan()
-	written := plan.Needs[need]
-	service := &plan.Services[written.Service]
-	ask := &peerpb.ShardAsk{Service: written.Ref.Service, Shard: uint32(written.Ref.Shard), Shards: uint32(len(service.Shards))}
+	needed := plan.Needs[need]
+	service := &plan.Services[needed.Service]
+	ask := &peerpb.ShardAsk{Service: needed.Ref.Service, Shard: uint32(needed.Ref.Shard), Shards: uint32(len(service.Shards))}
 	for _, dependency := range service.DependsOn {
 		for _, part := range q.machine.Parts(dependency, version) {
 			ask.Dependencies = append(ask.Dependencies, &peerpb.DependencyPart{
--- a/internal/entry/precautions.go
+++ b/internal/entry/precautions.go
@@ -7,14 +7,14 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// precautions converts the standings of a question at the services and shards of its plan.
-func (l *loop) precautions(plan *query.Plan, question Query) query.Precautions {
+// precautions converts the standings of a query at the services and shards of its plan.
+func (l *loop) precautions(plan *query.Plan, q Query) query.Precautions {
 	var precautions query.Precautions
 	if l.options.Assessor == nil || l.options.Assessor.Empty() {
 		return precautions
 	}
 	overall := l.options.Assessor.Assess(func() corequarantine.Identity {
-		return corequarantine.ClosureQuery(question.Customer, question.Body)
+		return corequarantine.ClosureQuery(q.Customer, q.Body)
 	}, nil)
 	precautions.Suspect = overall.Request == corequarantine.Suspect
 	if overall.Request == corequarantine.SetAside {
@@ -26,7 +26,7 @@
 	for i := range plan.Services {
 		service := &plan.Services[i]
 		assessment := l.options.Assessor.Assess(func() corequarantine.Identity {
-			return corequarantine.ServiceQuery(service.Name, question.Customer, question.Body)
+			return corequarantine.ServiceQuery(service.Name, q.Customer, q.Body)
 		}, l.plans.shardNames(plan, i))
 		if assessment.Request == corequarantine.Suspect {
 			precautions.SuspectServices = addIndex(precautions.SuspectServices, i)
@@ -54,25 +54,25 @@
 	return indexes
 }
 
-// refuseSetAside returns an error if the question is set aside at all shards of the service asked, or at so many shards
+// refuseSetAside returns an error if the query is set aside at all shards of the queried service, or at so many shards
 // that the caller's least coverage cannot be reached, and nil otherwise.
 func refuseSetAside(plan *query.Plan, precautions query.Precautions, least float64) error {
 	if len(precautions.SetAside) == 0 {
 		return nil
 	}
 	asked := plan.Services[len(plan.Services)-1].Shards
-	left := 0
+	remaining := 0
 	for _, need := range asked {
 		if !precautions.SetAside[need] {
-			left++
+			remaining++
 		}
 	}
 	reachable := float64(len(plan.Needs)-len(precautions.SetAside)) / float64(len(plan.Needs))
-	if left > 0 && reachable >= least {
+	if remaining > 0 && reachable >= least {
 		return nil
 	}
 	return &fault.Error{
-		Code: fault.CodeSetAside, Outcome: core.NotRun, Message: "replicas ended under this question each time it ran",
-		Fix: "change the question, or have the service mended", RetryAfter: corequarantine.RetryAfter,
+		Code: fault.CodeSetAside, Outcome: core.NotRun, Message: "replicas ended each time this query ran",
+		Fix: "change the query, or have the service fixed", RetryAfter: corequarantine.RetryAfter,
 	}
 }
--- a/internal/entry/replies.go
+++ b/internal/entry/replies.go
@@ -7,30 +7,30 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// replies brings the events of one send to its loop. A send that fails at once
-// is answered by the loop's own goroutine, inside Ask: it must not wait for a
-// full ring that only it empties. So
+// replySink delivers the events of one send to its loop. If a send fails at once, the
+// event is created on the loop's own goroutine, inside Ask. That goroutine must not wait
+// for a full ring, because it is the only one that reads the ring. Therefore
 //
-//   - what comes while Ask runs is kept aside, and the loop handles it next. It
-//     is bounded: each send of an open question has at most one such event for
+//   - events that arrive while Ask runs are buffered, and the loop handles them next.
+//     Their number is bounded: each send of an open query has at most one such event for
 //     each of its shards;
-//   - what comes later comes from a peer's reader. It waits while the ring is
-//     full, which slows that peer down, but not beyond the question's deadline:
-//     the answer has gone out by then, and the event is dropped and counted.
+//   - later events arrive on the goroutine that reads from the peer. It waits while the
+//     ring is full, which slows that peer down, but not beyond the query's deadline: the
+//     answer has been sent by then, and the event is dropped and counted.
 //
-// Either way the events of one send stay in order: a last part that overtook
-// others would make them look cut.
-type replies struct {
+// In both cases the events of one send stay in order. If the last part overtook others,
+// the reply would look truncated.
+type replySink struct {
 	loop     *loop
 	deadline core.Time
 	mutex    sync.Mutex
 	asking   bool
-	early    []stepped
+	early    []queryEvent
 }
 
-// put takes an event from whichever goroutine.
-func (r *replies) put(e stepped) {
-	if r.keep(e) {
+// put delivers an event. It may be called from any goroutine.
+func (r *replySink) put(e queryEvent) {
+	if r.bufferEarly(e) {
 		return
 	}
 	if r.loop.events.TryPut(e) {
@@ -43,7 +43,8 @@
 	}
 }
 
-func (r *replies) keep(e stepped) bool {
+// bufferEarly buffers an event while Ask runs, and reports whether it did.
+func (r *replySink) bufferEarly(e queryEvent) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.asking {
@@ -52,8 +53,8 @@
 	return r.asking
 }
 
-// asked ends the time of the call to Ask and returns what came in it.
-func (r *replies) asked() []stepped {
+// endAsk must be called when Ask has returned. It returns the buffered events.
+func (r *replySink) endAsk() []queryEvent {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.asking = false
--- a/internal/entry/replies_test.go
+++ b/internal/entry/replies_test.go
@@ -15,48 +15,48 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// The entry is its own owner and answers inside the loop's own call, while the
-// ring is full. The loop must not wait for itself; and when each event was left
-// to a goroutine of its own, the last part overtook others, which then counted
-// as cut and were asked for again.
+// The entry is also the owner and replies inside the loop's own call to Ask, while the
+// ring is full. Guards against a loop that waits for itself, and against reordering: when
+// each event had its own goroutine, the last part overtook others, the reply looked
+// truncated, and those parts were requested again.
 func TestEventsOfTheLoopItselfStayInOrder(t *testing.T) {
 	f := start(t, config(t, 1, 4), answerAll(func(*peerpb.ShardAsk) core.Reason { return core.ReasonNone }), func(o *Options) { o.ringDepth = 1 })
 	for range 50 {
 		result := f.ask(t)
 		require.Equal(t, 4, result.Coverage.Answered)
-		require.Equal(t, bundlesOf(f.belief.Config()), result.Sends, "nothing was asked twice")
+		require.Equal(t, bundlesOf(f.belief.Config()), result.Sends, "no part was requested twice")
 	}
 }
 
 func bundlesOf(config *belief.Config) int { return len(config.Catalog.Bundles) }
 
-// A loop does not keep up and its ring is full. A peer's reader waits for it, in
-// its own goroutine and no longer than the question's caller does.
-func TestAReaderWaitsNoLongerThanTheQuestion(t *testing.T) {
-	began := time.Now()
-	options := Options{Now: func() core.Time { return time.Since(began) }, Metrics: observe.NewRegistry(), ringDepth: 1}
+// The ring of a slow loop is full. The goroutine that reads from a peer waits for the
+// loop, but not beyond the deadline of the query.
+func TestReaderWaitsNoLongerThanTheQuery(t *testing.T) {
+	started := time.Now()
+	options := Options{Now: func() core.Time { return time.Since(started) }, Metrics: observe.NewRegistry(), ringDepth: 1}
 	l := newLoop(context.Background(), options, newShared(options))
-	late := &replies{loop: l, deadline: options.Now() + 20*time.Millisecond}
-	late.put(stepped{id: 1, event: query.Woken{}})
+	late := &replySink{loop: l, deadline: options.Now() + 20*time.Millisecond}
+	late.put(queryEvent{id: 1, event: query.Woken{}})
 	require.Zero(t, l.metrics.undelivered.Count())
-	late.put(stepped{id: 1, event: query.Woken{}})
+	late.put(queryEvent{id: 1, event: query.Woken{}})
 	require.EqualValues(t, 1, l.metrics.undelivered.Count())
 	require.GreaterOrEqual(t, options.Now(), late.deadline)
 
-	waits := &replies{loop: l, deadline: options.Now() + time.Hour}
+	waiting := &replySink{loop: l, deadline: options.Now() + time.Hour}
 	delivered := make(chan struct{})
 	go func() {
 		defer close(delivered)
-		waits.put(stepped{id: 2, event: query.Woken{}})
+		waiting.put(queryEvent{id: 2, event: query.Woken{}})
 	}()
-	require.EqualValues(t, 1, (<-l.events.Items()).(stepped).id)
+	require.EqualValues(t, 1, (<-l.events.Items()).(queryEvent).id)
 	<-delivered
-	require.EqualValues(t, 2, (<-l.events.Items()).(stepped).id)
+	require.EqualValues(t, 2, (<-l.events.Items()).(queryEvent).id)
 }
 
-// No node is live. The loop's own failed sends must end the question without
-// the ring, be it full or not.
-func TestNoNodeEndsThinWithAFullRing(t *testing.T) {
+// No node is live. The events of failed sends must not go through the ring, so the query
+// ends even if the ring is full.
+func TestQueryWithoutLiveNodesEndsWithAFullRing(t *testing.T) {
 	f := start(t, config(t, 1, 4), nodes{}, func(o *Options) { o.ringDepth = 1 })
 	f.belief.SetView(route.NewView(nil))
 	require.Equal(t, core.ReasonPeerUnreached, f.ask(t).Coverage.Missing[0].Reason)
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -9,21 +9,21 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// noShard stands for a shard that the send did not ask for.
+// noShard is the need index of a part for a shard that the send did not request.
 const noShard = -1
 
-// sink turns the replies to a send into events.
-func (l *loop) sink(q *open, a query.Send, replies *replies) peer.Sink {
+// sink returns a function that converts the replies to a send into events.
+func (l *loop) sink(q *openQuery, a query.Send, replies *replySink) peer.Sink {
 	id, plan := q.id, q.machine.Plan()
 	return func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		if event := replyEvent(plan, a, reply, failure); event != nil {
-			replies.put(stepped{id: id, event: event, plan: plan})
+			replies.put(queryEvent{id: id, event: event, plan: plan})
 		}
 	}
 }
 
-// replyEvent makes the event of a reply or of a link's end; nil for a body that
-// a newer peer may send.
+// replyEvent returns the event for a reply or a link failure. It returns nil for an
+// unknown body, which a newer peer may send.
 func replyEvent(plan *query.Plan, a query.Send, reply *peerpb.Envelope, failure *peer.LinkError) query.Event {
 	switch {
 	case failure != nil:
@@ -55,8 +55,8 @@
 	return core.ReasonPeerLost
 }
 
-// partEvent makes the event of a part. One that names none of the send's shards
-// becomes an event for no shard, which the machine drops and counts.
+// partEvent returns the event for a part. A part for a shard that the send did not
+// request gets the need noShard; the machine drops and counts such events.
 func partEvent(plan *query.Plan, a query.Send, part *peerpb.Part, last bool) query.Event {
 	need := findNeed(plan, a, part)
 	var serves []core.Version
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -13,37 +13,38 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// meters are the entry's counters.
+// meters holds the entry's counters.
 type meters struct {
-	questions, refused, setAside     metrics.Counter
-	thin, belowLeast                 metrics.Counter
-	sends, retries, fallbacks        metrics.Counter
-	dropped, switches, replans, lost metrics.Counter
-	// undelivered are events that met a full ring until their question's deadline.
+	queries, refused, setAside            metrics.Counter
+	thin, belowLeastCoverage              metrics.Counter
+	sends, retries, fallbacks             metrics.Counter
+	dropped, switches, replans, cancelled metrics.Counter
+	// undelivered counts events that were dropped because a ring was full until the
+	// deadline of their query.
 	undelivered metrics.Counter
 }
 
 func newMeters(registry observe.Registry) *meters {
 	counter := func(name string) metrics.Counter { return observe.Counter(registry, "entry_"+name+"_total") }
 	return &meters{
-		questions:  counter("questions"),
-		refused:    counter("refused"),
-		setAside:   counter("refused_set_aside"),
-		thin:       counter("answers_thin"),
-		belowLeast: counter("answers_below_least"),
-		sends:      counter("sends"),
-		retries:    counter("retries"),
-		fallbacks:  counter("fallbacks"),
-		dropped:    counter("dropped_replies"),
-		switches:   counter("version_switches"),
-		replans:    counter("replans"),
-		lost:       counter("questions_cancelled"),
+		queries:            counter("questions"),
+		refused:            counter("refused"),
+		setAside:           counter("refused_set_aside"),
+		thin:               counter("answers_thin"),
+		belowLeastCoverage: counter("answers_below_least"),
+		sends:              counter("sends"),
+		retries:            counter("retries"),
+		fallbacks:          counter("fallbacks"),
+		dropped:            counter("dropped_replies"),
+		switches:           counter("version_switches"),
+		replans:            counter("replans"),
+		cancelled:          counter("questions_cancelled"),
 
 		undelivered: counter("events_undelivered"),
 	}
 }
 
-func (m *meters) answered(answer *query.Answer) {
+func (m *meters) countAnswer(answer *query.Answer) {
 	m.sends.Inc(int64(answer.Sends))
 	m.retries.Inc(int64(answer.Retries))
 	m.fallbacks.Inc(int64(answer.Fallbacks))
@@ -51,96 +52,95 @@
 	m.switches.Inc(int64(answer.Switches))
 	m.replans.Inc(int64(answer.Replans))
 	if answer.Reason == core.ReasonCancelled {
-		m.lost.Inc(1)
+		m.cancelled.Inc(1)
 		return
 	}
 	if answer.Coverage.Answered < answer.Coverage.Asked {
 		m.thin.Inc(1)
 	}
 	if answer.BelowLeast {
-		m.belowLeast.Inc(1)
+		m.belowLeastCoverage.Inc(1)
 	}
 }
 
-// thinQuiet is how long a thin service stays reported when no question shows
-// that it still is, or no longer is.
-const thinQuiet = 10 * time.Minute
+// thinReportFor is how long a thin service stays reported while no query uses it.
+const thinReportFor = 10 * time.Minute
 
-// thinWatch reports services whose shards are missing from answers, and clears
-// the report once an answer has them all again. It is one for all loops of the
-// node: with one for each, a whole answer on another loop than the thin one's
-// cleared nothing, and the problem stood long after it was over.
-type thinWatch struct {
+// thinReporter reports thin services, that is services with shards missing from
+// answers, and clears the report once an answer includes all of their shards. All loops
+// of the node share it: with one for each loop, a complete answer on another loop did
+// not clear the report, which stayed long after the fault had ended.
+type thinReporter struct {
 	problems *observe.Problems
 	mutex    sync.Mutex
 	reported map[string]bool
-	// count is the size of reported: whole answers of a healthy node take no lock.
+	// count is the size of reported. If it is 0, complete answers take no lock.
 	count atomic.Int64
 }
 
-func newThinWatch(problems *observe.Problems) *thinWatch {
-	return &thinWatch{problems: problems, reported: map[string]bool{}}
+func newThinReporter(problems *observe.Problems) *thinReporter {
+	return &thinReporter{problems: problems, reported: map[string]bool{}}
 }
 
-// answered takes in one answer to a question by the plan. hasty says that the
-// caller gave less time than the service is written to take.
-func (w *thinWatch) answered(plan *query.Plan, answer *query.Answer, hasty bool) {
+// recordAnswer updates the reports with one answer. shortTimeout tells that the caller's
+// timeout was shorter than the configured timeout of the service.
+func (r *thinReporter) recordAnswer(plan *query.Plan, answer *query.Answer, shortTimeout bool) {
 	if answer.Reason == core.ReasonCancelled {
 		return
 	}
-	if len(answer.Coverage.Missing) == 0 && w.count.Load() == 0 {
+	if len(answer.Coverage.Missing) == 0 && r.count.Load() == 0 {
 		return
 	}
 	missing := map[string]query.Missing{}
 	for _, one := range answer.Coverage.Missing {
 		missing[one.Ref.Service] = one
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	for i := range plan.Services {
-		w.service(plan.Services[i].Name, missing, hasty)
+		r.updateService(plan.Services[i].Name, missing, shortTimeout)
 	}
-	w.count.Store(int64(len(w.reported)))
+	r.count.Store(int64(len(r.reported)))
 }
 
-func (w *thinWatch) service(name string, missing map[string]query.Missing, hasty bool) {
+func (r *thinReporter) updateService(name string, missing map[string]query.Missing, shortTimeout bool) {
 	one, thin := missing[name]
 	switch {
-	case !thin && w.reported[name]:
-		w.clear(name)
-	case thin && !chosen(one.Reason, hasty):
-		w.reported[name] = true
+	case !thin && r.reported[name]:
+		r.clear(name)
+	case thin && !causedByCaller(one.Reason, shortTimeout):
+		r.reported[name] = true
 		detail := fmt.Sprintf("shard %d is missing from answers: %s", one.Ref.Shard, one.Reason)
-		w.problems.ReportFor(observe.KindThinService, name, detail, thinQuiet)
+		r.problems.ReportFor(observe.KindThinService, name, detail, thinReportFor)
 	}
 }
 
-func (w *thinWatch) clear(name string) {
-	delete(w.reported, name)
-	w.problems.Clear(observe.KindThinService, name)
+func (r *thinReporter) clear(name string) {
+	delete(r.reported, name)
+	r.problems.Clear(observe.KindThinService, name)
 }
 
-// chosen reports whether the caller's own choice left the shard out: no fault
-// of the service, and nothing that an operator should be woken for.
-func chosen(reason core.Reason, hasty bool) bool {
+// causedByCaller reports whether a shard is missing because of the caller's own options.
+// That is no fault of the service and must not alert an operator.
+func causedByCaller(reason core.Reason, shortTimeout bool) bool {
 	switch reason {
 	case core.ReasonStraggler, core.ReasonNotAsked:
 		return true
 	case core.ReasonDeadline, core.ReasonDependency:
-		return hasty
+		return shortTimeout
 	default:
 		return false
 	}
 }
 
-// retain clears the reports on services that the text no longer lists.
-func (w *thinWatch) retain(listed func(string) bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for name := range w.reported {
+// retain clears the reports of services that the configuration no longer lists.
+func (r *thinReporter) retain(listed func(string) bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for name := range r.reported {
 		if !listed(name) {
-			w.clear(name)
+			r.clear(name)
 		}
 	}
-	w.count.Store(int64(len(w.reported)))
+	r.count.Store(int64(len(r.reported)))
 }
