--- a/internal/home/handover.go
+++ b/internal/home/handover.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// batchRecords and batchBytes keep a HandoverRequest under the largest
-	// message that peers take.
-	batchRecords = 1000
-	batchBytes   = 1 << 20
+	// maxBatchRecords and maxBatchBytes keep a HandoverRequest below the maximum message
+	// size of the peer protocol.
+	maxBatchRecords = 1000
+	maxBatchBytes   = 1 << 20
 )
 
-// Stop ends the home's work as planned: no new key runs, what runs finishes,
-// then the kept outcomes go to the successors. What is not done by the context's
-// end is left: its keys are "unknown" later, never run again.
+// Stop performs a planned stop: no new key is run, running requests finish, and then the
+// outcomes are sent to the successors. If the context is done earlier, the remaining
+// steps are skipped: the affected keys are answered "unknown" later and never run again.
 func (h *Home) Stop(ctx context.Context) {
 	idle := make(chan struct{})
-	if h.loop.events.Put(ctx, stopped{idle: idle}) != nil {
+	if h.loop.events.Put(ctx, stopRequested{idle: idle}) != nil {
 		return
 	}
 	select {
@@ -32,18 +32,19 @@
 	case <-ctx.Done():
 	}
 	records := make(chan []once.Record, 1)
-	if h.loop.events.Put(ctx, recalled{records: records}) != nil {
+	if h.loop.events.Put(ctx, recordsRequested{records: records}) != nil {
 		return
 	}
 	select {
-	case kept := <-records:
-		h.handOver(ctx, kept)
+	case outcomes := <-records:
+		h.handOver(ctx, outcomes)
 	case <-ctx.Done():
 	}
 }
 
-// handOver sends each record to the successor of the home that issued its key,
-// by this node's view without itself: the view that the entries will have.
+// handOver sends each record to the successor of the home that issued its key. The
+// successor is chosen in this node's view without this node, which is the view that the
+// entries will have.
 func (h *Home) handOver(ctx context.Context, records []once.Record) {
 	view := without(h.options.Belief.View(), h.options.Self)
 	batches := map[core.NodeID][]*peerpb.FinishedOnce{}
@@ -56,50 +57,50 @@
 			batches[node.ID] = append(batches[node.ID], toFinished(record))
 		}
 	}
-	given := h.giveAll(ctx, view, batches)
-	h.options.Log.WithField("event", "outcomes_handed_over").WithField("kept", len(records)).WithField("taken", given).Info("kept outcomes handed over")
+	accepted := h.sendAll(ctx, view, batches)
+	h.options.Log.WithField("event", "outcomes_handed_over").WithField("kept", len(records)).WithField("taken", accepted).Info("outcomes handed over to the successors")
 }
 
-// giveAll sends to all successors at once, so that one that cannot be reached
-// holds none of the others up.
-func (h *Home) giveAll(ctx context.Context, view *route.View, batches map[core.NodeID][]*peerpb.FinishedOnce) int {
-	var taken atomic.Int64
+// sendAll sends to all successors in parallel, so that an unreachable one does not delay
+// the others. It returns the number of accepted records.
+func (h *Home) sendAll(ctx context.Context, view *route.View, batches map[core.NodeID][]*peerpb.FinishedOnce) int {
+	var accepted atomic.Int64
 	var done sync.WaitGroup
 	for id, finished := range batches {
 		node, _ := view.Node(id)
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			taken.Add(int64(h.give(ctx, target(node), finished)))
+			accepted.Add(int64(h.sendRecords(ctx, target(node), finished)))
 		}()
 	}
 	done.Wait()
-	return int(taken.Load())
+	return int(accepted.Load())
 }
 
-// give sends the records in batches and returns how many were taken.
-func (h *Home) give(ctx context.Context, to peer.Target, finished []*peerpb.FinishedOnce) int {
-	taken := 0
+// sendRecords sends records to one node in batches and returns how many were accepted.
+func (h *Home) sendRecords(ctx context.Context, to peer.Target, finished []*peerpb.FinishedOnce) int {
+	accepted := 0
 	for len(finished) > 0 {
 		n := batchLength(finished)
-		taken += h.giveBatch(ctx, to, finished[:n])
+		accepted += h.sendBatch(ctx, to, finished[:n])
 		finished = finished[n:]
 	}
-	return taken
+	return accepted
 }
 
 func batchLength(finished []*peerpb.FinishedOnce) int {
 	size := 0
 	for i, one := range finished {
 		size += len(one.GetReply().GetPayload()) + len(one.GetKey())
-		if i > 0 && (i >= batchRecords || size > batchBytes) {
+		if i > 0 && (i >= maxBatchRecords || size > maxBatchBytes) {
 			return i
 		}
 	}
 	return len(finished)
 }
 
-func (h *Home) giveBatch(ctx context.Context, to peer.Target, finished []*peerpb.FinishedOnce) int {
+func (h *Home) sendBatch(ctx context.Context, to peer.Target, finished []*peerpb.FinishedOnce) int {
 	replies := make(chan int, 1)
 	message := &peerpb.HandoverRequest{Node: string(h.options.Self), Finished: finished}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_HandoverRequest{HandoverRequest: message}}
@@ -110,8 +111,8 @@
 		}
 	})
 	select {
-	case taken := <-replies:
-		return taken
+	case accepted := <-replies:
+		return accepted
 	case <-ctx.Done():
 		ticket.Cancel()
 		return 0
@@ -128,14 +129,14 @@
 	return route.NewView(others)
 }
 
-func (l *loop) inherit(e handedOver) {
+func (l *loop) inherit(e handoverReceived) {
 	var records []once.Record
 	for _, message := range e.inbound.Envelope.GetHandoverRequest().GetFinished() {
 		if record, ok := fromFinished(message); ok {
 			records = append(records, record)
 		}
 	}
-	taken := l.ledger.Inherit(l.options.Now(), records)
-	reply := &peerpb.HandoverReply{Taken: uint32(taken)}
+	accepted := l.ledger.Inherit(l.options.Now(), records)
+	reply := &peerpb.HandoverReply{Taken: uint32(accepted)}
 	e.inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_HandoverReply{HandoverReply: reply}}, true)
 }
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -1,6 +1,6 @@
-// Package home is the role that remembers must-not-repeat requests: it runs
-// each key of its own prefixes at most once and keeps the outcome. It also holds
-// an entry's asks for the outcome of a key.
+// Package home implements the home role for must-not-repeat requests: it runs each key
+// with one of its own prefixes at most once and keeps the outcome. It also contains the
+// entry's part, which requests the outcome of a key from its home.
 package home
 
 import (
@@ -26,23 +26,23 @@
 	secretBytes = 32
 )
 
-// Options are the parts and settings of a Home.
+// Options are the dependencies and settings of a Home.
 type Options struct {
 	Self   core.NodeID
 	Belief *belief.Store
 	Peers  peer.Asker
-	// Now reads the node's monotonic clock.
+	// Now returns the time on the node's monotonic clock.
 	Now    func() core.Time
 	Log    logrus.FieldLogger
 	Limits once.Limits
-	// Assessor, when set, returns the standings of requests that may end replicas.
+	// Assessor returns the standings of requests that may end replicas; it may be nil.
 	Assessor quarantine.Assessor
 	Problems *observe.Problems
-	// Metrics takes the ledger's size; nil takes none.
+	// Metrics receives the size of the ledger; with nil it is not reported.
 	Metrics observe.Registry
 }
 
-// Home runs the home's duty on one goroutine, which owns the ledger.
+// Home runs the home role on one goroutine, which owns the ledger.
 type Home struct {
 	options Options
 	issuer  *once.Issuer
@@ -51,11 +51,11 @@
 	done    sync.WaitGroup
 }
 
-// New starts a home with a secret and an incarnation of its own; Close ends it.
+// New starts a home with a random secret and a random incarnation. It runs until Close.
 func New(options Options) (*Home, error) {
 	var random [secretBytes + 8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return nil, fault.Step("make the home's secret", err)
+		return nil, fault.Step("generate the secret of the home", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	issuer := once.NewIssuer(options.Self, binary.BigEndian.Uint64(random[secretBytes:]), random[:secretBytes])
@@ -68,7 +68,7 @@
 	return h, nil
 }
 
-// Close ends the duty at once; Stop comes before it on a planned stop.
+// Close stops the home at once. For a planned stop, call Stop first.
 func (h *Home) Close() {
 	h.stop()
 	h.done.Wait()
@@ -77,11 +77,11 @@
 // Prefix issues a key prefix.
 func (h *Home) Prefix() string { return h.issuer.Prefix(h.options.Now()) }
 
-// Rings reports the depth of the duty's ring.
+// Rings returns the statistics of the event ring.
 func (h *Home) Rings() []ring.Stats { return []ring.Stats{h.loop.events.Stats()} }
 
-// HandleSubmit takes a SubmitRequest from an entry. A Refusal says only that
-// this ask was not run; what it says of the key comes in a SubmitReply.
+// HandleSubmit handles a SubmitRequest from an entry. A Refusal only means that this
+// message was not processed; the outcome of the key is sent in a SubmitReply.
 func (h *Home) HandleSubmit(inbound *peer.Inbound) {
 	at := h.options.Now()
 	message := inbound.Envelope.GetSubmitRequest()
@@ -90,19 +90,19 @@
 		inbound.Reply(replyEnvelope(faultReply(err)), true)
 		return
 	}
-	if !h.loop.events.TryPut(arrived{inbound: inbound, key: key, at: at}) {
+	if !h.loop.events.TryPut(submitReceived{inbound: inbound, key: key, at: at}) {
 		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
 	}
 }
 
-// HandleHandover takes the outcomes of a home that stops.
+// HandleHandover handles a HandoverRequest with the outcomes of a stopping home.
 func (h *Home) HandleHandover(inbound *peer.Inbound) {
-	if !h.loop.events.TryPut(handedOver{inbound: inbound}) {
+	if !h.loop.events.TryPut(handoverReceived{inbound: inbound}) {
 		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
 	}
 }
 
-// faultReply words a typed failure as a reply.
+// faultReply converts a *fault.Error into a reply.
 func faultReply(err error) once.Reply {
 	typed := fault.As(err)
 	return once.Reply{Outcome: typed.Outcome, Code: typed.Code, Message: typed.Message, RetryAfter: typed.RetryAfter}
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -23,19 +23,19 @@
 
 const (
 	awaitLimit = 10 * time.Second
-	text       = "version: 1\nindexes: [ledger]\nservices:\n  - name: invoices\n    index: ledger\n    idempotent: false\n    shards:\n      - replicas:\n          - {address: \"127.0.0.1:9\", data_centre: dc1}\n"
+	configText       = "version: 1\nindexes: [ledger]\nservices:\n  - name: invoices\n    index: ledger\n    idempotent: false\n    shards:\n      - replicas:\n          - {address: \"127.0.0.1:9\", data_centre: dc1}\n"
 )
 
-// fakePeers takes the place of the peer transport: asks of the home go to the
-// home, asks of an owner are kept until the test ends them.
+// fakePeers replaces the peer transport: requests to the home are passed to it, and
+// requests to an owner are kept until the test answers them.
 type fakePeers struct {
 	mutex sync.Mutex
 	home  *Home
-	owner chan ownerAsk
-	asked int
+	owner chan ownerRequest
+	sent  int
 }
 
-type ownerAsk struct {
+type ownerRequest struct {
 	message *peerpb.SubmitRequest
 	sink    peer.Sink
 }
@@ -51,28 +51,28 @@
 		return noTicket{}
 	}
 	f.mutex.Lock()
-	f.asked++
+	f.sent++
 	f.mutex.Unlock()
-	f.owner <- ownerAsk{message: message, sink: sink}
+	f.owner <- ownerRequest{message: message, sink: sink}
 	return noTicket{}
 }
 
-func (f *fakePeers) ownerAsks() int {
+func (f *fakePeers) sentToOwner() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.asked
+	return f.sent
 }
 
 func startHome(t *testing.T) (*Home, *fakePeers) {
 	t.Helper()
-	parsed, err := catalog.Parse([]byte(text))
+	parsed, err := catalog.Parse([]byte(configText))
 	require.NoError(t, err)
 	store := belief.NewStore()
 	store.SetConfig(&belief.Config{Revision: 1, Catalog: parsed})
 	store.SetView(route.NewView([]route.Node{{ID: "vm-1", DataCentre: "dc1"}}))
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	peers := &fakePeers{owner: make(chan ownerAsk, 8)}
+	peers := &fakePeers{owner: make(chan ownerRequest, 8)}
 	started := time.Now()
 	now := func() core.Time { return time.Since(started) }
 	h, err := New(Options{
@@ -89,46 +89,46 @@
 	return Request{Customer: "ham house", Key: key, Service: "invoices", Payload: []byte("12"), Timeout: awaitLimit}
 }
 
-// An invoice is sent, and the link to the owner breaks after the request was
-// written: the owner may have recorded it. However often the caller retries, the
-// home does not send it again and says "unknown".
+// The link to the owner breaks after a request was written, so the owner may have run it.
+// However often the caller retries, the home must not send it again and answers
+// "unknown".
 func TestALostLinkIsNeverFollowedByASecondSend(t *testing.T) {
 	h, peers := startHome(t)
 	key := h.Prefix() + ".a"
 	go func() {
-		ask := <-peers.owner
-		ask.sink(nil, &peer.LinkError{Outcome: core.Unknown, Cause: io.ErrUnexpectedEOF})
+		received := <-peers.owner
+		received.sink(nil, &peer.LinkError{Outcome: core.Unknown, Cause: io.ErrUnexpectedEOF})
 	}()
 	for range 3 {
 		reply := h.Submit(context.Background(), request(key))
 		require.Equal(t, core.Unknown, reply.Outcome)
 		require.Equal(t, fault.CodeLost, reply.Code)
 	}
-	require.Equal(t, 1, peers.ownerAsks())
+	require.Equal(t, 1, peers.sentToOwner())
 	require.Equal(t, observe.KindOutcomeUnknown, h.options.Problems.List()[0].Kind)
 }
 
-// A caller goes away while its invoice is being recorded, and comes back through
-// another entry. The run went on and its outcome is told.
+// A caller disconnects while its request is running and later retries. The request must
+// have continued, and the retry gets its outcome.
 func TestARunOutlivesItsCaller(t *testing.T) {
 	h, peers := startHome(t)
 	key := h.Prefix() + ".a"
 	ctx, cancel := context.WithCancel(context.Background())
 	gone := make(chan once.Reply, 1)
 	go func() { gone <- h.Submit(ctx, request(key)) }()
-	ask := <-peers.owner
-	require.Positive(t, ask.message.GetTimeLeftUs())
+	received := <-peers.owner
+	require.Positive(t, received.message.GetTimeLeftUs())
 	cancel()
 	require.Equal(t, core.Unknown, (<-gone).Outcome)
-	ask.sink(&peerpb.Envelope{Body: &peerpb.Envelope_SubmitReply{SubmitReply: &peerpb.SubmitReply{Outcome: uint32(core.Done), Payload: []byte("7")}}}, nil)
+	received.sink(&peerpb.Envelope{Body: &peerpb.Envelope_SubmitReply{SubmitReply: &peerpb.SubmitReply{Outcome: uint32(core.Done), Payload: []byte("7")}}}, nil)
 	reply := h.Submit(context.Background(), request(key))
 	require.Equal(t, core.Done, reply.Outcome)
 	require.Equal(t, "7", string(reply.Payload))
-	require.Equal(t, 1, peers.ownerAsks())
+	require.Equal(t, 1, peers.sentToOwner())
 }
 
-// A home restarts under the same address. A retry of a key of the former process
-// reaches the new one, which must neither run it nor call it not run.
+// A home restarts under the same address. A retry of a key of the earlier process reaches
+// the new process, which must neither run the key nor answer "not run".
 func TestARestartedHomeDoesNotRunFormerKeys(t *testing.T) {
 	former, _ := startHome(t)
 	h, peers := startHome(t)
@@ -136,5 +136,5 @@
 	require.Equal(t, core.Unknown, reply.Outcome)
 	require.Equal(t, fault.CodeHomeGone, reply.Code)
 	require.Equal(t, core.NotRun, reply.ThisAttempt)
-	require.Zero(t, peers.ownerAsks())
+	require.Zero(t, peers.sentToOwner())
 }
--- a/internal/home/loop.go
+++ b/internal/home/loop.go
@@ -12,35 +12,35 @@
 	"github.com/pistachiopier/pistachiopier/internal/ring"
 )
 
-// event is what the loop's ring carries.
+// event is an element of the loop's ring.
 type event interface{ isEvent() }
 
-// arrived is an entry's request; at is when it was taken from the stream.
-type arrived struct {
+// submitReceived carries an entry's request; at is when it was read from the stream.
+type submitReceived struct {
 	inbound *peer.Inbound
 	key     once.Key
 	at      core.Time
 }
 
-// stepped is an event for the ledger.
-type stepped struct{ event once.Event }
+// ledgerEvent is an event for the ledger.
+type ledgerEvent struct{ event once.Event }
 
-// handedOver is a HandoverRequest.
-type handedOver struct{ inbound *peer.Inbound }
+// handoverReceived carries a HandoverRequest.
+type handoverReceived struct{ inbound *peer.Inbound }
 
-// stopped begins a planned stop; idle closes when nothing runs any longer.
-type stopped struct{ idle chan<- struct{} }
+// stopRequested starts a planned stop. idle is closed once no request is running.
+type stopRequested struct{ idle chan<- struct{} }
 
-// recalled asks for the ledger's records.
-type recalled struct{ records chan<- []once.Record }
+// recordsRequested requests the records of the ledger.
+type recordsRequested struct{ records chan<- []once.Record }
 
-func (arrived) isEvent()    {}
-func (stepped) isEvent()    {}
-func (handedOver) isEvent() {}
-func (stopped) isEvent()    {}
-func (recalled) isEvent()   {}
+func (submitReceived) isEvent()   {}
+func (ledgerEvent) isEvent()      {}
+func (handoverReceived) isEvent() {}
+func (stopRequested) isEvent()    {}
+func (recordsRequested) isEvent() {}
 
-// waiter is an asker that waits for a reply.
+// waiter is a request from an entry that waits for a reply.
 type waiter struct {
 	inbound   *peer.Inbound
 	stopWatch func() bool
@@ -48,16 +48,16 @@
 
 // loop is the goroutine that owns the ledger.
 type loop struct {
-	options Options
-	ctx     context.Context
-	events  *ring.Ring[event]
-	ledger  *once.Ledger
-	waiters map[once.WaiterID]waiter
-	tickets map[once.SendID]peer.Ticket
-	next    once.WaiterID
-	wakeAt  core.Time
-	idle    chan<- struct{}
-	gauges  ledgerGauges
+	options    Options
+	ctx        context.Context
+	events     *ring.Ring[event]
+	ledger     *once.Ledger
+	waiters    map[once.WaiterID]waiter
+	tickets    map[once.SendID]peer.Ticket
+	lastWaiter once.WaiterID
+	wakeAt     core.Time
+	idle       chan<- struct{}
+	gauges     ledgerGauges
 }
 
 func newLoop(ctx context.Context, options Options, issuer *once.Issuer) *loop {
@@ -98,26 +98,26 @@
 
 func (l *loop) handle(e event) {
 	switch e := e.(type) {
-	case arrived:
-		l.arrived(e)
-	case stepped:
+	case submitReceived:
+		l.handleSubmit(e)
+	case ledgerEvent:
 		l.step(e.event)
-	case handedOver:
+	case handoverReceived:
 		l.inherit(e)
-	case stopped:
+	case stopRequested:
 		l.idle = e.idle
 		l.step(once.Stopping{})
-	case recalled:
+	case recordsRequested:
 		e.records <- l.ledger.Records(l.options.Now())
 	}
 }
 
-func (l *loop) arrived(e arrived) {
+func (l *loop) handleSubmit(e submitReceived) {
 	message := e.inbound.Envelope.GetSubmitRequest()
-	l.next++
-	id := l.next
+	l.lastWaiter++
+	id := l.lastWaiter
 	stopWatch := context.AfterFunc(e.inbound.Context, func() {
-		_ = l.events.Put(l.ctx, stepped{event: once.Withdrawn{Key: e.key.Text, Waiter: id}})
+		_ = l.events.Put(l.ctx, ledgerEvent{event: once.Withdrawn{Key: e.key.Text, Waiter: id}})
 	})
 	l.waiters[id] = waiter{inbound: e.inbound, stopWatch: stopWatch}
 	l.step(once.Submitted{
@@ -142,7 +142,7 @@
 		case once.Send:
 			l.send(a)
 		case once.CancelSend:
-			l.giveUp(a)
+			l.cancelSend(a)
 		case once.Answer:
 			l.answer(a)
 		case once.WakeAt:
@@ -151,8 +151,8 @@
 	}
 }
 
-// answer replies to an asker. Its watch ends first: the end of its context is
-// no longer news.
+// answer replies to a waiter. It first stops watching the waiter's context, because the
+// end of that context no longer matters.
 func (l *loop) answer(a once.Answer) {
 	waiting, ok := l.waiters[a.Waiter]
 	if !ok {
@@ -160,13 +160,13 @@
 	}
 	delete(l.waiters, a.Waiter)
 	waiting.stopWatch()
-	l.note(waiting.inbound.Envelope.GetSubmitRequest(), a.Reply)
+	l.countOutcome(waiting.inbound.Envelope.GetSubmitRequest(), a.Reply)
 	waiting.inbound.Reply(replyEnvelope(a.Reply), true)
 }
 
-// note counts an outcome told here and reports one that an operator may have to
-// look up.
-func (l *loop) note(message *peerpb.SubmitRequest, reply once.Reply) {
+// countOutcome counts an outcome that is sent to an entry, and reports an unknown one,
+// which an operator may have to look up.
+func (l *loop) countOutcome(message *peerpb.SubmitRequest, reply once.Reply) {
 	switch {
 	case reply.Repeated:
 		observe.Counter(l.options.Metrics, "submits_repeated_total").Inc(1)
--- a/internal/home/metrics.go
+++ b/internal/home/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// ledgerGauges show how full the ledger is.
+// ledgerGauges are the gauges for the size of the ledger.
 type ledgerGauges struct {
 	entries metrics.Gauge
 	bytes   metrics.Gauge
--- a/internal/home/paired_test.go
+++ b/internal/home/paired_test.go
@@ -25,8 +25,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// pair is a home, vm-1, and the owner of its invoices' shard, vm-2, with a link
-// that can be cut. vm-1 has an owner's role as well.
+// pair is a home, vm-1, and the owner of the invoices' shard, vm-2, with a link between
+// them that can be cut. vm-1 has the owner role as well.
 type pair struct {
 	home     *Home
 	belief   *belief.Store
@@ -35,20 +35,21 @@
 
 	mutex sync.Mutex
 	cut   bool
-	// open are the sinks of the asks that vm-2 has not answered.
-	open []peer.Sink
-	asks map[core.NodeID]int
+	// open holds the sinks of the requests sent to vm-2. requests counts requests to owners
+	// by target.
+	open     []peer.Sink
+	requests map[core.NodeID]int
 }
 
-// Ask implements peer.Asker. What is under way when the link is cut may have
-// arrived; what comes later has not.
+// Ask implements peer.Asker. A request that is in flight when the link is cut may have
+// arrived; a later one has not.
 func (p *pair) Ask(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
 	if !request.GetSubmitRequest().GetToOwner() {
 		p.home.HandleSubmit(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
 		return noTicket{}
 	}
 	p.mutex.Lock()
-	p.asks[target.Node]++
+	p.requests[target.Node]++
 	cut := p.cut
 	if !cut && target.Node == "vm-2" {
 		p.open = append(p.open, sink)
@@ -69,7 +70,7 @@
 	return noTicket{}
 }
 
-// split cuts the link and leaves vm-1 alone in its own view.
+// split cuts the link and removes vm-2 from the view of vm-1.
 func (p *pair) split() {
 	p.mutex.Lock()
 	p.cut = true
@@ -87,13 +88,13 @@
 	replica, err := standin.StartUpstream("127.0.0.1:0", standin.Behaviour{Versions: []uint64{7}, Hold: hold})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = replica.Close() })
-	p := &pair{belief: belief.NewStore(), owners: map[core.NodeID]*owner.Owner{}, upstream: replica, asks: map[core.NodeID]int{}}
-	written := fmt.Sprintf("version: 1\nindexes: [ledger]\nservices:\n  - name: invoices\n    index: ledger\n    idempotent: false\n    shards:\n      - replicas:\n          - {address: %q, data_centre: dc2}\n", replica.Address())
-	parsed, err := catalog.Parse([]byte(written))
+	p := &pair{belief: belief.NewStore(), owners: map[core.NodeID]*owner.Owner{}, upstream: replica, requests: map[core.NodeID]int{}}
+	config := fmt.Sprintf("version: 1\nindexes: [ledger]\nservices:\n  - name: invoices\n    index: ledger\n    idempotent: false\n    shards:\n      - replicas:\n          - {address: %q, data_centre: dc2}\n", replica.Address())
+	parsed, err := catalog.Parse([]byte(config))
 	require.NoError(t, err)
 	nodes := []route.Node{{ID: "vm-1", DataCentre: "dc1"}, {ID: "vm-2", DataCentre: "dc2"}}
-	began := time.Now()
-	now := func() core.Time { return time.Since(began) }
+	started := time.Now()
+	now := func() core.Time { return time.Since(started) }
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, node := range nodes {
@@ -118,10 +119,11 @@
 	return p
 }
 
-// An invoice is at its upstream when its home stands still and a partition cuts
-// it off. The home wakes alone: by its view it owns the shard now, and callers on
-// its side retry. It must not record the invoice again, neither before nor after
-// it has confirmed its beliefs, since the other side has; it says "unknown".
+// A request is running at its upstream when the process of its home is paused and a
+// partition isolates the home. After the pause the home owns the shard in its own view,
+// and callers on its side of the partition retry. It must not run the request again,
+// neither before nor after its state is confirmed, because the other side has run it; it
+// answers "unknown".
 func TestAWokenHomeThatIsCutOffRunsNothingTwice(t *testing.T) {
 	release := make(chan struct{})
 	p := startPair(t, release)
@@ -142,12 +144,13 @@
 		}
 	}
 	require.Equal(t, map[string]int{key: 1}, p.upstream.Submits())
-	require.Zero(t, p.asks["vm-1"], "it did not send to itself")
+	require.Zero(t, p.requests["vm-1"], "the home must not send the request to its own node")
 }
 
-// The cut-off home has an invoice that provably ran nowhere. Standing still it
-// may not send it to its own replica: the other side may own that by now. What
-// it says then stays so; a new invoice after it has confirmed runs once.
+// The isolated home has a request that has certainly not run. While paused it must not
+// send the request to its own replica, because the other side may own the replica by
+// now. The outcome "not run" stays after the pause. A new request that arrives after the
+// home's state is confirmed runs once.
 func TestAWokenHomeSendsNothingBeforeItHasConfirmed(t *testing.T) {
 	p := startPair(t, nil)
 	p.belief.SetPaused(true)
@@ -155,7 +158,7 @@
 	key := p.home.Prefix() + ".a"
 	reply := p.home.Submit(context.Background(), request(key))
 	require.Equal(t, core.NotRun, reply.Outcome, "%+v", reply)
-	require.Positive(t, p.asks["vm-1"], "it turned to itself")
+	require.Positive(t, p.requests["vm-1"], "the home asked the owner on its own node")
 	require.Empty(t, p.upstream.Submits())
 
 	p.belief.SetPaused(false)
--- a/internal/home/send.go
+++ b/internal/home/send.go
@@ -14,19 +14,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// giveUp withdraws a send: a request that waits for its link to open is past
-// its time and is then never written.
-func (l *loop) giveUp(a once.CancelSend) {
+// cancelSend cancels a send that is past its deadline. If its request still waits for
+// the link to open, it is never written.
+func (l *loop) cancelSend(a once.CancelSend) {
 	if ticket := l.tickets[a.Send]; ticket != nil {
 		ticket.Cancel()
 		delete(l.tickets, a.Send)
 	}
 }
 
-// put queues an event for the ledger, also from the loop's own goroutine.
-func (l *loop) put(e once.Event) { l.events.PutAsync(l.ctx, stepped{event: e}) }
+// put queues an event for the ledger. It may be called from the loop's own goroutine.
+func (l *loop) put(e once.Event) { l.events.PutAsync(l.ctx, ledgerEvent{event: e}) }
 
-// send asks the owner of the key's shard, exactly once for each Send.
+// send sends the request to the owner of the key's shard, once for each Send.
 func (l *loop) send(a once.Send) {
 	to, err := l.owner(a)
 	if err != nil {
@@ -37,8 +37,8 @@
 		l.put(*ended)
 		return
 	}
-	left := a.Deadline - l.options.Now()
-	if left <= 0 {
+	remaining := a.Deadline - l.options.Now()
+	if remaining <= 0 {
 		l.put(once.SendEnded{Key: a.Key, Send: a.Send, Outcome: core.NotRun, Reason: core.ReasonDeadline})
 		return
 	}
@@ -49,7 +49,7 @@
 		Shard:      uint32(to.shard.Ref.Shard),
 		Shards:     uint32(to.shards),
 		Payload:    a.Payload,
-		TimeLeftUs: microseconds(left),
+		TimeLeftUs: toMicroseconds(remaining),
 		View:       l.options.Belief.View().ID(),
 		Bundle:     uint32(to.shard.Bundle),
 		Rank:       uint32(a.Rank),
@@ -68,16 +68,16 @@
 	return ended
 }
 
-// destination is where a send goes: the owner of the shard, one of the service's
-// number of shards in the text in force.
+// destination is the target of a send: the shard, its owner, and the number of shards of
+// the service in the configuration in force.
 type destination struct {
 	owner  peer.Target
 	shard  *catalog.Shard
 	shards int
 }
 
-// owner finds the node to ask and the shard: the key's hash over the service's
-// shards. The error is a *fault.Error with outcome not run.
+// owner returns the destination of a send. The shard is chosen by the hash of the key. The
+// error is a *fault.Error with outcome not run.
 func (l *loop) owner(a once.Send) (destination, error) {
 	config := l.options.Belief.Config()
 	if config == nil {
@@ -101,16 +101,16 @@
 	return to, nil
 }
 
-func submittable(text *catalog.Catalog, a once.Send) (*catalog.Service, error) {
-	service := text.Services[a.Service]
+func submittable(cat *catalog.Catalog, a once.Send) (*catalog.Service, error) {
+	service := cat.Services[a.Service]
 	if service == nil {
-		return nil, fault.NotRun(fault.CodeUnknownService, "service "+strconv.Quote(a.Service)+" is not in the text", "")
+		return nil, fault.NotRun(fault.CodeUnknownService, "service "+strconv.Quote(a.Service)+" is not in the configuration", "")
 	}
 	if service.Idempotent {
-		return nil, fault.NotRun(fault.CodeWrongMethod, "service "+a.Service+" is idempotent: ask it by /v1/query/"+a.Service, "")
+		return nil, fault.NotRun(fault.CodeWrongMethod, "service "+a.Service+" is idempotent: use /v1/query/"+a.Service, "")
 	}
-	if _, known := text.Customer(a.Customer); !known {
-		return nil, fault.NotRun(fault.CodeUnknownCustomer, "customer "+strconv.Quote(string(a.Customer))+" is not in the text", "")
+	if _, known := cat.Customer(a.Customer); !known {
+		return nil, fault.NotRun(fault.CodeUnknownCustomer, "customer "+strconv.Quote(string(a.Customer))+" is not in the configuration", "")
 	}
 	return service, nil
 }
@@ -119,7 +119,7 @@
 	return peer.Target{Node: node.ID, Address: node.PeerAddress}
 }
 
-// sink turns the owner's reply into the send's end.
+// sink returns a function that converts the owner's reply into a SendEnded event.
 func (l *loop) sink(a once.Send) peer.Sink {
 	return func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		ended := once.SendEnded{Key: a.Key, Send: a.Send}
@@ -141,7 +141,8 @@
 	}
 }
 
-// refusedReason passes over an owner that stops, as one that is not reached.
+// refusedReason returns the reason of a refusal. A stopping owner is treated like an
+// unreachable one, so that the next node in the owner order is used.
 func refusedReason(refusal *peerpb.Refusal) core.Reason {
 	if reason := core.Reason(refusal.GetReason()); reason != core.ReasonDraining {
 		return reason
--- a/internal/home/setaside.go
+++ b/internal/home/setaside.go
@@ -21,6 +21,6 @@
 	}
 	return &once.SendEnded{
 		Key: a.Key, Send: a.Send, Outcome: core.NotRun, Code: fault.CodeSetAside,
-		Message: "replicas ended under this request each time it ran", RetryAfter: corequarantine.RetryAfter,
+		Message: "replicas ended each time this request ran", RetryAfter: corequarantine.RetryAfter,
 	}
 }
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -12,23 +12,23 @@
 	"github.com/pistachiopier/pistachiopier/internal/wait"
 )
 
-// defaultTimeout stands while no text says the service's.
+// defaultTimeout is used if no configuration lists the service.
 const defaultTimeout = 5 * time.Second
 
-// Request is a caller's must-not-repeat request as its entry takes it.
+// Request is a caller's must-not-repeat request as received by the entry.
 type Request struct {
 	Customer core.Customer
 	Key      string
 	Service  string
 	Payload  []byte
-	// Timeout is the time the caller gives; 0 takes the service's.
+	// Timeout is how long the caller waits; 0 means the timeout of the service.
 	Timeout time.Duration
 }
 
-// Submit is the entry's part: it takes the request to the home that the key
-// names and returns what holds for the key. It judges nothing but the key's form,
-// since an entry with an older text or view than the one that took an earlier
-// try must not call "not run" what that one let run.
+// Submit is the entry's part: it sends the request to the home that the key names and
+// returns the outcome of the key. It checks only the format of the key: this entry may
+// have an older configuration or view than the entry that received an earlier attempt,
+// and must not answer "not run" for a key that was run.
 func (h *Home) Submit(ctx context.Context, request Request) once.Reply {
 	key, err := once.ParseKey(request.Key)
 	if err != nil {
@@ -37,8 +37,8 @@
 	timeout := h.timeout(request)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	asks := &submission{home: h, key: key, request: request, deadline: h.options.Now() + timeout}
-	return asks.run(ctx)
+	s := &submission{home: h, key: key, request: request, deadline: h.options.Now() + timeout}
+	return s.run(ctx)
 }
 
 func (h *Home) timeout(request Request) time.Duration {
@@ -53,7 +53,7 @@
 	return defaultTimeout
 }
 
-// submission runs a once.Submission with messages.
+// submission executes a once.Submission by sending messages.
 type submission struct {
 	once.Submission
 	home     *Home
@@ -67,11 +67,11 @@
 	_, listed := view.Node(s.key.Node)
 	holder := s.FirstHolder(listed)
 	for {
-		answered, inTime := s.ask(ctx, holder)
+		result, inTime := s.ask(ctx, holder)
 		if !inTime {
 			return s.TimeoutReply()
 		}
-		next, pause, reply := s.NextHolder(answered)
+		next, pause, reply := s.NextHolder(result)
 		if next == once.HolderNone {
 			return reply
 		}
@@ -82,22 +82,23 @@
 	}
 }
 
-// ask asks one holder; false when the caller's time ends first.
+// ask sends the request to one holder. It returns false if the caller's timeout ends
+// before the reply arrives.
 func (s *submission) ask(ctx context.Context, holder once.Holder) (once.HolderResult, bool) {
 	node, ok := s.node(holder)
 	if !ok {
 		return once.HolderResult{Outcome: core.NotRun}, true
 	}
-	ends := make(chan once.HolderResult, 1)
+	results := make(chan once.HolderResult, 1)
 	ticket := s.home.options.Peers.Ask(target(node), s.envelope(), func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
-		case ends <- toAnswered(reply, failure):
+		case results <- toHolderResult(reply, failure):
 		default:
 		}
 	})
 	select {
-	case answered := <-ends:
-		return answered, true
+	case result := <-results:
+		return result, true
 	case <-ctx.Done():
 		ticket.Cancel()
 		return once.HolderResult{}, false
@@ -118,11 +119,11 @@
 		Key:        s.key.Text,
 		Service:    s.request.Service,
 		Payload:    s.request.Payload,
-		TimeLeftUs: microseconds(s.deadline - s.home.options.Now()),
+		TimeLeftUs: toMicroseconds(s.deadline - s.home.options.Now()),
 	}}}
 }
 
-func toAnswered(reply *peerpb.Envelope, failure *peer.LinkError) once.HolderResult {
+func toHolderResult(reply *peerpb.Envelope, failure *peer.LinkError) once.HolderResult {
 	switch {
 	case failure != nil:
 		return once.HolderResult{Outcome: failure.Outcome}
--- a/internal/home/wire.go
+++ b/internal/home/wire.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// fromFinished reads a record; false when its digest has another length.
+// fromFinished converts a message into a record. It returns false if the digest has the
+// wrong length.
 func fromFinished(message *peerpb.FinishedOnce) (once.Record, bool) {
 	record := once.Record{
 		Key:      message.GetKey(),
@@ -58,5 +59,5 @@
 
 func milliseconds(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// microseconds is the time left as a message carries it; none when it has passed.
-func microseconds(left time.Duration) uint64 { return uint64(max(0, left).Microseconds()) }
+// toMicroseconds converts a remaining time for a message. A negative time becomes 0.
+func toMicroseconds(remaining time.Duration) uint64 { return uint64(max(0, remaining).Microseconds()) }
