--- a/internal/sharedbudget/sharedbudget.go
+++ b/internal/sharedbudget/sharedbudget.go
@@ -1,6 +1,6 @@
-// Package sharedbudget shares one budget.Group between the goroutines of a
-// duty, so that its bound holds for the node's role and not for each goroutine:
-// with a Group each, the floors would add up.
+// Package sharedbudget shares one budget.Group between the goroutines of a role, so that
+// the limit applies to the role as a whole. With one Group for each goroutine, their
+// floors would add up.
 package sharedbudget
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/budget"
 )
 
-// Group is a budget.Group that is safe for concurrent use. One mutex is held
-// for one or two map look-ups; BenchmarkSharedGroup measures it.
+// Group is a budget.Group that is safe for concurrent use. Its mutex is held for one or
+// two map lookups; BenchmarkSharedGroup measures the cost.
 type Group struct {
 	mutex sync.Mutex
 	group *budget.Group
 }
 
-// New makes an empty Group.
+// New creates an empty Group.
 func New(config budget.GroupConfig) *Group { return &Group{group: budget.NewGroup(config)} }
 
-// RecordFirst notes n first tries to a service for a customer.
+// RecordFirst records n first attempts to a service for a customer.
 func (g *Group) RecordFirst(service string, customer core.Customer, n int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/sharedbudget/sharedbudget_test.go
+++ b/internal/sharedbudget/sharedbudget_test.go
@@ -14,22 +14,22 @@
 
 const goroutines = 4
 
-// Four goroutines retry everything for one customer at once. Together they must
+// Four goroutines retry every request of one customer at the same time. Together they must
 // get one floor, not one each.
 func TestGoroutinesShareOneFloor(t *testing.T) {
-	const firstTries = 500
+	const firstAttempts = 500
 	group := New(budget.GroupConfig{})
 	var extra atomic.Int64
 	inParallel(func(int) {
-		for range firstTries {
+		for range firstAttempts {
 			group.RecordFirst("prices", "chef", 1)
 			if group.TryTakeExtra("prices", "chef") {
 				extra.Add(1)
 			}
 		}
 	})
-	require.LessOrEqual(t, extra.Load(), int64(goroutines*firstTries/10+budget.DefaultFloor))
-	require.GreaterOrEqual(t, extra.Load(), int64(goroutines*firstTries/10))
+	require.LessOrEqual(t, extra.Load(), int64(goroutines*firstAttempts/10+budget.DefaultFloor))
+	require.GreaterOrEqual(t, extra.Load(), int64(goroutines*firstAttempts/10))
 }
 
 func inParallel(run func(number int)) {
@@ -44,8 +44,8 @@
 	done.Wait()
 }
 
-// BenchmarkSharedGroup is the cost of noting a first try: by one goroutine
-// without the mutex, and by four at once with it.
+// BenchmarkSharedGroup measures the cost of recording a first attempt: by one goroutine
+// without the mutex, and by four concurrent goroutines with it.
 func BenchmarkSharedGroup(b *testing.B) {
 	const services, customers = 110, 64
 	names, callers := make([]string, services), make([]core.Customer, customers)
