--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -23,7 +23,7 @@
 
 const (
 	awaitLimit = 10 * time.Second
-	configText       = "version: 1\nindexes: [ledger]\nservices:\n  - name: invoices\n    index: ledger\n    idempotent: false\n    shards:\n      - replicas:\n          - {address: \"127.0.0.1:9\", data_centre: dc1}\n"
+	configText = "version: 1\nindexes: [ledger]\nservices:\n  - name: invoices\n    index: ledger\n    idempotent: false\n    shards:\n      - replicas:\n          - {address: \"127.0.0.1:9\", data_centre: dc1}\n"
 )
 
 // fakePeers replaces the peer transport: requests to the home are passed to it, and
