--- a/internal/quarantine/codec.go
+++ b/internal/quarantine/codec.go
@@ -11,46 +11,46 @@
 )
 
 const (
-	// maxWhat bounds the description that is taken from another node, in bytes.
-	maxWhat = 256
-	// maxLives bounds the incarnations in one record, whoever sends it.
-	maxLives = 256
+	// maxDescriptionBytes limits the length of a description from another node.
+	maxDescriptionBytes = 256
+	// maxIncarnations limits the incarnations and the variants in one record from another node.
+	maxIncarnations = 256
 )
 
 func encode(record *quarantine.Record, now core.Time) *peerpb.QuarantineRecord {
 	out := &peerpb.QuarantineRecord{Key: record.Key[:], Head: record.Head[:], What: record.Description, Level: uint32(record.Level), AgeMs: uint64(max(now-record.SeenAt, 0).Milliseconds())}
 	out.Variants = slices.Sorted(maps.Keys(record.Variants))
-	for _, life := range slices.Sorted(maps.Keys(record.Facts)) {
-		out.Lives = append(out.Lives, uint64(life))
-		out.Marks = append(out.Marks, byte(record.Facts[life]))
-		out.Shards = append(out.Shards, uint64(record.Shards[life]))
+	for _, incarnation := range slices.Sorted(maps.Keys(record.Facts)) {
+		out.Lives = append(out.Lives, uint64(incarnation))
+		out.Marks = append(out.Marks, byte(record.Facts[incarnation]))
+		out.Shards = append(out.Shards, uint64(record.Shards[incarnation]))
 	}
 	return out
 }
 
-// decode reads a record; false when it names no request or its lists do not fit together.
+// decode decodes a record. It returns false if the record has no valid key or its lists differ in length.
 func decode(in *peerpb.QuarantineRecord, now core.Time) (quarantine.Record, bool) {
-	key, named := quarantine.KeyFromBytes(in.GetKey())
-	head, headed := quarantine.KeyFromBytes(in.GetHead())
-	lives, marks := in.GetLives(), in.GetMarks()
+	key, keyValid := quarantine.KeyFromBytes(in.GetKey())
+	head, headValid := quarantine.KeyFromBytes(in.GetHead())
+	incarnations, marks := in.GetLives(), in.GetMarks()
 	shards := in.GetShards()
-	if !named || !headed || len(lives) != len(marks) || len(lives) > maxLives || len(shards) > 0 && len(shards) != len(lives) {
+	if !keyValid || !headValid || len(incarnations) != len(marks) || len(incarnations) > maxIncarnations || len(shards) > 0 && len(shards) != len(incarnations) {
 		return quarantine.Record{}, false
 	}
-	what := in.GetWhat()
+	description := in.GetWhat()
 	record := quarantine.Record{
-		Key: key, Head: head, Description: what[:min(len(what), maxWhat)], Level: uint8(in.GetLevel()), Facts: map[quarantine.Incarnation]quarantine.Fact{}, Shards: map[quarantine.Incarnation]quarantine.Shard{}, Variants: map[uint64]struct{}{},
+		Key: key, Head: head, Description: description[:min(len(description), maxDescriptionBytes)], Level: uint8(in.GetLevel()), Facts: map[quarantine.Incarnation]quarantine.Fact{}, Shards: map[quarantine.Incarnation]quarantine.Shard{}, Variants: map[uint64]struct{}{},
 		SeenAt: now - time.Duration(in.GetAgeMs())*time.Millisecond,
 	}
 	variants := in.GetVariants()
-	for _, one := range variants[:min(len(variants), maxLives)] {
-		record.Variants[one] = struct{}{}
+	for _, variant := range variants[:min(len(variants), maxIncarnations)] {
+		record.Variants[variant] = struct{}{}
 	}
-	for i, life := range lives {
-		record.Facts[quarantine.Incarnation(life)] = quarantine.Fact(marks[i])
+	for i, incarnation := range incarnations {
+		record.Facts[quarantine.Incarnation(incarnation)] = quarantine.Fact(marks[i])
 	}
 	for i, shard := range shards {
-		record.Shards[quarantine.Incarnation(lives[i])] = quarantine.Shard(shard)
+		record.Shards[quarantine.Incarnation(incarnations[i])] = quarantine.Shard(shard)
 	}
 	return record, true
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,5 +1,5 @@
-// Package quarantine is the duty that tells the other nodes which requests replicas have ended under, and takes up
-// what they tell. The decisions are those of internal/core/quarantine.
+// Package quarantine replicates between the nodes which requests replicas have ended under. The decisions are made in
+// internal/core/quarantine.
 package quarantine
 
 import (
@@ -18,76 +18,77 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer"
 )
 
-// expireEvery is how often requests that have not come for long are looked for.
-const expireEvery = time.Minute
+// expireInterval is how often records of requests that have not arrived for a long time are removed.
+const expireInterval = time.Minute
 
-// Links are the other nodes that this one has links to, and asks.
+// Links sends requests to other nodes and lists the nodes that this one has links to.
 type Links interface {
 	peer.Asker
 	Linked() []peer.Target
 }
 
-// Options are the parts of a Duty.
+// Options are the dependencies of a ReplicatedLedger.
 type Options struct {
-	// Now reads the node's monotonic clock.
+	// Now returns the time on the node's monotonic clock.
 	Now func() core.Time
-	// OnChange, when set, is told each change; from is the node that told it, "" for this one. It must not block.
+	// OnChange, if set, is called for each change. from is the node that sent it, or "" for this node. It must not block.
 	OnChange func(change quarantine.Change, from core.NodeID)
-	// Self is the id of this node. Nodes returns the live nodes in ascending order of id; a node with few links also
-	// sends news to its successors in that order. If Nodes is nil, news is sent over open links only.
+	// Self is the ID of this node. Nodes returns the live nodes in ascending order of ID; a node with few links also
+	// sends updates to its successors in that order. If Nodes is nil, updates are sent over open links only.
 	Self  core.NodeID
 	Nodes func() []route.Node
 }
 
-// ReplicatedLedger holds what a node knows of requests that may end the replicas that run them.
+// ReplicatedLedger is a quarantine ledger that the nodes replicate between them. It is safe for concurrent use.
 type ReplicatedLedger struct {
 	options Options
 	links   Links
 	ctx     context.Context
 	stop    context.CancelFunc
 	done    sync.WaitGroup
-	// wake holds one element when there is news to tell.
+	// wake holds one element if updates are queued.
 	wake chan struct{}
-	// known is the number of requests that are remembered: on calm days each request pays for reading it.
+	// known is the number of recorded requests. It is usually 0, and then reading it is all that a request costs.
 	known atomic.Int64
-	// digest is the ledger's.
+	// digest is the digest of the ledger.
 	digest atomic.Uint64
 
 	mutex  sync.Mutex
 	ledger *quarantine.Ledger
-	// news are the requests to be told of, and the node that told this one, which need not hear it again.
-	news map[quarantine.Key]core.NodeID
-	// compared is how this node last compared what is set aside with each other node.
-	compared map[core.NodeID]comparison
+	// queued holds the keys of the records to send, each with the node that sent it to this one. That node need not
+	// receive it again.
+	queued map[quarantine.Key]core.NodeID
+	// comparisons holds the last comparison of records with each other node.
+	comparisons map[core.NodeID]comparison
 }
 
-// New makes a duty that knows of no request; Start lets it tell others.
+// New creates an empty ledger. It sends nothing to other nodes before Start.
 func New(options Options) *ReplicatedLedger {
 	ctx, stop := context.WithCancel(context.Background())
 	return &ReplicatedLedger{
 		options: options, ctx: ctx, stop: stop, wake: make(chan struct{}, 1),
-		ledger: quarantine.NewLedger(), news: map[quarantine.Key]core.NodeID{}, compared: map[core.NodeID]comparison{},
+		ledger: quarantine.NewLedger(), queued: map[quarantine.Key]core.NodeID{}, comparisons: map[core.NodeID]comparison{},
 	}
 }
 
-// Start begins to tell the other nodes.
-func (d *ReplicatedLedger) Start(links Links) {
-	d.links = links
-	d.done.Add(1)
+// Start starts sending updates to the other nodes.
+func (r *ReplicatedLedger) Start(links Links) {
+	r.links = links
+	r.done.Add(1)
 	go func() {
-		defer d.done.Done()
-		d.run()
+		defer r.done.Done()
+		r.run()
 	}()
 }
 
-// Close ends the duty.
-func (d *ReplicatedLedger) Close() {
-	d.stop()
-	d.done.Wait()
+// Close stops the replication.
+func (r *ReplicatedLedger) Close() {
+	r.stop()
+	r.done.Wait()
 }
 
-// Digest sums up what is known of requests that are set aside; 0 is nothing.
-func (d *ReplicatedLedger) Digest() uint64 { return d.digest.Load() }
+// Digest returns the digest of the requests that are set aside, or 0 if there are none.
+func (r *ReplicatedLedger) Digest() uint64 { return r.digest.Load() }
 
 // Assessment holds the standings of an incoming request.
 type Assessment struct {
@@ -115,34 +116,34 @@
 
 // Assessor returns the standings of an incoming request, as a whole and at the given shards.
 type Assessor interface {
-	// Empty reports whether no request is remembered, in which case every request is trusted.
+	// Empty reports whether no request is recorded, in which case every request is trusted.
 	Empty() bool
 	Assess(identity func() quarantine.Identity, shards []string) Assessment
 }
 
-// Empty reports whether no request is remembered.
-func (d *ReplicatedLedger) Empty() bool { return d.known.Load() == 0 }
+// Empty reports whether no request is recorded.
+func (r *ReplicatedLedger) Empty() bool { return r.known.Load() == 0 }
 
 // Assess returns the standings of an incoming request, as a whole and at the given shards. identity is not called if no
-// request is remembered, and the body is not hashed if no remembered request matches in everything else.
-func (d *ReplicatedLedger) Assess(identity func() quarantine.Identity, shards []string) Assessment {
-	if d.known.Load() == 0 {
+// request is recorded, and the body is not hashed if no recorded request matches in everything else.
+func (r *ReplicatedLedger) Assess(identity func() quarantine.Identity, shards []string) Assessment {
+	if r.known.Load() == 0 {
 		return Assessment{}
 	}
-	one := identity()
-	heads := one.HeadNames()
-	d.mutex.Lock()
-	likely := d.ledger.HasHead(heads)
-	d.mutex.Unlock()
-	if !likely {
+	id := identity()
+	heads := id.HeadNames()
+	r.mutex.Lock()
+	headKnown := r.ledger.HasHead(heads)
+	r.mutex.Unlock()
+	if !headKnown {
 		return Assessment{}
 	}
-	names := heads.WithBody(one.Body)
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	assessment := Assessment{Request: d.ledger.Observe(names, d.options.Now())}
+	names := heads.WithBody(id.Body)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	assessment := Assessment{Request: r.ledger.Observe(names, r.options.Now())}
 	for i, shard := range shards {
-		standing := d.ledger.StandingAtShard(names, quarantine.ShardOf(shard))
+		standing := r.ledger.StandingAtShard(names, quarantine.ShardOf(shard))
 		if standing == quarantine.Trusted {
 			continue
 		}
@@ -155,77 +156,77 @@
 }
 
 // RecordFacts records the outcome of a request at a replica of a shard: the replica ended, or did not answer a trial.
-func (d *ReplicatedLedger) RecordFacts(identity quarantine.Identity, what, shard string, life replica.Incarnation, fact quarantine.Fact) {
-	now := d.options.Now()
+func (r *ReplicatedLedger) RecordFacts(identity quarantine.Identity, description, shard string, incarnation replica.Incarnation, fact quarantine.Fact) {
+	now := r.options.Now()
 	heads := identity.HeadNames()
 	names := heads.WithBody(identity.Body)
-	exact := quarantine.Record{Key: names.Exact, Head: heads.Exact, Description: what, Level: identity.Level, SeenAt: now}
-	exact.Facts = map[quarantine.Incarnation]quarantine.Fact{lifeOf(life): fact}
-	exact.Shards = map[quarantine.Incarnation]quarantine.Shard{lifeOf(life): quarantine.ShardOf(shard)}
+	exact := quarantine.Record{Key: names.Exact, Head: heads.Exact, Description: description, Level: identity.Level, SeenAt: now}
+	exact.Facts = map[quarantine.Incarnation]quarantine.Fact{incarnationOf(incarnation): fact}
+	exact.Shards = map[quarantine.Incarnation]quarantine.Shard{incarnationOf(incarnation): quarantine.ShardOf(shard)}
 	broad := exact
-	broad.Key, broad.Head, broad.Description = names.Broad, heads.Broad, what+anyVariant
+	broad.Key, broad.Head, broad.Description = names.Broad, heads.Broad, description+broadSuffix
 	broad.Variants = map[uint64]struct{}{binary.BigEndian.Uint64(names.Exact[:]): {}}
-	d.take("", func() []quarantine.Change { return append(d.ledger.Merge(exact, now), d.ledger.Merge(broad, now)...) })
+	r.apply("", func() []quarantine.Change { return append(r.ledger.Merge(exact, now), r.ledger.Merge(broad, now)...) })
 }
 
-// anyVariant ends the description of a broad name.
-const anyVariant = ", or with another query or caller"
+// broadSuffix is appended to the description of a broad name.
+const broadSuffix = ", or with another query or caller"
 
-// RecordAnswer records that a replica of a shard has answered a request. names is called only if any request is remembered.
-func (d *ReplicatedLedger) RecordAnswer(names func() quarantine.Names, shard string) {
-	if d.known.Load() == 0 {
+// RecordAnswer records that a replica of a shard has answered a request. names is called only if any request is recorded.
+func (r *ReplicatedLedger) RecordAnswer(names func() quarantine.Names, shard string) {
+	if r.known.Load() == 0 {
 		return
 	}
 	resolved := names()
-	d.take("", func() []quarantine.Change { return d.ledger.MarkAnswered(resolved, quarantine.ShardOf(shard)) })
+	r.apply("", func() []quarantine.Change { return r.ledger.MarkAnswered(resolved, quarantine.ShardOf(shard)) })
 }
 
-// lifeOf names an incarnation of a replica.
-func lifeOf(life replica.Incarnation) quarantine.Incarnation {
+// incarnationOf returns the identifier of an incarnation of a replica.
+func incarnationOf(incarnation replica.Incarnation) quarantine.Incarnation {
 	var born [8]byte
-	binary.BigEndian.PutUint64(born[:], uint64(life.Born))
-	return quarantine.Incarnation(xxhash.Sum64String(life.ID + string(born[:])))
+	binary.BigEndian.PutUint64(born[:], uint64(incarnation.Born))
+	return quarantine.Incarnation(xxhash.Sum64String(incarnation.ID + string(born[:])))
 }
 
-// take changes the ledger, and tells what is new.
-func (d *ReplicatedLedger) take(from core.NodeID, change func() []quarantine.Change) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+// apply changes the ledger, reports the changes and queues new records for the other nodes.
+func (r *ReplicatedLedger) apply(from core.NodeID, change func() []quarantine.Change) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	changes := change()
 	if len(changes) == 0 {
 		return
 	}
 	for _, one := range changes {
 		if one.New {
-			d.noteNews(one.Record.Key, from)
+			r.queueUpdate(one.Record.Key, from)
 		}
-		if d.options.OnChange != nil {
-			d.options.OnChange(one, from)
+		if r.options.OnChange != nil {
+			r.options.OnChange(one, from)
 		}
 	}
-	d.note()
+	r.storeSummary()
 	select {
-	case d.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// noteNews notes that a request is to be told of; the mutex must be held. What came from several nodes, or was seen here as
-// well, is told to all: each of them lacks a part of it.
-func (d *ReplicatedLedger) noteNews(key quarantine.Key, from core.NodeID) {
-	if former, queued := d.news[key]; queued && former != from {
+// queueUpdate queues a record to be sent; the mutex must be held. A record that came from several nodes, or was changed here
+// as well, is sent to all nodes, because each of them lacks a part of it.
+func (r *ReplicatedLedger) queueUpdate(key quarantine.Key, from core.NodeID) {
+	if earlier, found := r.queued[key]; found && earlier != from {
 		from = ""
 	}
-	d.news[key] = from
+	r.queued[key] = from
 }
 
-// note keeps what is read without the mutex, which must be held.
-func (d *ReplicatedLedger) note() {
-	d.known.Store(int64(d.ledger.Len()))
-	d.digest.Store(d.ledger.Digest())
+// storeSummary updates the fields that are read without the mutex. The mutex must be held.
+func (r *ReplicatedLedger) storeSummary() {
+	r.known.Store(int64(r.ledger.Len()))
+	r.digest.Store(r.ledger.Digest())
 }
 
-// RequestStatus is what operators see of a request that is remembered.
+// RequestStatus describes a recorded request to operators.
 type RequestStatus struct {
 	Key         string `json:"key"`
 	Description string `json:"what"`
@@ -237,12 +238,12 @@
 }
 
 // Requests lists the requests that are not trusted, the most severe first.
-func (d *ReplicatedLedger) Requests() []RequestStatus {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	now := d.options.Now()
+func (r *ReplicatedLedger) Requests() []RequestStatus {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	now := r.options.Now()
 	var list []RequestStatus
-	for _, one := range d.ledger.Records() {
+	for _, one := range r.ledger.Records() {
 		if one.Severity() == quarantine.Trusted {
 			continue
 		}
@@ -252,45 +253,45 @@
 }
 
 // Count returns the number of names whose severity is the given standing.
-func (d *ReplicatedLedger) Count(standing quarantine.Standing) int64 {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return int64(d.ledger.Count(standing))
+func (r *ReplicatedLedger) Count(standing quarantine.Standing) int64 {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return int64(r.ledger.Count(standing))
 }
 
-func (d *ReplicatedLedger) run() {
-	expire := time.NewTicker(expireEvery)
+func (r *ReplicatedLedger) run() {
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
-		case <-d.ctx.Done():
+		case <-r.ctx.Done():
 			return
 		case <-expire.C:
-			d.expire()
-		case <-d.wake:
-			if !d.pause() {
+			r.expire()
+		case <-r.wake:
+			if !r.waitForBatch() {
 				return
 			}
-			d.tell()
+			r.sendUpdates()
 		}
 	}
 }
 
-// pause lets news gather; it reports false when the duty ends.
-func (d *ReplicatedLedger) pause() bool {
-	timer := time.NewTimer(gather)
+// waitForBatch waits batchDelay so that updates are sent together. It returns false if the ledger is closed.
+func (r *ReplicatedLedger) waitForBatch() bool {
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-d.ctx.Done():
+	case <-r.ctx.Done():
 		return false
 	}
 }
 
-func (d *ReplicatedLedger) expire() {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.ledger.Expire(d.options.Now())
-	d.note()
+func (r *ReplicatedLedger) expire() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.ledger.Expire(r.options.Now())
+	r.storeSummary()
 }
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// gather is how long news is gathered before it is told: the replicas of many shards end within milliseconds of
-	// each other.
-	gather = 5 * time.Millisecond
-	// compareEvery is how often two nodes that know different things of requests that are set aside tell each other
-	// all; the pause doubles while that brings nothing, maxDoublings times at most.
-	compareEvery = time.Second
-	maxDoublings = 6
-	// maxWhole bounds the records in one message, at up to 0.7 KB each.
-	maxWhole = 64
+	// batchDelay is how long updates are collected before they are sent: the replicas of many shards end within
+	// milliseconds of each other.
+	batchDelay = 5 * time.Millisecond
+	// compareInterval is how often two nodes with different digests exchange their records. The interval doubles, at
+	// most maxDoublings times, while the exchanges change nothing.
+	compareInterval = time.Second
+	maxDoublings    = 6
+	// maxRecords limits the records in one comparison message. A record has up to 0.7 KB.
+	maxRecords = 64
 )
 
-// tell passes news on over each link. Links make a net that joins all nodes, and each passes on what it did not know: so
-// news reaches every node within some round trips, over whichever links hold.
-func (d *ReplicatedLedger) tell() {
-	records, sources := d.takeNews()
+// sendUpdates sends the queued records to all targets. The links connect all nodes, and each node forwards the records that
+// were new to it, so an update reaches every node within a few round trips even if some links fail.
+func (r *ReplicatedLedger) sendUpdates() {
+	records, sources := r.takeQueued()
 	if len(records) == 0 {
 		return
 	}
-	for _, target := range d.newsTargets() {
+	for _, target := range r.updateTargets() {
 		message := &peerpb.QuarantineNews{}
 		for i, one := range records {
 			if sources[i] != target.Node {
@@ -39,94 +39,96 @@
 			}
 		}
 		if len(message.Records) > 0 {
-			d.ask(target, message)
+			r.ask(target, message)
 		}
 	}
 }
 
-// minNewsTargets is the number of nodes that news is sent to at least, if that many other nodes are live.
-const minNewsTargets = 3
+// minUpdateTargets is the minimum number of nodes that an update is sent to, if that many other nodes are live.
+const minUpdateTargets = 3
 
-// newsTargets returns the nodes to send news to: those with an open link and, if there are fewer than minNewsTargets,
-// the successors of this node in the order of ids. Shortly after startup a node has opened at most one link, and news
-// would not reach a node without incoming links until a heartbeat. Every node is the successor of another one, so
-// that news reaches all of them.
-func (d *ReplicatedLedger) newsTargets() []peer.Target {
-	targets := d.links.Linked()
-	if d.options.Nodes == nil || len(targets) >= minNewsTargets {
+// updateTargets returns the nodes to send updates to: those with an open link and, if there are fewer than
+// minUpdateTargets, the successors of this node in the order of IDs. Shortly after startup a node has opened at most one
+// link, and an update would not reach a node without incoming links until a heartbeat. Every node is the successor of
+// another one, so updates reach all of them.
+func (r *ReplicatedLedger) updateTargets() []peer.Target {
+	targets := r.links.Linked()
+	if r.options.Nodes == nil || len(targets) >= minUpdateTargets {
 		return targets
 	}
-	nodes := d.options.Nodes()
-	self, _ := slices.BinarySearchFunc(nodes, d.options.Self, func(node route.Node, id core.NodeID) int { return cmp.Compare(node.ID, id) })
-	for i := 1; i < len(nodes) && len(targets) < minNewsTargets; i++ {
+	nodes := r.options.Nodes()
+	self, _ := slices.BinarySearchFunc(nodes, r.options.Self, func(node route.Node, id core.NodeID) int { return cmp.Compare(node.ID, id) })
+	for i := 1; i < len(nodes) && len(targets) < minUpdateTargets; i++ {
 		successor := nodes[(self+i)%len(nodes)]
 		linked := slices.ContainsFunc(targets, func(target peer.Target) bool { return target.Node == successor.ID })
-		if successor.ID != d.options.Self && !linked {
+		if successor.ID != r.options.Self && !linked {
 			targets = append(targets, peer.Target{Node: successor.ID, Address: successor.PeerAddress})
 		}
 	}
 	return targets
 }
 
-func (d *ReplicatedLedger) takeNews() (records []*peerpb.QuarantineRecord, sources []core.NodeID) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	now := d.options.Now()
-	for key, from := range d.news {
-		if known := d.ledger.Get(key); known != nil {
+func (r *ReplicatedLedger) takeQueued() (records []*peerpb.QuarantineRecord, sources []core.NodeID) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	now := r.options.Now()
+	for key, from := range r.queued {
+		if known := r.ledger.Get(key); known != nil {
 			records, sources = append(records, encode(known, now)), append(sources, from)
 		}
 	}
-	clear(d.news)
+	clear(r.queued)
 	return records, sources
 }
 
-func (d *ReplicatedLedger) ask(target peer.Target, message *peerpb.QuarantineNews) {
+func (r *ReplicatedLedger) ask(target peer.Target, message *peerpb.QuarantineNews) {
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_QuarantineNews{QuarantineNews: message}}
-	d.links.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
-		// What a lost link did not carry is found by comparing digests.
+	r.links.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+		// Records that are lost with a link are found by comparing digests.
 		if failure == nil {
-			d.takeUp(target.Node, reply.GetQuarantineNews())
+			r.applyRecords(target.Node, reply.GetQuarantineNews())
 		}
 	})
 }
 
-// CompareDigest compares what another node knows of requests that are set aside, and asks it for all where that differs. A
-// node that has started, or comes back from behind a partition, so has what it missed with the first heartbeat.
-func (d *ReplicatedLedger) CompareDigest(from peer.Target, digest uint64) {
-	if digest == d.digest.Load() {
+// CompareDigest compares the digest of another node with this node's. If they differ, the nodes exchange their records. A
+// node that has started, or was partitioned, thus gets the records that it missed with its first heartbeat.
+func (r *ReplicatedLedger) CompareDigest(from peer.Target, digest uint64) {
+	if digest == r.digest.Load() {
 		return
 	}
-	if message := d.compareWith(from.Node); message != nil {
-		d.ask(from, message)
+	if message := r.comparisonRequest(from.Node); message != nil {
+		r.ask(from, message)
 	}
 }
 
-// comparison is when a node was last asked for all, and how often in a row that brought nothing.
+// comparison holds when another node was last asked for its records, and how many exchanges in a row changed nothing.
 type comparison struct {
-	at   core.Time
-	vain int
+	at        core.Time
+	unchanged int
 }
 
-// compareWith makes the message that asks a node for all; nil when it is too soon. Where more is set aside than
-// a message holds, two nodes may never agree: the pause grows while comparing brings nothing.
-func (d *ReplicatedLedger) compareWith(node core.NodeID) *peerpb.QuarantineNews {
-	now := d.options.Now()
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	last, asked := d.compared[node]
-	if asked && now-last.at < compareEvery<<min(last.vain, maxDoublings) {
+// comparisonRequest returns the message that asks a node for its records, or nil if the interval has not passed. If more
+// requests are set aside than a message holds, two nodes may never agree, so the interval grows while the exchanges change
+// nothing.
+func (r *ReplicatedLedger) comparisonRequest(node core.NodeID) *peerpb.QuarantineNews {
+	now := r.options.Now()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	last, asked := r.comparisons[node]
+	if asked && now-last.at < compareInterval<<min(last.unchanged, maxDoublings) {
 		return nil
 	}
-	d.compared[node] = comparison{at: now, vain: last.vain + 1}
-	return &peerpb.QuarantineNews{Records: d.all(now), All: true}
+	r.comparisons[node] = comparison{at: now, unchanged: last.unchanged + 1}
+	return &peerpb.QuarantineNews{Records: r.untrustedRecords(now), All: true}
 }
 
-// all lists what is known, the most severe first; the mutex must be held.
-func (d *ReplicatedLedger) all(now core.Time) []*peerpb.QuarantineRecord {
+// untrustedRecords returns the records of requests that are not trusted, at most maxRecords of them, the most severe first.
+// The mutex must be held.
+func (r *ReplicatedLedger) untrustedRecords(now core.Time) []*peerpb.QuarantineRecord {
 	var list []*peerpb.QuarantineRecord
-	for _, one := range d.ledger.Records() {
-		if one.Severity() == quarantine.Trusted || len(list) >= maxWhole {
+	for _, one := range r.ledger.Records() {
+		if one.Severity() == quarantine.Trusted || len(list) >= maxRecords {
 			break
 		}
 		list = append(list, encode(one, now))
@@ -134,33 +136,34 @@
 	return list
 }
 
-// Handle takes what another node tells.
-func (d *ReplicatedLedger) Handle(inbound *peer.Inbound) {
+// Handle handles an update or a comparison request of another node.
+func (r *ReplicatedLedger) Handle(inbound *peer.Inbound) {
 	message := inbound.Envelope.GetQuarantineNews()
-	d.takeUp(inbound.From.Node, message)
+	r.applyRecords(inbound.From.Node, message)
 	reply := &peerpb.QuarantineNews{}
 	if message.GetAll() {
-		d.mutex.Lock()
-		reply.Records = d.all(d.options.Now())
-		d.mutex.Unlock()
+		r.mutex.Lock()
+		reply.Records = r.untrustedRecords(r.options.Now())
+		r.mutex.Unlock()
 	}
 	inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_QuarantineNews{QuarantineNews: reply}}, true)
 }
 
-func (d *ReplicatedLedger) takeUp(from core.NodeID, message *peerpb.QuarantineNews) {
+func (r *ReplicatedLedger) applyRecords(from core.NodeID, message *peerpb.QuarantineNews) {
 	for _, one := range message.GetRecords() {
-		now := d.options.Now()
+		now := r.options.Now()
 		if record, ok := decode(one, now); ok {
-			d.take(from, func() []quarantine.Change { return d.learn(from, record, now) })
+			r.apply(from, func() []quarantine.Change { return r.mergeFrom(from, record, now) })
 		}
 	}
 }
 
-// learn merges what a node told. One that brings something new is compared with again soon; the mutex must be held.
-func (d *ReplicatedLedger) learn(from core.NodeID, record quarantine.Record, now core.Time) []quarantine.Change {
-	changes := d.ledger.Merge(record, now)
+// mergeFrom merges a record from a node. If the record changes the ledger, the interval to the next comparison with the
+// node is reset. The mutex must be held.
+func (r *ReplicatedLedger) mergeFrom(from core.NodeID, record quarantine.Record, now core.Time) []quarantine.Change {
+	changes := r.ledger.Merge(record, now)
 	if len(changes) > 0 {
-		delete(d.compared, from)
+		delete(r.comparisons, from)
 	}
 	return changes
 }
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -73,7 +73,7 @@
 	{mutant{"an era is another one, not a newer one", "internal/mirror/copy.go", "	if delta.Era < c.era || delta.Era > c.era && !delta.Whole {", "	if delta.Era != c.era && !delta.Whole {"}, "./internal/mirror"},
 	{mutant{"deltas of an older era are taken", "internal/mirror/copy.go", "	if delta.Era < c.era || delta.Era > c.era && !delta.Whole {", "	if delta.Era > c.era && !delta.Whole {"}, "./internal/mirror"},
 	{mutant{"the ends that a helper saw are not counted", "internal/edge/quarantine.go", "		if q.answered.Load() {\n", "		if q.answered.Load() || q.remote == \"\" {\n"}, "./internal/edge"},
-	{mutant{"deadly requests are forgotten at the restart of a node", "internal/quarantine/share.go", "	if digest == d.digest.Load() {\n", "	if digest == d.digest.Load() || true {\n"}, "./internal/edge"},
+	{mutant{"deadly requests are forgotten at the restart of a node", "internal/quarantine/share.go", "	if digest == r.digest.Load() {\n", "	if digest == r.digest.Load() || true {\n"}, "./internal/edge"},
 	{mutant{"an answer clears no request", "internal/core/quarantine/ledger.go", "			known.Facts[life] = fact | Cleared\n", "			known.Facts[life] = fact\n"}, "./internal/core/quarantine"},
 	{mutant{"a restore takes the configuration back", "platform/store.go", "	return wire.Version\n", "	return wire.Version * 0\n"}, "./internal/edge"},
 }
