--- a/internal/app/evidence.go
+++ b/internal/app/evidence.go
@@ -14,12 +14,12 @@
 	switch news.State {
 	case peer.LinkAnswers:
 		n.problems.Clear(observe.KindSilentConnection, "peer "+string(news.Peer.Node))
-		n.members.Answered(news.Peer.Node)
+		n.members.RecordAnswer(news.Peer.Node)
 	case peer.LinkSilent:
 		n.problems.Report(observe.KindSilentConnection, "peer "+string(news.Peer.Node), "the link to "+news.Peer.Address+" answered nothing and was replaced")
-		n.members.Lost(news.Peer.Node)
+		n.members.RecordFailure(news.Peer.Node)
 	default:
-		n.members.Lost(news.Peer.Node)
+		n.members.RecordFailure(news.Peer.Node)
 	}
 }
 
@@ -52,7 +52,7 @@
 		return view.Nodes()
 	}
 	nodes := slices.Clone(view.Nodes())
-	for _, listed := range n.members.Listed() {
+	for _, listed := range n.members.ListedNodes() {
 		if _, routed := view.Node(listed.ID); !routed {
 			nodes = append(nodes, listed)
 		}
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -49,7 +49,7 @@
 	server     *peer.Server
 	platform   *confservice.Client
 	config     *confwatch.Watcher
-	members    *membership.Duty
+	members    *membership.Manager
 	caller     *httpServer
 	operator   *httpServer
 	gatherer   *gather.Gatherer
--- a/internal/app/start.go
+++ b/internal/app/start.go
@@ -143,19 +143,19 @@
 	})
 }
 
-func (n *Node) startMembership() *membership.Duty {
+func (n *Node) startMembership() *membership.Manager {
 	return membership.Start(membership.Options{
-		Self:        n.belief.Self(),
-		Incarnation: n.identity.Incarnation,
-		List:        n.platform,
-		Belief:      n.belief,
-		Peers:       n.pool,
-		Now:         n.now,
-		Log:         n.log,
-		Problems:    n.problems,
-		Heard:       n.config.Hint,
+		Self:         n.belief.Self(),
+		Incarnation:  n.identity.Incarnation,
+		Lister:       n.platform,
+		Belief:       n.belief,
+		Peers:        n.pool,
+		Now:          n.now,
+		Log:          n.log,
+		Problems:     n.problems,
+		OnPeerConfig: n.config.Hint,
 
-		Quarantine:      n.quarantine.Digest,
-		HeardQuarantine: n.heardQuarantine,
+		QuarantineDigest: n.quarantine.Digest,
+		OnPeerQuarantine: n.heardQuarantine,
 	})
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -71,7 +71,7 @@
 	follower *mirror.Follower
 	pool     *peer.Pool
 	server   *peer.Server
-	members  *membership.Duty
+	members  *membership.Manager
 	seeds    *membership.Seeds
 	callers  *callerServer
 	others   []*http.Server
@@ -185,19 +185,19 @@
 	n.views.SetSelf(self)
 	n.seeds = membership.NewSeeds(s.PeerAddress, s.Seeds)
 	n.members = membership.Start(membership.Options{
-		Self:        self,
-		Incarnation: n.identity.Incarnation,
-		List:        n.seeds,
-		Belief:      n.views,
-		Peers:       n.pool,
-		Now:         n.now,
-		Log:         n.log.Logger(),
-		Problems:    observe.NewProblems(n.now),
-		InForce:     func() (uint64, uint64) { return n.configVersion(), 0 },
-		Heard:       n.heardVersion,
-
-		Quarantine:      n.quarantine.Digest,
-		HeardQuarantine: n.heardQuarantine,
+		Self:         self,
+		Incarnation:  n.identity.Incarnation,
+		Lister:       n.seeds,
+		Belief:       n.views,
+		Peers:        n.pool,
+		Now:          n.now,
+		Log:          n.log.Logger(),
+		Problems:     observe.NewProblems(n.now),
+		InForce:      func() (uint64, uint64) { return n.configVersion(), 0 },
+		OnPeerConfig: n.heardVersion,
+
+		QuarantineDigest: n.quarantine.Digest,
+		OnPeerQuarantine: n.heardQuarantine,
 	})
 	n.quarantine.Start(n.pool)
 	n.pool.OnLink(n.linkNews)
@@ -236,10 +236,10 @@
 // linkNews takes the evidence of data traffic about the node behind a link.
 func (n *Node) linkNews(news peer.LinkNews) {
 	if news.State == peer.LinkAnswers {
-		n.members.Answered(news.Peer.Node)
+		n.members.RecordAnswer(news.Peer.Node)
 		return
 	}
-	n.members.Lost(news.Peer.Node)
+	n.members.RecordFailure(news.Peer.Node)
 }
 
 // startOthers opens the addresses besides the callers'. Metrics are no condition of
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -14,7 +14,7 @@
 const ticketLife = 2 * time.Second
 
 // HandleHeartbeat takes a peer's heartbeat. A full ring refuses it.
-func (d *Duty) HandleHeartbeat(inbound *peer.Inbound) {
+func (d *Manager) HandleHeartbeat(inbound *peer.Inbound) {
 	heartbeat := inbound.Envelope.GetHeartbeat()
 	message := Decode(heartbeat)
 	if message.From.ID != inbound.From.Node {
@@ -31,26 +31,26 @@
 }
 
 // heard passes on the configuration that the sender has in force, and what it knows of requests that are set aside.
-func (d *Duty) heard(message *member.Message, quarantine uint64) {
-	if d.options.Heard != nil {
-		d.options.Heard(message.From.ID, message.Revision, message.Digest)
+func (d *Manager) heard(message *member.Message, quarantine uint64) {
+	if d.options.OnPeerConfig != nil {
+		d.options.OnPeerConfig(message.From.ID, message.Revision, message.Digest)
 	}
-	if d.options.HeardQuarantine != nil {
-		d.options.HeardQuarantine(message.From.ID, quarantine)
+	if d.options.OnPeerQuarantine != nil {
+		d.options.OnPeerQuarantine(message.From.ID, quarantine)
 	}
 }
 
 // heartbeat is a message as it travels.
-func (d *Duty) heartbeat(message *member.Message) *peerpb.Envelope {
+func (d *Manager) heartbeat(message *member.Message) *peerpb.Envelope {
 	heartbeat := Encode(message)
-	if d.options.Quarantine != nil {
-		heartbeat.Quarantine = d.options.Quarantine()
+	if d.options.QuarantineDigest != nil {
+		heartbeat.Quarantine = d.options.QuarantineDigest()
 	}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: heartbeat}}
 }
 
 // keep holds a heartbeat until the machine answers it by its ticket.
-func (d *Duty) keep(inbound *peer.Inbound) member.ReplyID {
+func (d *Manager) keep(inbound *peer.Inbound) member.ReplyID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.ticket++
@@ -58,7 +58,7 @@
 	return d.ticket
 }
 
-func (d *Duty) take(ticket member.ReplyID) *peer.Inbound {
+func (d *Manager) take(ticket member.ReplyID) *peer.Inbound {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	inbound := d.inbound[ticket]
@@ -67,7 +67,7 @@
 }
 
 // send asks a node; its reply or failure comes back as an event.
-func (d *Duty) send(a member.Send) {
+func (d *Manager) send(a member.Send) {
 	envelope := d.heartbeat(a.Message)
 	target := peer.Target{Node: a.To.ID, Address: a.To.PeerAddress}
 	ticket := d.options.Peers.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
@@ -82,7 +82,7 @@
 	d.asked[a.Probe] = asked{ticket: ticket, at: d.options.Now()}
 }
 
-func (d *Duty) reply(a member.Reply) {
+func (d *Manager) reply(a member.Reply) {
 	inbound := d.take(a.ReplyID)
 	if inbound != nil {
 		inbound.Reply(d.heartbeat(a.Message), true)
@@ -91,7 +91,7 @@
 
 // withdrawOld withdraws heartbeats that were given up, so that a silent link
 // holds a bounded number of them.
-func (d *Duty) withdrawOld() {
+func (d *Manager) withdrawOld() {
 	now := d.options.Now()
 	for probe, one := range d.asked {
 		if now-one.at > ticketLife {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -33,8 +33,8 @@
 type Options struct {
 	Self        route.Node
 	Incarnation uint64
-	// List is read for the nodes that there may be.
-	List   Lister
+	// Lister is read for the nodes that there may be.
+	Lister Lister
 	Belief *belief.Store
 	Peers  peer.Asker
 	// Now reads the node's monotonic clock.
@@ -43,17 +43,17 @@
 	Problems *observe.Problems
 	// InForce, when set, names the configuration in force in place of Belief.
 	InForce func() (revision, digest uint64)
-	// Heard, when set, is told the configuration that each heartbeat names.
-	Heard func(node core.NodeID, revision, digest uint64)
-	// Quarantine, when set, sums up what this node knows of requests that are set aside; HeardQuarantine is told
+	// OnPeerConfig, when set, is told the configuration that each heartbeat names.
+	OnPeerConfig func(node core.NodeID, revision, digest uint64)
+	// QuarantineDigest, when set, sums up what this node knows of requests that are set aside; HeardQuarantine is told
 	// what each heartbeat says of them.
-	Quarantine      func() uint64
-	HeardQuarantine func(node core.NodeID, digest uint64)
+	QuarantineDigest func() uint64
+	OnPeerQuarantine func(node core.NodeID, digest uint64)
 }
 
-// Duty is one node's membership. Its machine runs on one goroutine; the VM list
+// Manager is one node's membership. Its machine runs on one goroutine; the VM list
 // is read on another.
-type Duty struct {
+type Manager struct {
 	options Options
 	machine *member.Machine
 	events  *ring.Ring[member.Event]
@@ -83,9 +83,9 @@
 }
 
 // Start begins the duty; Close ends it.
-func Start(options Options) *Duty {
+func Start(options Options) *Manager {
 	ctx, stop := context.WithCancel(context.Background())
-	d := &Duty{
+	d := &Manager{
 		options: options,
 		machine: member.New(member.Config{Self: options.Self, Incarnation: options.Incarnation, PauseLimit: belief.PauseLimit}),
 		events:  ring.New[member.Event](ringDepth),
@@ -111,17 +111,17 @@
 }
 
 // Close ends the duty.
-func (d *Duty) Close() {
+func (d *Manager) Close() {
 	d.stop()
 	d.done.Wait()
 	d.options.Belief.SignOfLife(nil)
 }
 
 // Rings reports the depth of the duty's ring.
-func (d *Duty) Rings() ring.Stats { return d.events.Stats() }
+func (d *Manager) Rings() ring.Stats { return d.events.Stats() }
 
-// Listed returns the nodes of the last VM list that was read.
-func (d *Duty) Listed() []route.Node {
+// ListedNodes returns the nodes of the last VM list that was read.
+func (d *Manager) ListedNodes() []route.Node {
 	listed := d.listed.Load()
 	if listed == nil {
 		return nil
@@ -130,15 +130,15 @@
 }
 
 // Leave tells the other nodes that this one will stop.
-func (d *Duty) Leave() { _ = d.events.Put(d.ctx, member.Leave{}) }
+func (d *Manager) Leave() { _ = d.events.Put(d.ctx, member.Leave{}) }
 
-// Lost takes the evidence that requests to a node fail.
-func (d *Duty) Lost(node core.NodeID) { d.events.TryPut(member.RequestsFailed{Node: node}) }
+// RecordFailure takes the evidence that requests to a node fail.
+func (d *Manager) RecordFailure(node core.NodeID) { d.events.TryPut(member.RequestsFailed{Node: node}) }
 
-// Answered takes the evidence that a node answered a request.
-func (d *Duty) Answered(node core.NodeID) { d.events.TryPut(member.RequestAnswered{Node: node}) }
+// RecordAnswer takes the evidence that a node answered a request.
+func (d *Manager) RecordAnswer(node core.NodeID) { d.events.TryPut(member.RequestAnswered{Node: node}) }
 
-func (d *Duty) run() {
+func (d *Manager) run() {
 	ticker := time.NewTicker(member.TickInterval)
 	defer ticker.Stop()
 	d.step(d.tick())
@@ -160,7 +160,7 @@
 	}
 }
 
-func (d *Duty) tick() member.Tick {
+func (d *Manager) tick() member.Tick {
 	if d.options.InForce != nil {
 		revision, digest := d.options.InForce()
 		return member.Tick{Revision: revision, Digest: digest}
@@ -172,7 +172,7 @@
 	return member.Tick{Revision: config.Revision, Digest: config.Digest}
 }
 
-func (d *Duty) step(e member.Event) {
+func (d *Manager) step(e member.Event) {
 	if replied, ok := e.(member.ReplyReceived); ok {
 		delete(d.asked, replied.Probe)
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -61,7 +61,7 @@
 
 func (c *clock) now() core.Time { return time.Since(c.began) + core.Time(c.jump.Load()) }
 
-func startDuty(t *testing.T) (*Duty, *others, *clock) {
+func startDuty(t *testing.T) (*Manager, *others, *clock) {
 	t.Helper()
 	stand, err := standin.StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
@@ -81,7 +81,7 @@
 	d := Start(Options{
 		Self:        route.Node{ID: "vm-1", PeerAddress: "10.0.0.1:1"},
 		Incarnation: 1,
-		List:        client,
+		Lister:      client,
 		Belief:      store,
 		Peers:       peers,
 		Now:         time.now,
--- a/internal/membership/problems.go
+++ b/internal/membership/problems.go
@@ -15,7 +15,7 @@
 
 // setPaused keeps work from this node after a pause. What it believed may
 // have been overtaken while it stood still.
-func (d *Duty) setPaused(a member.SetPaused) {
+func (d *Manager) setPaused(a member.SetPaused) {
 	d.options.Belief.SetPaused(a.Paused)
 	if !a.Paused {
 		d.options.Log.WithField("event", "beliefs_confirmed").Info("beliefs confirmed after a pause")
@@ -26,14 +26,14 @@
 	d.options.Log.WithFields(logrus.Fields{"event": "process_paused", "late_ms": a.Late.Milliseconds()}).Warn("the process stood still; beliefs are confirmed before work goes on")
 }
 
-func (d *Duty) clearOldPause() {
+func (d *Manager) clearOldPause() {
 	if d.pausedAt > 0 && d.options.Now()-d.pausedAt > pauseShown {
 		d.pausedAt = 0
 		d.options.Problems.Clear(observe.KindPaused, string(d.options.Self.ID))
 	}
 }
 
-func (d *Duty) split(a member.SplitView) {
+func (d *Manager) split(a member.SplitView) {
 	subject := string(d.options.Self.ID)
 	if !a.Present {
 		d.options.Problems.Clear(observe.KindSplitView, subject)
@@ -43,7 +43,7 @@
 }
 
 // unreached reports the listed nodes that nobody reaches, and clears the others.
-func (d *Duty) unreached(a member.Unreached) {
+func (d *Manager) unreached(a member.Unreached) {
 	for _, node := range d.lost {
 		if !slices.Contains(a.Nodes, node) {
 			d.options.Problems.Clear(observe.KindPeerUnreachable, string(node))
--- a/internal/membership/vmlist.go
+++ b/internal/membership/vmlist.go
@@ -31,14 +31,14 @@
 )
 
 // watch reads the VM list and hands each new reading to the machine.
-func (d *Duty) watch() {
+func (d *Manager) watch() {
 	failures := 0
 	for d.ctx.Err() == nil {
 		timeout := listWait
 		if d.seen == 0 {
 			timeout = 0
 		}
-		list, changed, err := d.options.List.ReadVMs(d.ctx, d.seen, timeout)
+		list, changed, err := d.options.Lister.ReadVMs(d.ctx, d.seen, timeout)
 		switch {
 		case d.ctx.Err() != nil:
 			return
@@ -58,14 +58,14 @@
 	}
 }
 
-func (d *Duty) readFailed(err error, failures int) {
+func (d *Manager) readFailed(err error, failures int) {
 	d.options.Log.WithError(err).WithField("event", "vm_list_read_failed").Warn("VM list not read")
 	if failures >= staleReads {
 		d.options.Problems.Report(observe.KindVMListStale, string(d.options.Self.ID), strconv.Itoa(failures)+" reads in a row failed")
 	}
 }
 
-func (d *Duty) adopt(list confservice.VMList) {
+func (d *Manager) adopt(list confservice.VMList) {
 	listed := listedNodes(list)
 	nodes := make([]route.Node, 0, len(listed.Nodes))
 	for _, one := range listed.Nodes {
@@ -92,7 +92,7 @@
 // markLeaving marks the upstreams that the VM list shows leaving. The list may
 // be read before the first text and may stay unchanged for longer than a mark
 // lasts, so it is not enough to mark when a list arrives.
-func (d *Duty) markLeaving() {
+func (d *Manager) markLeaving() {
 	now := marking{list: d.list.Load(), config: d.options.Belief.Config(), at: d.options.Now()}
 	if now.list == nil || now.config == nil || !d.marked.due(now) {
 		return
