--- a/internal/confwatch/observe.go
+++ b/internal/confwatch/observe.go
@@ -57,18 +57,18 @@
 
 // Dump is the duty's state for operators.
 type Dump struct {
-	State    string        `json:"state"`
-	InForce  config.Mark   `json:"in_force"`
-	AgeMs    int64         `json:"age_ms"`
-	Relay    bool          `json:"relay"`
-	Direct   bool          `json:"reads_service"`
-	Watching uint64        `json:"watches_after"`
-	Targets  []core.NodeID `json:"follows"`
-	Asks     int           `json:"open_asks"`
-	Parked   int           `json:"parked_polls"`
-	Steps    int           `json:"known_differences"`
-	Reads    int64         `json:"service_reads"`
-	Events   ring.Stats    `json:"ring"`
+	State            string        `json:"state"`
+	InForce          config.Mark   `json:"in_force"`
+	AgeMs            int64         `json:"age_ms"`
+	Relay            bool          `json:"relay"`
+	ReadsService     bool          `json:"reads_service"`
+	WatchAfter       uint64        `json:"watches_after"`
+	Relays           []core.NodeID `json:"follows"`
+	OpenRequests     int           `json:"open_asks"`
+	ParkedPolls      int           `json:"parked_polls"`
+	KnownDifferences int           `json:"known_differences"`
+	ServiceReads     int64         `json:"service_reads"`
+	EventRing        ring.Stats    `json:"ring"`
 }
 
 // dumpRequest has the duty describe itself.
@@ -93,17 +93,17 @@
 
 func (w *Watcher) describe() Dump {
 	return Dump{
-		State:    w.machine.State(),
-		InForce:  w.machine.InForce(),
-		AgeMs:    w.machine.Age(w.Now()).Milliseconds(),
-		Relay:    w.follower.Relay(),
-		Direct:   w.follower.ReadsService(),
-		Watching: w.machine.WatchAfter(),
-		Targets:  append([]core.NodeID(nil), w.follower.Targets()...),
-		Asks:     len(w.asks),
-		Parked:   len(w.parked),
-		Steps:    len(w.history.steps),
-		Reads:    observe.Counter(w.Metrics, "config_service_reads_total").Count(),
-		Events:   w.events.Stats(),
+		State:            w.machine.State(),
+		InForce:          w.machine.InForce(),
+		AgeMs:            w.machine.Age(w.Now()).Milliseconds(),
+		Relay:            w.follower.Relay(),
+		ReadsService:     w.follower.ReadsService(),
+		WatchAfter:       w.machine.WatchAfter(),
+		Relays:           append([]core.NodeID(nil), w.follower.Targets()...),
+		OpenRequests:     len(w.asks),
+		ParkedPolls:      len(w.parked),
+		KnownDifferences: len(w.history.steps),
+		ServiceReads:     observe.Counter(w.Metrics, "config_service_reads_total").Count(),
+		EventRing:        w.events.Stats(),
 	}
 }
