--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -7,13 +7,13 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// maxListed bounds what is taken from one heartbeat, whatever its sender is: twice what a node tells.
-const maxListed = 512
+// maxHeartbeatItems bounds the updates and drain marks taken from one heartbeat, whatever the sender: twice what a node sends.
+const maxHeartbeatItems = 512
 
-// witnessBits is the size of each half of a packed witness.
+// witnessBits is the width of each half (node, term) of a packed witness.
 const witnessBits = 32
 
-// Encode turns a heartbeat into its peer message.
+// Encode converts a heartbeat to its wire format.
 func Encode(message *member.Message) *peerpb.Heartbeat {
 	out := &peerpb.Heartbeat{
 		Node:            string(message.From.ID),
@@ -65,7 +65,7 @@
 	return out
 }
 
-// Decode turns a peer message into a heartbeat.
+// Decode converts a heartbeat from its wire format.
 func Decode(in *peerpb.Heartbeat) *member.Message {
 	message := &member.Message{
 		From:        decodeNode(in),
@@ -83,21 +83,21 @@
 		SeenOf:      in.GetSeenOf(),
 	}
 	suspects := in.GetSuspects()
-	if len(suspects) > maxListed {
-		// What is cut off here must not count as heard: it would never be told again.
+	if len(suspects) > maxHeartbeatItems {
+		// Clear the mark, so that the sender repeats its updates: once acknowledged, the truncated ones would not be sent again.
 		message.Mark = 0
 	}
-	for _, one := range suspects[:min(len(suspects), maxListed)] {
-		message.Updates = append(message.Updates, decodeUpdate(one))
+	for _, suspicion := range suspects[:min(len(suspects), maxHeartbeatItems)] {
+		message.Updates = append(message.Updates, decodeUpdate(suspicion))
 	}
 	marks := in.GetDrainMarks()
-	for _, mark := range marks[:min(len(marks), maxListed)] {
+	for _, mark := range marks[:min(len(marks), maxHeartbeatItems)] {
 		message.Drains = append(message.Drains, member.Drain{Address: mark.GetAddress(), Version: mark.GetVersion(), Draining: mark.GetDraining()})
 	}
 	return message
 }
 
-// nodeMessage is a message that describes a node.
+// nodeMessage is a peer message with the fields of a route.Node.
 type nodeMessage interface {
 	GetNode() string
 	GetDataCentre() string
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -9,94 +9,94 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// ticketLife is when a heartbeat without a reply is withdrawn. The machine has
-// given it up by then.
-const ticketLife = 2 * time.Second
+// heartbeatTimeout is when a heartbeat without a reply is cancelled. The state
+// machine has counted it as failed by then.
+const heartbeatTimeout = 2 * time.Second
 
-// HandleHeartbeat takes a peer's heartbeat. A full ring refuses it.
-func (d *Manager) HandleHeartbeat(inbound *peer.Inbound) {
+// HandleHeartbeat queues a peer's heartbeat, or refuses it when the ring is full.
+func (m *Manager) HandleHeartbeat(inbound *peer.Inbound) {
 	heartbeat := inbound.Envelope.GetHeartbeat()
 	message := Decode(heartbeat)
 	if message.From.ID != inbound.From.Node {
-		// Only the node that its certificate names speaks for itself.
+		// A node may send heartbeats only under the id in its certificate.
 		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
 		return
 	}
-	d.heard(message, heartbeat.GetQuarantine())
-	ticket := d.keep(inbound)
-	if !d.events.TryPut(member.HeartbeatReceived{ReplyID: ticket, Message: message}) {
-		d.take(ticket)
+	m.notifyReceived(message, heartbeat.GetQuarantine())
+	replyID := m.storeInbound(inbound)
+	if !m.events.TryPut(member.HeartbeatReceived{ReplyID: replyID, Message: message}) {
+		m.takeInbound(replyID)
 		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
 	}
 }
 
-// heard passes on the configuration that the sender has in force, and what it knows of requests that are set aside.
-func (d *Manager) heard(message *member.Message, quarantine uint64) {
-	if d.options.OnPeerConfig != nil {
-		d.options.OnPeerConfig(message.From.ID, message.Revision, message.Digest)
+// notifyReceived passes on the sender's configuration in force and its quarantine digest.
+func (m *Manager) notifyReceived(message *member.Message, quarantine uint64) {
+	if m.options.OnPeerConfig != nil {
+		m.options.OnPeerConfig(message.From.ID, message.Revision, message.Digest)
 	}
-	if d.options.OnPeerQuarantine != nil {
-		d.options.OnPeerQuarantine(message.From.ID, quarantine)
+	if m.options.OnPeerQuarantine != nil {
+		m.options.OnPeerQuarantine(message.From.ID, quarantine)
 	}
 }
 
-// heartbeat is a message as it travels.
-func (d *Manager) heartbeat(message *member.Message) *peerpb.Envelope {
+// heartbeatEnvelope returns the envelope of a message, with this node's quarantine digest.
+func (m *Manager) heartbeatEnvelope(message *member.Message) *peerpb.Envelope {
 	heartbeat := Encode(message)
-	if d.options.QuarantineDigest != nil {
-		heartbeat.Quarantine = d.options.QuarantineDigest()
+	if m.options.QuarantineDigest != nil {
+		heartbeat.Quarantine = m.options.QuarantineDigest()
 	}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: heartbeat}}
 }
 
-// keep holds a heartbeat until the machine answers it by its ticket.
-func (d *Manager) keep(inbound *peer.Inbound) member.ReplyID {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.ticket++
-	d.inbound[d.ticket] = inbound
-	return d.ticket
+// storeInbound keeps a heartbeat until the state machine replies under the returned id.
+func (m *Manager) storeInbound(inbound *peer.Inbound) member.ReplyID {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.lastReplyID++
+	m.inbound[m.lastReplyID] = inbound
+	return m.lastReplyID
 }
 
-func (d *Manager) take(ticket member.ReplyID) *peer.Inbound {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	inbound := d.inbound[ticket]
-	delete(d.inbound, ticket)
+func (m *Manager) takeInbound(replyID member.ReplyID) *peer.Inbound {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	inbound := m.inbound[replyID]
+	delete(m.inbound, replyID)
 	return inbound
 }
 
-// send asks a node; its reply or failure comes back as an event.
-func (d *Manager) send(a member.Send) {
-	envelope := d.heartbeat(a.Message)
+// send sends a heartbeat to a node; the reply or failure becomes an event.
+func (m *Manager) send(a member.Send) {
+	envelope := m.heartbeatEnvelope(a.Message)
 	target := peer.Target{Node: a.To.ID, Address: a.To.PeerAddress}
-	ticket := d.options.Peers.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	ticket := m.options.Peers.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		if failure != nil || reply.GetHeartbeat() == nil {
-			d.events.TryPut(member.ProbeFailed{Probe: a.Probe})
+			m.events.TryPut(member.ProbeFailed{Probe: a.Probe})
 			return
 		}
 		message := Decode(reply.GetHeartbeat())
-		d.heard(message, reply.GetHeartbeat().GetQuarantine())
-		d.events.TryPut(member.ReplyReceived{Probe: a.Probe, Message: message})
+		m.notifyReceived(message, reply.GetHeartbeat().GetQuarantine())
+		m.events.TryPut(member.ReplyReceived{Probe: a.Probe, Message: message})
 	})
-	d.asked[a.Probe] = asked{ticket: ticket, at: d.options.Now()}
+	m.pending[a.Probe] = pendingProbe{ticket: ticket, at: m.options.Now()}
 }
 
-func (d *Manager) reply(a member.Reply) {
-	inbound := d.take(a.ReplyID)
+func (m *Manager) reply(a member.Reply) {
+	inbound := m.takeInbound(a.ReplyID)
 	if inbound != nil {
-		inbound.Reply(d.heartbeat(a.Message), true)
+		inbound.Reply(m.heartbeatEnvelope(a.Message), true)
 	}
 }
 
-// withdrawOld withdraws heartbeats that were given up, so that a silent link
-// holds a bounded number of them.
-func (d *Manager) withdrawOld() {
-	now := d.options.Now()
-	for probe, one := range d.asked {
-		if now-one.at > ticketLife {
-			one.ticket.Cancel()
-			delete(d.asked, probe)
+// cancelExpired cancels heartbeats without a reply, which bounds their number on
+// an unresponsive link.
+func (m *Manager) cancelExpired() {
+	now := m.options.Now()
+	for probe, pending := range m.pending {
+		if now-pending.at > heartbeatTimeout {
+			pending.ticket.Cancel()
+			delete(m.pending, probe)
 		}
 	}
 }
--- a/internal/membership/marking_test.go
+++ b/internal/membership/marking_test.go
@@ -10,17 +10,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/member"
 )
 
-// A VM stays in the list as leaving for an hour. Its mark ends after minutes
-// unless it is seen again, and new work would go to an upstream on its way out.
+// A VM stays in the list as leaving for an hour. Unless it is marked again, its
+// drain mark expires after minutes, and a leaving upstream receives new work.
 func TestAnUnchangedListMarksAgainWithinAMarksLife(t *testing.T) {
-	first := marking{list: &confservice.VMList{}, config: &belief.Config{}}
-	require.False(t, first.due(first))
+	first := drainMarks{list: &confservice.VMList{}, config: &belief.Config{}}
+	require.False(t, first.mustRenew(first))
 	later := first
-	later.at = markAgain
-	require.True(t, first.due(later))
-	require.True(t, first.due(marking{list: first.list, config: &belief.Config{}}), "another text")
-	require.True(t, first.due(marking{list: &confservice.VMList{}, config: first.config}), "another list")
+	later.at = markInterval
+	require.True(t, first.mustRenew(later))
+	require.True(t, first.mustRenew(drainMarks{list: first.list, config: &belief.Config{}}), "another configuration")
+	require.True(t, first.mustRenew(drainMarks{list: &confservice.VMList{}, config: first.config}), "another list")
 	var config member.Config
 	config.Fill()
-	require.Less(t, 2*markAgain, config.DrainTTL, "a mark is renewed before it ends, also when one sighting is taken for a repetition")
+	require.Less(t, 2*markInterval, config.DrainTTL, "a mark is renewed before it expires, even when one renewal is discarded as a repetition")
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership runs the duty that keeps this node's belief about the
-// others: it reads the VM list, exchanges heartbeats and takes evidence from
-// data traffic. The decisions are those of internal/core/member.
+// Package membership maintains this node's view of the other nodes from the VM
+// list, heartbeats and the outcomes of requests. The decisions are made by
+// internal/core/member.
 package membership
 
 import (
@@ -23,17 +23,17 @@
 
 const ringDepth = 1024
 
-// Lister reads a list of VMs. A read with a wait returns after it when nothing has
-// changed behind the given sequence.
+// Lister reads a list of VMs. A read waits for a list with a sequence above after
+// and reports changed false when there is none within wait.
 type Lister interface {
 	ReadVMs(ctx context.Context, after uint64, wait time.Duration) (list confservice.VMList, changed bool, err error)
 }
 
-// Options are the parts of a Duty.
+// Options are the dependencies of a Manager.
 type Options struct {
 	Self        route.Node
 	Incarnation uint64
-	// Lister is read for the nodes that there may be.
+	// Lister lists the nodes that may exist.
 	Lister Lister
 	Belief *belief.Store
 	Peers  peer.Asker
@@ -41,158 +41,158 @@
 	Now      func() core.Time
 	Log      logrus.FieldLogger
 	Problems *observe.Problems
-	// InForce, when set, names the configuration in force in place of Belief.
+	// InForce, when set, replaces Belief as the source of the configuration in force.
 	InForce func() (revision, digest uint64)
-	// OnPeerConfig, when set, is told the configuration that each heartbeat names.
+	// OnPeerConfig, when set, receives the configuration in force at a peer from each of its heartbeats.
 	OnPeerConfig func(node core.NodeID, revision, digest uint64)
-	// QuarantineDigest, when set, sums up what this node knows of requests that are set aside; HeardQuarantine is told
-	// what each heartbeat says of them.
+	// QuarantineDigest, when set, returns the digest of this node's quarantined requests; OnPeerQuarantine, when set,
+	// receives a peer's digest from each of its heartbeats.
 	QuarantineDigest func() uint64
 	OnPeerQuarantine func(node core.NodeID, digest uint64)
 }
 
-// Manager is one node's membership. Its machine runs on one goroutine; the VM list
-// is read on another.
+// Manager runs one node's membership. Its state machine runs on one goroutine, the
+// reads of the VM list on another.
 type Manager struct {
-	options Options
-	machine *member.Machine
-	events  *ring.Ring[member.Event]
-	ctx     context.Context
-	stop    context.CancelFunc
-	done    sync.WaitGroup
-	seen    uint64
-	listed  atomic.Pointer[[]route.Node]
-	// list is the VM list last read.
-	list atomic.Pointer[confservice.VMList]
-
-	mutex   sync.Mutex
-	inbound map[member.ReplyID]*peer.Inbound
-	ticket  member.ReplyID
-
-	// asked is used by the duty's goroutine alone.
-	asked    map[member.ProbeID]asked
-	pausedAt core.Time
-	lost     []core.NodeID
-	marked   marking
+	options      Options
+	machine      *member.Machine
+	events       *ring.Ring[member.Event]
+	ctx          context.Context
+	stop         context.CancelFunc
+	done         sync.WaitGroup
+	lastSequence uint64
+	nodes        atomic.Pointer[[]route.Node]
+	// vmList is the VM list read last, and nodes its nodes of the tier.
+	vmList atomic.Pointer[confservice.VMList]
+
+	mutex       sync.Mutex
+	inbound     map[member.ReplyID]*peer.Inbound
+	lastReplyID member.ReplyID
+
+	// The fields below are used only by the goroutine of run.
+	pending     map[member.ProbeID]pendingProbe
+	pausedAt    core.Time
+	unreachable []core.NodeID
+	lastMarks   drainMarks
 }
 
-// asked is a heartbeat that was handed to the peers' pool.
-type asked struct {
+// pendingProbe is a heartbeat in flight.
+type pendingProbe struct {
 	ticket peer.Ticket
 	at     core.Time
 }
 
-// Start begins the duty; Close ends it.
+// Start starts a Manager; Close stops it.
 func Start(options Options) *Manager {
 	ctx, stop := context.WithCancel(context.Background())
-	d := &Manager{
+	m := &Manager{
 		options: options,
 		machine: member.New(member.Config{Self: options.Self, Incarnation: options.Incarnation, PauseLimit: belief.PauseLimit}),
 		events:  ring.New[member.Event](ringDepth),
 		ctx:     ctx,
 		stop:    stop,
 		inbound: map[member.ReplyID]*peer.Inbound{},
-		asked:   map[member.ProbeID]asked{},
+		pending: map[member.ProbeID]pendingProbe{},
 	}
 	options.Belief.OnDrainSeen(func(address string) {
-		d.events.TryPut(member.DrainSeen{Address: address, Draining: true})
+		m.events.TryPut(member.DrainSeen{Address: address, Draining: true})
 	})
 	options.Belief.SignOfLife(options.Now)
-	d.done.Add(2)
+	m.done.Add(2)
 	go func() {
-		defer d.done.Done()
-		d.watch()
+		defer m.done.Done()
+		m.watchVMList()
 	}()
 	go func() {
-		defer d.done.Done()
-		d.run()
+		defer m.done.Done()
+		m.run()
 	}()
-	return d
+	return m
 }
 
-// Close ends the duty.
-func (d *Manager) Close() {
-	d.stop()
-	d.done.Wait()
-	d.options.Belief.SignOfLife(nil)
+// Close stops the goroutines and waits for them.
+func (m *Manager) Close() {
+	m.stop()
+	m.done.Wait()
+	m.options.Belief.SignOfLife(nil)
 }
 
-// Rings reports the depth of the duty's ring.
-func (d *Manager) Rings() ring.Stats { return d.events.Stats() }
+// Rings returns the statistics of the event ring.
+func (m *Manager) Rings() ring.Stats { return m.events.Stats() }
 
-// ListedNodes returns the nodes of the last VM list that was read.
-func (d *Manager) ListedNodes() []route.Node {
-	listed := d.listed.Load()
+// ListedNodes returns the nodes in the VM list read last.
+func (m *Manager) ListedNodes() []route.Node {
+	listed := m.nodes.Load()
 	if listed == nil {
 		return nil
 	}
 	return *listed
 }
 
-// Leave tells the other nodes that this one will stop.
-func (d *Manager) Leave() { _ = d.events.Put(d.ctx, member.Leave{}) }
+// Leave announces to the other nodes that this one will stop.
+func (m *Manager) Leave() { _ = m.events.Put(m.ctx, member.Leave{}) }
 
-// RecordFailure takes the evidence that requests to a node fail.
-func (d *Manager) RecordFailure(node core.NodeID) { d.events.TryPut(member.RequestsFailed{Node: node}) }
+// RecordFailure records that requests to a node fail.
+func (m *Manager) RecordFailure(node core.NodeID) { m.events.TryPut(member.RequestsFailed{Node: node}) }
 
-// RecordAnswer takes the evidence that a node answered a request.
-func (d *Manager) RecordAnswer(node core.NodeID) { d.events.TryPut(member.RequestAnswered{Node: node}) }
+// RecordAnswer records that a node answered a request.
+func (m *Manager) RecordAnswer(node core.NodeID) { m.events.TryPut(member.RequestAnswered{Node: node}) }
 
-func (d *Manager) run() {
+func (m *Manager) run() {
 	ticker := time.NewTicker(member.TickInterval)
 	defer ticker.Stop()
-	d.step(d.tick())
+	m.step(m.tick())
 	for {
 		select {
-		case <-d.ctx.Done():
+		case <-m.ctx.Done():
 			return
-		case e := <-d.events.Items():
-			d.step(e)
+		case e := <-m.events.Items():
+			m.step(e)
 		case <-ticker.C:
-			d.step(d.tick())
-			d.markLeaving()
-			d.withdrawOld()
-			d.clearOldPause()
-			// After the step, so that the pause is set before the sign of
-			// life is young again.
-			d.options.Belief.SignOfLife(d.options.Now)
+			m.step(m.tick())
+			m.markLeaving()
+			m.cancelExpired()
+			m.clearExpiredPause()
+			// After the step: a pause must be set before the sign of life
+			// is renewed.
+			m.options.Belief.SignOfLife(m.options.Now)
 		}
 	}
 }
 
-func (d *Manager) tick() member.Tick {
-	if d.options.InForce != nil {
-		revision, digest := d.options.InForce()
+func (m *Manager) tick() member.Tick {
+	if m.options.InForce != nil {
+		revision, digest := m.options.InForce()
 		return member.Tick{Revision: revision, Digest: digest}
 	}
-	config := d.options.Belief.Config()
+	config := m.options.Belief.Config()
 	if config == nil {
 		return member.Tick{}
 	}
 	return member.Tick{Revision: config.Revision, Digest: config.Digest}
 }
 
-func (d *Manager) step(e member.Event) {
+func (m *Manager) step(e member.Event) {
 	if replied, ok := e.(member.ReplyReceived); ok {
-		delete(d.asked, replied.Probe)
+		delete(m.pending, replied.Probe)
 	}
-	for _, action := range d.machine.Step(d.options.Now(), e) {
+	for _, action := range m.machine.Step(m.options.Now(), e) {
 		switch a := action.(type) {
 		case member.Send:
-			d.send(a)
+			m.send(a)
 		case member.Reply:
-			d.reply(a)
+			m.reply(a)
 		case member.Publish:
-			d.options.Belief.SetView(a.View)
-			d.options.Log.WithFields(logrus.Fields{"event": "view_changed", "nodes": len(a.View.Nodes()), "view": a.View.ID()}).Info("routing view changed")
+			m.options.Belief.SetView(a.View)
+			m.options.Log.WithFields(logrus.Fields{"event": "view_changed", "nodes": len(a.View.Nodes()), "view": a.View.ID()}).Info("routing view changed")
 		case member.PublishDrains:
-			d.options.Belief.SetDrained(a.Addresses)
+			m.options.Belief.SetDrained(a.Addresses)
 		case member.SetPaused:
-			d.setPaused(a)
+			m.setPaused(a)
 		case member.SplitView:
-			d.split(a)
+			m.reportSplitView(a)
 		case member.Unreached:
-			d.unreached(a)
+			m.reportUnreached(a)
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -26,47 +26,47 @@
 	pollPause  = time.Millisecond
 )
 
-// others answers every heartbeat for the nodes asked, with the asker's view and
-// a revision, unless they are quiet.
-type others struct {
+// fakePeers answers every heartbeat in place of its target, with the sender's view
+// and a set revision, unless silent.
+type fakePeers struct {
 	store    *belief.Store
 	revision atomic.Uint64
-	quiet    atomic.Bool
+	silent   atomic.Bool
 }
 
-type noTicket struct{}
+type noopTicket struct{}
 
-func (noTicket) Cancel() {}
+func (noopTicket) Cancel() {}
 
-func (o *others) Ask(target peer.Target, _ *peerpb.Envelope, sink peer.Sink) peer.Ticket {
-	if o.quiet.Load() {
-		return noTicket{}
+func (p *fakePeers) Ask(target peer.Target, _ *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+	if p.silent.Load() {
+		return noopTicket{}
 	}
 	message := &member.Message{
 		From:        route.Node{ID: target.Node, PeerAddress: target.Address},
 		Incarnation: 1,
-		Revision:    o.revision.Load(),
-		View:        o.store.View().ID(),
+		Revision:    p.revision.Load(),
+		View:        p.store.View().ID(),
 	}
 	sink(&peerpb.Envelope{Last: true, Body: &peerpb.Envelope_Heartbeat{Heartbeat: Encode(message)}}, nil)
-	return noTicket{}
+	return noopTicket{}
 }
 
-// clock runs with the real one and can jump, as a monotonic clock does for a
-// process that was stopped.
+// clock follows real time plus an offset, which models the jump that a paused
+// process sees.
 type clock struct {
-	began time.Time
-	jump  atomic.Int64
+	startedAt time.Time
+	offset    atomic.Int64
 }
 
-func (c *clock) now() core.Time { return time.Since(c.began) + core.Time(c.jump.Load()) }
+func (c *clock) now() core.Time { return time.Since(c.startedAt) + core.Time(c.offset.Load()) }
 
-func startDuty(t *testing.T) (*Manager, *others, *clock) {
+func startManager(t *testing.T) (*Manager, *fakePeers, *clock) {
 	t.Helper()
-	stand, err := standin.StartPlatform("127.0.0.1:0")
+	platform, err := standin.StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = stand.Close() })
-	stand.SetVMs([]confservice.VM{
+	t.Cleanup(func() { _ = platform.Close() })
+	platform.SetVMs([]confservice.VM{
 		{ID: "vm-1", State: confservice.VMLive, PeerAddress: "10.0.0.1:1"},
 		{ID: "vm-2", State: confservice.VMLive, PeerAddress: "10.0.0.2:1"},
 		{ID: "vm-3", State: confservice.VMLive, PeerAddress: "10.0.0.3:1"},
@@ -74,56 +74,56 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	store := belief.NewStore()
-	time := &clock{began: time.Now()}
-	peers := &others{store: store}
-	client := confservice.NewClient(stand.URL())
+	fakeClock := &clock{startedAt: time.Now()}
+	peers := &fakePeers{store: store}
+	client := confservice.NewClient(platform.URL())
 	t.Cleanup(client.Close)
-	d := Start(Options{
+	m := Start(Options{
 		Self:        route.Node{ID: "vm-1", PeerAddress: "10.0.0.1:1"},
 		Incarnation: 1,
 		Lister:      client,
 		Belief:      store,
 		Peers:       peers,
-		Now:         time.now,
+		Now:         fakeClock.now,
 		Log:         log,
-		Problems:    observe.NewProblems(time.now),
+		Problems:    observe.NewProblems(fakeClock.now),
 	})
-	t.Cleanup(d.Close)
+	t.Cleanup(m.Close)
 	require.Eventually(t, func() bool { return len(store.View().Nodes()) == 3 }, awaitLimit, pollPause)
-	return d, peers, time
+	return m, peers, fakeClock
 }
 
-// A process stands still for ten seconds, and others take over what it owned
-// under a newer text. When it wakes, no role may act before the beliefs are
-// confirmed: the node counts as paused the moment the clock has jumped, before any
-// duty has run, and acts again only when the newer text is in force here.
-func TestAWokenProcessIsGatedUntilConfirmed(t *testing.T) {
-	d, peers, clock := startDuty(t)
-	store := d.options.Belief
+// A process is paused for ten seconds, and others take over its work under a newer
+// configuration. When it resumes, no role may act before its state is confirmed: the
+// node counts as paused as soon as the clock has jumped, before any goroutine has
+// run, until the newer configuration is in force here.
+func TestAResumedProcessIsGatedUntilConfirmed(t *testing.T) {
+	m, peers, clock := startManager(t)
+	store := m.options.Belief
 	require.False(t, store.Paused())
 	store.SetConfig(&belief.Config{Revision: 4})
 	peers.revision.Store(5)
-	clock.jump.Add(int64(10 * time.Second))
+	clock.offset.Add(int64(10 * time.Second))
 	require.True(t, store.Paused())
-	require.Eventually(t, func() bool { return len(d.options.Problems.List()) == 1 }, awaitLimit, pollPause)
-	require.Equal(t, observe.KindPaused, d.options.Problems.List()[0].Kind)
-	require.True(t, store.Paused(), "others run by a newer text")
+	require.Eventually(t, func() bool { return len(m.options.Problems.List()) == 1 }, awaitLimit, pollPause)
+	require.Equal(t, observe.KindPaused, m.options.Problems.List()[0].Kind)
+	require.True(t, store.Paused(), "other nodes have a newer revision in force")
 	store.SetConfig(&belief.Config{Revision: 5})
 	require.Eventually(t, func() bool { return !store.Paused() }, awaitLimit, pollPause)
 	require.Len(t, store.View().Nodes(), 3)
 }
 
-// A node that is alone after a pause must not stay closed for good: nobody can
-// tell it anything newer, and callers have nobody else.
-func TestAWokenProcessThatReachesNobodyServesOn(t *testing.T) {
-	d, peers, clock := startDuty(t)
-	peers.quiet.Store(true)
-	clock.jump.Add(int64(10 * time.Second))
-	require.True(t, d.options.Belief.Paused())
-	require.Eventually(t, func() bool { return !d.options.Belief.Paused() }, awaitLimit, pollPause)
+// A node that reaches no peer after a pause must not stay gated: no peer can send
+// it a newer state, and its callers have no other node.
+func TestAResumedProcessWithoutPeersServesAgain(t *testing.T) {
+	m, peers, clock := startManager(t)
+	peers.silent.Store(true)
+	clock.offset.Add(int64(10 * time.Second))
+	require.True(t, m.options.Belief.Paused())
+	require.Eventually(t, func() bool { return !m.options.Belief.Paused() }, awaitLimit, pollPause)
 }
 
-func TestHeartbeatsSurviveTheCodec(t *testing.T) {
+func TestHeartbeatCodecRoundTrip(t *testing.T) {
 	message := &member.Message{
 		From:        route.Node{ID: "vm-1", DataCentre: "dc1", PeerAddress: "10.0.0.1:1", CallerAddress: "10.0.0.1:2"},
 		Incarnation: 7, Version: 3, Revision: 9, Digest: 11, View: 13, Leaving: true,
@@ -138,17 +138,17 @@
 	require.Equal(t, message, Decode(Encode(message)))
 }
 
-// A node tells more states in one heartbeat than this one takes. Those that were not taken must be told
-// again, or this node never hears of them.
-func TestStatesThatWereNotTakenDoNotCountAsHeard(t *testing.T) {
-	message := &member.Message{From: route.Node{ID: "vm-1"}, Exchange: true, Mark: 1000, Updates: make([]member.Update, maxListed+1)}
+// A heartbeat has more updates than are taken from one. The remaining ones must not be acknowledged,
+// or the sender never repeats them.
+func TestTruncatedUpdatesAreNotAcknowledged(t *testing.T) {
+	message := &member.Message{From: route.Node{ID: "vm-1"}, Exchange: true, Mark: 1000, Updates: make([]member.Update, maxHeartbeatItems+1)}
 	got := Decode(Encode(message))
-	require.Len(t, got.Updates, maxListed)
+	require.Len(t, got.Updates, maxHeartbeatItems)
 	require.Zero(t, got.Mark)
 }
 
-// A VM that the list shows leaving and that is none of the tier's nodes is an
-// upstream's: its replicas count as draining, whatever the text says.
+// A leaving VM that is not one of the tier's nodes belongs to an upstream: its
+// replicas count as draining, whatever the configuration says.
 func TestLeavingUpstreamsAreFoundInTheList(t *testing.T) {
 	text := testCatalog(t)
 	list := confservice.VMList{VMs: []confservice.VM{
--- a/internal/membership/problems.go
+++ b/internal/membership/problems.go
@@ -10,49 +10,50 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// pauseShown is how long a pause stays among the problems: over a night.
-const pauseShown = 12 * time.Hour
-
-// setPaused keeps work from this node after a pause. What it believed may
-// have been overtaken while it stood still.
-func (d *Manager) setPaused(a member.SetPaused) {
-	d.options.Belief.SetPaused(a.Paused)
+// pauseProblemTTL is how long a pause stays listed as a problem: long enough for
+// one in the night to be seen in the morning.
+const pauseProblemTTL = 12 * time.Hour
+
+// setPaused gates work on this node after a pause, until its possibly stale state
+// is confirmed.
+func (m *Manager) setPaused(a member.SetPaused) {
+	m.options.Belief.SetPaused(a.Paused)
 	if !a.Paused {
-		d.options.Log.WithField("event", "beliefs_confirmed").Info("beliefs confirmed after a pause")
+		m.options.Log.WithField("event", "beliefs_confirmed").Info("view and configuration confirmed after a pause")
 		return
 	}
-	d.pausedAt = d.options.Now()
-	d.options.Problems.Report(observe.KindPaused, string(d.options.Self.ID), "the process stood still for "+a.Late.Round(time.Millisecond).String())
-	d.options.Log.WithFields(logrus.Fields{"event": "process_paused", "late_ms": a.Late.Milliseconds()}).Warn("the process stood still; beliefs are confirmed before work goes on")
+	m.pausedAt = m.options.Now()
+	m.options.Problems.Report(observe.KindPaused, string(m.options.Self.ID), "the process was paused for "+a.Late.Round(time.Millisecond).String())
+	m.options.Log.WithFields(logrus.Fields{"event": "process_paused", "late_ms": a.Late.Milliseconds()}).Warn("process was paused; work resumes once the view and the configuration are confirmed")
 }
 
-func (d *Manager) clearOldPause() {
-	if d.pausedAt > 0 && d.options.Now()-d.pausedAt > pauseShown {
-		d.pausedAt = 0
-		d.options.Problems.Clear(observe.KindPaused, string(d.options.Self.ID))
+func (m *Manager) clearExpiredPause() {
+	if m.pausedAt > 0 && m.options.Now()-m.pausedAt > pauseProblemTTL {
+		m.pausedAt = 0
+		m.options.Problems.Clear(observe.KindPaused, string(m.options.Self.ID))
 	}
 }
 
-func (d *Manager) split(a member.SplitView) {
-	subject := string(d.options.Self.ID)
+func (m *Manager) reportSplitView(a member.SplitView) {
+	subject := string(m.options.Self.ID)
 	if !a.Present {
-		d.options.Problems.Clear(observe.KindSplitView, subject)
+		m.options.Problems.Clear(observe.KindSplitView, subject)
 		return
 	}
-	d.options.Problems.Report(observe.KindSplitView, subject, splitDetail(a.Unreached))
+	m.options.Problems.Report(observe.KindSplitView, subject, splitViewDetail(a.Unreached))
 }
 
-// unreached reports the listed nodes that nobody reaches, and clears the others.
-func (d *Manager) unreached(a member.Unreached) {
-	for _, node := range d.lost {
+// reportUnreached reports the listed nodes that no node reaches, and clears the problems of the others.
+func (m *Manager) reportUnreached(a member.Unreached) {
+	for _, node := range m.unreachable {
 		if !slices.Contains(a.Nodes, node) {
-			d.options.Problems.Clear(observe.KindPeerUnreachable, string(node))
+			m.options.Problems.Clear(observe.KindPeerUnreachable, string(node))
 		}
 	}
 	for _, node := range a.Nodes {
-		if !slices.Contains(d.lost, node) {
-			d.options.Problems.Report(observe.KindPeerUnreachable, string(node), "the VM list shows it live, and neither this node nor others reach it")
+		if !slices.Contains(m.unreachable, node) {
+			m.options.Problems.Report(observe.KindPeerUnreachable, string(node), "live in the VM list, but unreachable from this node and from others")
 		}
 	}
-	d.lost = a.Nodes
+	m.unreachable = a.Nodes
 }
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -10,28 +10,29 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Seeds is a list of nodes' peer addresses where there is no VM list. A node's id
-// then is its peer address. Seeds may be stale: the other nodes, and what the
-// seeds' own particulars are, come by heartbeat.
+// Seeds is a list of peer addresses that replaces the VM list where there is none.
+// A node's id then is its peer address. Seeds may be stale: heartbeats bring the
+// other nodes, and the details of the seeds themselves.
 type Seeds struct {
-	// self is this node's own peer address. It is left out of the list: a seed that
-	// read its own bare address there would forget its other addresses.
+	// self is this node's own peer address. It is left out of the list: an entry
+	// with the peer address alone would overwrite this node's other addresses.
 	self string
 
 	mutex     sync.Mutex
 	addresses []string
-	// sequence rises with each other list.
+	// sequence rises with each change of the list.
 	sequence uint64
-	replaced chan struct{}
+	// changed is closed when the list changes.
+	changed chan struct{}
 }
 
-// NewSeeds makes a list of seeds; self is this node's own peer address.
+// NewSeeds returns a list of seeds; self is this node's own peer address.
 func NewSeeds(self string, addresses []string) *Seeds {
-	return &Seeds{self: self, addresses: addresses, sequence: 1, replaced: make(chan struct{})}
+	return &Seeds{self: self, addresses: addresses, sequence: 1, changed: make(chan struct{})}
 }
 
-// Replace puts other seeds in place of the former ones. Nodes that are known by heartbeat
-// stay known; the new seeds are what is turned to when none of those answers.
+// Replace replaces the seeds. Nodes known by heartbeat stay known; the new seeds are contacted
+// when none of those answers.
 func (s *Seeds) Replace(addresses []string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -40,20 +41,20 @@
 	}
 	s.addresses = addresses
 	s.sequence++
-	close(s.replaced)
-	s.replaced = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // ReadVMs implements Lister.
 func (s *Seeds) ReadVMs(ctx context.Context, after uint64, timeout time.Duration) (confservice.VMList, bool, error) {
-	list, replaced := s.read()
+	list, changed := s.read()
 	if list.Sequence > after {
 		return list, true, nil
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-replaced:
+	case <-changed:
 		list, _ = s.read()
 		return list, true, nil
 	case <-timer.C:
@@ -62,7 +63,7 @@
 	return confservice.VMList{}, false, nil
 }
 
-// read returns the list, and what is closed when another one takes its place.
+// read returns the list and a channel that is closed when the list changes.
 func (s *Seeds) read() (confservice.VMList, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -73,5 +74,5 @@
 		}
 		list.VMs = append(list.VMs, confservice.VM{ID: core.NodeID(address), State: confservice.VMLive, PeerAddress: address})
 	}
-	return list, s.replaced
+	return list, s.changed
 }
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All nodes that the settings named have been replaced, and the settings file names others.
-// A node that reads its seeds at the start only would look for the gone ones until it is
+// All nodes listed in the settings are replaced, and the settings file then lists the new ones.
+// A node that reads its seeds only at the start would contact the removed nodes until it is
 // restarted.
 func TestReplacedSeedsAreReadWhileTheNodeRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -18,7 +18,7 @@
 		first, changed, err := seeds.ReadVMs(t.Context(), 0, 0)
 		require.NoError(t, err)
 		require.True(t, changed)
-		require.Len(t, first.VMs, 1, "not the node itself")
+		require.Len(t, first.VMs, 1, "the node itself is left out")
 		go func() {
 			time.Sleep(time.Second)
 			seeds.Replace([]string{"10.0.0.1:7", "10.0.0.2:7"})
@@ -29,7 +29,7 @@
 		second, changed, err := seeds.ReadVMs(t.Context(), first.Sequence, time.Minute)
 		require.NoError(t, err)
 		require.True(t, changed)
-		require.Equal(t, 2*time.Second, time.Since(started), "the same seeds again are no change")
+		require.Equal(t, 2*time.Second, time.Since(started), "replacing the seeds by equal ones is no change")
 		require.Equal(t, "10.0.0.3:7", second.VMs[0].PeerAddress)
 		require.Greater(t, second.Sequence, first.Sequence)
 	})
--- a/internal/membership/vmlist.go
+++ b/internal/membership/vmlist.go
@@ -16,94 +16,95 @@
 )
 
 const (
-	// listWait is how long a watch of the VM list waits for a change. Each node
-	// holds one, which counts as one read of the platform: 780 nodes make 39
-	// reads a second.
-	listWait = 20 * time.Second
-	// listPause follows a read that failed or brought nothing new.
-	listPause = 100 * time.Millisecond
-	// markAgain is how often an unchanged list marks its leaving upstreams again,
-	// well within the life of a mark.
-	markAgain = time.Minute
-	// staleReads is how many reads in a row must fail before the VM list counts
-	// as stale.
-	staleReads = 20
+	// watchTimeout is how long a watch of the VM list waits for a change. Each node
+	// holds one, and each counts as a read of the platform: 780 nodes make 39 reads
+	// a second.
+	watchTimeout = 20 * time.Second
+	// readRetryDelay is the pause after a read that failed or returned nothing new.
+	readRetryDelay = 100 * time.Millisecond
+	// markInterval is how often the leaving upstreams of an unchanged list are marked
+	// again, well within the TTL of a drain mark.
+	markInterval = time.Minute
+	// staleAfterFailures is the number of consecutive failed reads after which the VM
+	// list is reported stale.
+	staleAfterFailures = 20
 )
 
-// watch reads the VM list and hands each new reading to the machine.
-func (d *Manager) watch() {
+// watchVMList reads the VM list and passes each change to the state machine.
+func (m *Manager) watchVMList() {
 	failures := 0
-	for d.ctx.Err() == nil {
-		timeout := listWait
-		if d.seen == 0 {
+	for m.ctx.Err() == nil {
+		timeout := watchTimeout
+		if m.lastSequence == 0 {
 			timeout = 0
 		}
-		list, changed, err := d.options.Lister.ReadVMs(d.ctx, d.seen, timeout)
+		list, changed, err := m.options.Lister.ReadVMs(m.ctx, m.lastSequence, timeout)
 		switch {
-		case d.ctx.Err() != nil:
+		case m.ctx.Err() != nil:
 			return
 		case err != nil:
 			failures++
-			d.readFailed(err, failures)
-			wait.For(d.ctx, listPause)
+			m.reportReadFailure(err, failures)
+			wait.For(m.ctx, readRetryDelay)
 			continue
-		case !changed || list.Sequence <= d.seen:
-			wait.For(d.ctx, listPause)
+		case !changed || list.Sequence <= m.lastSequence:
+			wait.For(m.ctx, readRetryDelay)
 		default:
-			d.seen = list.Sequence
-			d.adopt(list)
+			m.lastSequence = list.Sequence
+			m.applyList(list)
 		}
 		failures = 0
-		d.options.Problems.Clear(observe.KindVMListStale, string(d.options.Self.ID))
+		m.options.Problems.Clear(observe.KindVMListStale, string(m.options.Self.ID))
 	}
 }
 
-func (d *Manager) readFailed(err error, failures int) {
-	d.options.Log.WithError(err).WithField("event", "vm_list_read_failed").Warn("VM list not read")
-	if failures >= staleReads {
-		d.options.Problems.Report(observe.KindVMListStale, string(d.options.Self.ID), strconv.Itoa(failures)+" reads in a row failed")
+func (m *Manager) reportReadFailure(err error, failures int) {
+	m.options.Log.WithError(err).WithField("event", "vm_list_read_failed").Warn("VM list could not be read")
+	if failures >= staleAfterFailures {
+		m.options.Problems.Report(observe.KindVMListStale, string(m.options.Self.ID), strconv.Itoa(failures)+" consecutive reads failed")
 	}
 }
 
-func (d *Manager) adopt(list confservice.VMList) {
+func (m *Manager) applyList(list confservice.VMList) {
 	listed := listedNodes(list)
 	nodes := make([]route.Node, 0, len(listed.Nodes))
-	for _, one := range listed.Nodes {
-		nodes = append(nodes, one.Node)
+	for _, listedNode := range listed.Nodes {
+		nodes = append(nodes, listedNode.Node)
 	}
-	d.listed.Store(&nodes)
-	d.list.Store(&list)
-	_ = d.events.Put(d.ctx, listed)
+	m.nodes.Store(&nodes)
+	m.vmList.Store(&list)
+	_ = m.events.Put(m.ctx, listed)
 }
 
-// marking is what the marks of leaving upstreams were last made from, and when.
-type marking struct {
+// drainMarks identifies the VM list and configuration that leaving upstreams were
+// last marked from, and when.
+type drainMarks struct {
 	list   *confservice.VMList
 	config *belief.Config
 	at     core.Time
 }
 
-// due reports whether the marks are to be made again: the list or the text is
-// another one, or the marks would end although the list still says the same.
-func (m marking) due(now marking) bool {
-	return m.list != now.list || m.config != now.config || now.at-m.at >= markAgain
+// mustRenew reports whether to mark again: the list or the configuration was
+// replaced, or the marks would expire while the list is unchanged.
+func (m drainMarks) mustRenew(now drainMarks) bool {
+	return m.list != now.list || m.config != now.config || now.at-m.at >= markInterval
 }
 
-// markLeaving marks the upstreams that the VM list shows leaving. The list may
-// be read before the first text and may stay unchanged for longer than a mark
-// lasts, so it is not enough to mark when a list arrives.
-func (d *Manager) markLeaving() {
-	now := marking{list: d.list.Load(), config: d.options.Belief.Config(), at: d.options.Now()}
-	if now.list == nil || now.config == nil || !d.marked.due(now) {
+// markLeaving marks the upstreams that the VM list shows as leaving. Marking on
+// arrival of a list is not enough: the list may arrive before the first
+// configuration and may stay unchanged for longer than the TTL of a mark.
+func (m *Manager) markLeaving() {
+	now := drainMarks{list: m.vmList.Load(), config: m.options.Belief.Config(), at: m.options.Now()}
+	if now.list == nil || now.config == nil || !m.lastMarks.mustRenew(now) {
 		return
 	}
-	d.marked = now
+	m.lastMarks = now
 	for _, address := range leavingUpstreams(*now.list, now.config.Catalog) {
-		d.step(member.DrainSeen{Address: address, Draining: true})
+		m.step(member.DrainSeen{Address: address, Draining: true})
 	}
 }
 
-// listedNodes picks the tier's own nodes: the VMs with a peer address.
+// listedNodes selects the tier's own nodes: the VMs with a peer address.
 func listedNodes(list confservice.VMList) member.VMList {
 	var listed member.VMList
 	for _, vm := range list.VMs {
@@ -124,9 +125,9 @@
 	return listed
 }
 
-// leavingUpstreams lists the replicas on VMs that the list shows leaving. Such
-// a VM is not one of the tier's nodes and is known by its IP, in any of its
-// addresses.
+// leavingUpstreams lists the addresses of the replicas on VMs that the list shows as
+// leaving. Such a VM is not one of the tier's nodes and is matched by the host of
+// its caller address.
 func leavingUpstreams(list confservice.VMList, text *catalog.Catalog) []string {
 	hosts := map[string]bool{}
 	for _, vm := range list.VMs {
@@ -159,9 +160,9 @@
 	return name
 }
 
-func splitDetail(unreached int) string {
+func splitViewDetail(unreached int) string {
 	if unreached == 0 {
-		return "other nodes route by another view"
+		return "other nodes route by a different view"
 	}
-	return strconv.Itoa(unreached) + " nodes that the VM list shows live do not answer"
+	return strconv.Itoa(unreached) + " nodes that are live in the VM list do not answer"
 }
