--- a/internal/edge/copies.go
+++ b/internal/edge/copies.go
@@ -28,7 +28,7 @@
 	node *Node
 	// turn counts the lists that were made.
 	turn *atomic.Uint64
-	mirror.Links
+	mirror.PeerClient
 }
 
 // Sources implements mirror.Peers. Readers and heads follow from one hashed order of the
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -237,8 +237,8 @@
 	watch("store_calls_total", func() int64 { return n.follower.Counts().StoreCalls })
 	watch("store_calls_failed_total", func() int64 { return n.follower.Counts().StoreFailures })
 	watch("copy_reads_from_nodes_total", func() int64 { return n.follower.Counts().PeerReads })
-	watch("readings_not_taken_total", func() int64 { return n.follower.Counts().NotTaken })
-	watch("store_era", func() int64 { return int64(n.copied.Reached().Era) })
+	watch("readings_not_taken_total", func() int64 { return n.follower.Counts().ReadingsRejected })
+	watch("store_era", func() int64 { return int64(n.copied.Position().Era) })
 	watch("store_era_changes_total", func() int64 { return n.follower.Counts().EraChanges })
 	watch("copy_lag_ms", func() int64 { return n.follower.Counts().Lag.Milliseconds() })
 	watch("beliefs_age_ms", func() int64 {
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -149,7 +149,7 @@
 	}
 	n.setBound()
 	store := platform.NewStore(s.StoreAddress, storeDialTimeout)
-	n.follower = mirror.NewFollower(mirror.DefaultConfig(), n.copied, store, copies{node: n, turn: &atomic.Uint64{}, Links: mirror.Links{Asker: n.pool}}, n.registry, n.now)
+	n.follower = mirror.NewFollower(mirror.DefaultConfig(), n.copied, store, copies{node: n, turn: &atomic.Uint64{}, PeerClient: mirror.PeerClient{Asker: n.pool}}, n.registry, n.now)
 	n.mirror = mirror.NewServer(n.copied, n.follower.Age)
 	n.watchMetrics()
 	if n.callers, err = listenCallers(s.CallerAddress, n); err != nil {
@@ -379,7 +379,7 @@
 	s := n.settings.Load()
 	state := map[string]any{
 		"node": s.Node, "data_centre": s.DataCentre, "stopping": n.stopping.Load(), "in_flight": n.inFlight.Load(),
-		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Reached().Era, "connections": n.replicas.Open(),
+		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Position().Era, "connections": n.replicas.Open(),
 	}
 	if config := n.beliefs.config.Load(); config != nil {
 		state["config_version"] = config.Version
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -276,22 +276,22 @@
 // EraChanged implements mirror.Listener.
 func (r *registry) EraChanged(change mirror.EraChange) {
 	r.log.Life("store_era_changed", decisionlog.Fields{
-		"dependency": change.Source, "era": change.Now.Era, "former_era": change.Former.Era, "revision": change.Now.Revision, "former_revision": change.Former.Revision,
-		"items_lost": change.Lost, "items_differing": change.Differing, "items_stood": change.Stood, "items_outranked": change.Outranked,
+		"dependency": change.Source, "era": change.Current.Era, "former_era": change.Previous.Era, "revision": change.Current.Revision, "former_revision": change.Previous.Revision,
+		"items_lost": change.Lost, "items_differing": change.Differing, "items_stood": change.Unchanged, "items_outranked": change.Outranked,
 	})
 }
 
-// EraUntold implements mirror.Listener.
-func (r *registry) EraUntold(known uint64) {
+// EraMissing implements mirror.Listener.
+func (r *registry) EraMissing(known uint64) {
 	r.log.Life("store_era_untold", decisionlog.Fields{"known_era": known, "outcome": "answers count as of the known era: they take nothing back"})
 }
 
-// NotTaken implements mirror.Listener.
-func (r *registry) NotTaken(one mirror.NotTaken) {
-	r.log.Life("reading_not_taken", decisionlog.Fields{"dependency": one.Source, "era": one.Era, "revision": one.Revision, "reached_era": one.Reached.Era, "reached_revision": one.Reached.Revision, "outcome": "what was read before stays in force"})
+// ReadingRejected implements mirror.Listener.
+func (r *registry) ReadingRejected(one mirror.RejectedReading) {
+	r.log.Life("reading_not_taken", decisionlog.Fields{"dependency": one.Source, "era": one.Era, "revision": one.Revision, "reached_era": one.Position.Era, "reached_revision": one.Position.Revision, "outcome": "what was read before stays in force"})
 }
 
-// SourceBack implements mirror.Listener.
-func (r *registry) SourceBack(source string, after time.Duration) {
+// SourceRecovered implements mirror.Listener.
+func (r *registry) SourceRecovered(source string, after time.Duration) {
 	r.log.Life("dependency_back", decisionlog.Fields{"dependency": source, "after_ms": after.Milliseconds()})
 }
--- a/internal/mirror/copy.go
+++ b/internal/mirror/copy.go
@@ -26,8 +26,8 @@
 	Removed bool
 }
 
-// Reached is how far a copy has come.
-type Reached struct {
+// Position is how far a copy has come.
+type Position struct {
 	// Era counts how often the store came back from a copy of itself; 0 where it tells none.
 	Era uint64
 	// Revision is the store's within the era; 0 before the first reading.
@@ -50,13 +50,13 @@
 	UpTo uint64
 	// Whole deltas list every item there is: what they lack is gone.
 	Whole bool
-	// Anew is set on a whole delta that takes the place of a copy which was never confirmed.
-	Anew  bool
-	Items []Item
+	// Replace is set on a whole delta that takes the place of a copy which was never confirmed.
+	Replace bool
+	Items   []Item
 }
 
-// Applied is what became of a delta.
-type Applied struct {
+// ApplyResult is what became of a delta.
+type ApplyResult struct {
 	// Changed are the items whose value in the copy changed, by rising revision.
 	Changed []Item
 	// Outranked are the items that the copy did not take since its own have a higher rank.
@@ -66,9 +66,9 @@
 	OtherEra bool
 	// Replaced is set when the delta took the place of a former content; Former is how far that reached.
 	Replaced bool
-	Former   Reached
-	// Stood counts the items that were the same before, when Replaced.
-	Stood int
+	Previous Position
+	// Unchanged counts the items that were the same before, when Replaced.
+	Unchanged int
 }
 
 // maxRemoved bounds the removed keys that are remembered for peers. One that asks
@@ -92,9 +92,9 @@
 	version uint64
 }
 
-// Mark returns the number of changes that the copy has taken up and how far it has come. While
+// Version returns the number of changes that the copy has taken up and how far it has come. While
 // the number stays the same, so do the items that Since returns.
-func (c *Copy) Mark() (version uint64, reached Reached) {
+func (c *Copy) Version() (version uint64, reached Position) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version, c.reached()
@@ -105,17 +105,17 @@
 	return &Copy{items: map[string]Item{}, removed: map[string]Item{}, changed: make(chan struct{})}
 }
 
-// Reached is how far the copy has come.
-func (c *Copy) Reached() Reached {
+// Position is how far the copy has come.
+func (c *Copy) Position() Position {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.reached()
 }
 
-func (c *Copy) reached() Reached { return Reached{Era: c.era, Revision: c.upTo, Rank: c.rank} }
+func (c *Copy) reached() Position { return Position{Era: c.era, Revision: c.upTo, Rank: c.rank} }
 
 // UpTo is the revision that the copy has reached; 0 before the first reading.
-func (c *Copy) UpTo() uint64 { return c.Reached().Revision }
+func (c *Copy) UpTo() uint64 { return c.Position().Revision }
 
 // Changed is closed when the copy takes up its next change.
 func (c *Copy) Changed() <-chan struct{} {
@@ -139,15 +139,15 @@
 //
 // A whole delta of a newer era takes the place of everything; a part of one cannot be laid on this
 // copy, and nothing of an older era is taken.
-func (c *Copy) Apply(delta Delta) Applied {
+func (c *Copy) Apply(delta Delta) ApplyResult {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if delta.Era < c.era || delta.Era > c.era && !delta.Whole {
-		return Applied{OtherEra: true}
+		return ApplyResult{OtherEra: true}
 	}
-	var applied Applied
+	var applied ApplyResult
 	before := c.version
-	if delta.Era > c.era || delta.Anew {
+	if delta.Era > c.era || delta.Replace {
 		applied = c.replace(delta)
 	} else {
 		applied = c.lay(delta)
@@ -161,8 +161,8 @@
 }
 
 // lay takes a delta of the copy's own era.
-func (c *Copy) lay(delta Delta) Applied {
-	var applied Applied
+func (c *Copy) lay(delta Delta) ApplyResult {
+	var applied ApplyResult
 	stale := delta.UpTo < c.upTo
 	for _, item := range delta.Items {
 		if stale && c.passed(item) {
@@ -190,8 +190,8 @@
 
 // replace takes a whole delta in place of everything but items of a higher rank, which stay as if the
 // store had them: it will be told of them again.
-func (c *Copy) replace(delta Delta) Applied {
-	applied := Applied{Replaced: c.upTo > 0, Former: c.reached()}
+func (c *Copy) replace(delta Delta) ApplyResult {
+	applied := ApplyResult{Replaced: c.upTo > 0, Previous: c.reached()}
 	former := c.items
 	c.items, c.removed = make(map[string]Item, len(delta.Items)), map[string]Item{}
 	c.era, c.upTo, c.floor = delta.Era, delta.UpTo, delta.UpTo
@@ -208,7 +208,7 @@
 		delete(former, item.Key)
 		c.put(item)
 		if had && bytes.Equal(held.Value, item.Value) {
-			applied.Stood++
+			applied.Unchanged++
 			continue
 		}
 		applied.Changed = append(applied.Changed, item)
@@ -298,7 +298,7 @@
 
 // Since returns what changed after what another copy has reached. One that has reached a newer era gets
 // nothing: whatever is here is older. One of an older era gets all.
-func (c *Copy) Since(reached Reached) Delta {
+func (c *Copy) Since(reached Position) Delta {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	after := reached.Revision
--- a/internal/mirror/copy_test.go
+++ b/internal/mirror/copy_test.go
@@ -48,7 +48,7 @@
 	for i := range uint64(maxRemoved + 2) {
 		c.Apply(Delta{After: i + 1, UpTo: i + 2, Items: []Item{{Key: fmt.Sprint(i), Revision: i + 2, Removed: true}}})
 	}
-	require.True(t, c.Since(Reached{Revision: 2}).Whole)
+	require.True(t, c.Since(Position{Revision: 2}).Whole)
 	require.Len(t, c.removed, 2)
 }
 
@@ -68,15 +68,15 @@
 				store.Apply(Delta{After: revision - 1, UpTo: revision, Items: []Item{{Key: key, Revision: revision, Removed: step%3 == 0}}})
 			case step < 70:
 				reader := copies[step%3]
-				reader.Apply(store.Since(reader.Reached()))
+				reader.Apply(store.Since(reader.Position()))
 			default:
 				reader, from := copies[step%3], copies[(step/3)%3]
-				reader.Apply(from.Since(reader.Reached()))
+				reader.Apply(from.Since(reader.Position()))
 			}
 		}
-		copies[0].Apply(store.Since(copies[0].Reached()))
+		copies[0].Apply(store.Since(copies[0].Position()))
 		for _, one := range copies[1:] {
-			one.Apply(copies[0].Since(one.Reached()))
+			one.Apply(copies[0].Since(one.Position()))
 			require.Equal(t, store.items, one.items)
 		}
 	})
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -25,46 +25,46 @@
 	// PeerWait is how long a peer holds a question for changes. Copies are followed
 	// over up to three nodes in a row, each of which adds it to their age.
 	PeerWait time.Duration
-	// Slack is how much longer than asked for an answer may take.
-	Slack time.Duration
-	// Gather is how long a watch pauses after a change, so that changes that come
+	// ReplyTimeout is how much longer than asked for an answer may take.
+	ReplyTimeout time.Duration
+	// BatchDelay is how long a watch pauses after a change, so that changes that come
 	// together cost one call.
-	Gather time.Duration
-	// Retry is the longest pause after failed calls to the store, FirstRetry the
+	BatchDelay time.Duration
+	// MaxRetryDelay is the longest pause after failed calls to the store, FirstRetry the
 	// shortest; it doubles with each failure. A store that turned one call away often
 	// takes the next, and a process without a configuration refuses every request.
-	Retry      time.Duration
-	FirstRetry time.Duration
-	// Stale is the age from which on a copy is no longer followed.
-	Stale time.Duration
-	// Outage is the time without an answer after which removals may be the
+	MaxRetryDelay time.Duration
+	MinRetryDelay time.Duration
+	// StaleAfter is the age from which on a copy is no longer followed.
+	StaleAfter time.Duration
+	// OutageAfter is the time without an answer after which removals may be the
 	// store's own doing: entries lapse when replicas cannot renew them.
-	Outage time.Duration
-	// FirstPeers is how long a node that has just started turns to its peers only, once it has a
+	OutageAfter time.Duration
+	// PeersOnlyPeriod is how long a node that has just started turns to its peers only, once it has a
 	// first copy: the readers among them confirm theirs meanwhile.
-	FirstPeers time.Duration
-	// HintAfter is how long a copy may lack what another node is known to have before that node is
+	PeersOnlyPeriod time.Duration
+	// HintDelay is how long a copy may lack what another node is known to have before that node is
 	// asked: a few times what a change takes over the nodes in between.
-	HintAfter time.Duration
-	// Return is how long after an outage entries may take to come back.
-	Return time.Duration
+	HintDelay time.Duration
+	// RecoveryPeriod is how long after an outage entries may take to come back.
+	RecoveryPeriod time.Duration
 }
 
 // DefaultConfig is the pace for changes that are to be in force within 3 s.
 func DefaultConfig() Config {
 	return Config{
-		Readers:    3,
-		WatchWait:  1200 * time.Millisecond,
-		PeerWait:   400 * time.Millisecond,
-		Slack:      500 * time.Millisecond,
-		Gather:     200 * time.Millisecond,
-		Retry:      600 * time.Millisecond,
-		FirstRetry: 40 * time.Millisecond,
-		Stale:      2500 * time.Millisecond,
-		Outage:     2200 * time.Millisecond,
-		FirstPeers: 600 * time.Millisecond,
-		HintAfter:  time.Second,
-		Return:     2200 * time.Millisecond,
+		Readers:         3,
+		WatchWait:       1200 * time.Millisecond,
+		PeerWait:        400 * time.Millisecond,
+		ReplyTimeout:    500 * time.Millisecond,
+		BatchDelay:      200 * time.Millisecond,
+		MaxRetryDelay:   600 * time.Millisecond,
+		MinRetryDelay:   40 * time.Millisecond,
+		StaleAfter:      2500 * time.Millisecond,
+		OutageAfter:     2200 * time.Millisecond,
+		PeersOnlyPeriod: 600 * time.Millisecond,
+		HintDelay:       time.Second,
+		RecoveryPeriod:  2200 * time.Millisecond,
 	}
 }
 
@@ -148,8 +148,8 @@
 	StoreCalls, StoreFailures int64
 	// PeerReads counts the readings of other nodes' copies that succeeded.
 	PeerReads int64
-	// NotTaken counts the readings that were older than the copy and left it unchanged.
-	NotTaken int64
+	// ReadingsRejected counts the readings that were older than the copy and left it unchanged.
+	ReadingsRejected int64
 	// EraChanges counts the eras of the store that the copy went over to.
 	EraChanges int64
 	// Lag is how old the last reading was when it came: about 0 from the store, what the
@@ -161,7 +161,7 @@
 func (f *Follower) Counts() Counts {
 	return Counts{
 		StoreCalls: f.counts.storeCalls.Load(), StoreFailures: f.counts.storeFailures.Load(), PeerReads: f.counts.peerReads.Load(),
-		NotTaken: f.counts.notTaken.Load(), EraChanges: f.counts.eraChanges.Load(),
+		ReadingsRejected: f.counts.notTaken.Load(), EraChanges: f.counts.eraChanges.Load(),
 		Lag: time.Duration(f.counts.lagMs.Load()) * time.Millisecond,
 	}
 }
@@ -215,14 +215,14 @@
 }
 
 func (f *Follower) readPeer(ctx context.Context, source peer.Target, waiting time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, waiting+f.config.Slack)
+	ctx, cancel := context.WithTimeout(ctx, waiting+f.config.ReplyTimeout)
 	defer cancel()
-	delta, age, err := f.peers.Fetch(ctx, source, f.copy.Reached(), waiting)
+	delta, age, err := f.peers.Fetch(ctx, source, f.copy.Position(), waiting)
 	if err != nil {
 		return false
 	}
 	f.counts.peerReads.Add(1)
-	if !f.take(string(source.Node), delta, f.now()-age) || age > f.config.Stale {
+	if !f.take(string(source.Node), delta, f.now()-age) || age > f.config.StaleAfter {
 		return false
 	}
 	f.gapAt = 0
--- a/internal/mirror/follow_test.go
+++ b/internal/mirror/follow_test.go
@@ -74,7 +74,7 @@
 
 // pageOf is all that a state holds.
 func pageOf(state *Copy) Page {
-	delta := state.Since(Reached{})
+	delta := state.Since(Position{})
 	return Page{Items: delta.Items, Revision: delta.UpTo, Era: delta.Era}
 }
 
@@ -101,7 +101,7 @@
 			return Delta{}, ctx.Err()
 		}
 	}
-	delta := s.cut(state.Since(Reached{Era: state.Reached().Era, Revision: after}))
+	delta := s.cut(state.Since(Position{Era: state.Position().Era, Revision: after}))
 	delta.Era = s.told(delta.Era)
 	return delta, nil
 }
@@ -167,17 +167,17 @@
 
 func (s *fakeStore) write(item Item) {
 	state := s.contents()
-	reached := state.Reached()
+	reached := state.Position()
 	item.Revision = reached.Revision + 1
 	state.Apply(Delta{Era: reached.Era, After: reached.Revision, UpTo: item.Revision, Items: []Item{item}})
 }
 
 // backup copies what the store holds.
-func (s *fakeStore) backup() Delta { return s.contents().Since(Reached{}) }
+func (s *fakeStore) backup() Delta { return s.contents().Since(Position{}) }
 
 // restore puts a backup in place of what the store holds, in the next era.
 func (s *fakeStore) restore(from Delta) {
-	from.Era = s.contents().Reached().Era + 1
+	from.Era = s.contents().Position().Era + 1
 	restored := NewCopy()
 	restored.Apply(from)
 	s.set(func(s *fakeStore) { s.state = restored })
@@ -215,7 +215,7 @@
 	return Other
 }
 
-func (p *fakePeers) Fetch(ctx context.Context, _ peer.Target, reached Reached, wait time.Duration) (Delta, time.Duration, error) {
+func (p *fakePeers) Fetch(ctx context.Context, _ peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error) {
 	p.mutex.Lock()
 	follows := p.follows
 	p.mutex.Unlock()
@@ -224,7 +224,7 @@
 		age, _ := follows.Age()
 		return Delta{Era: reached.Era, After: reached.Revision, UpTo: reached.Revision}, age, nil
 	}
-	if !news(p.copied.Reached(), reached) {
+	if !news(p.copied.Position(), reached) {
 		select {
 		case <-p.copied.Changed():
 		case <-time.After(wait):
@@ -245,7 +245,7 @@
 	back    int
 	// eras, notTaken and untold are what was told of eras and readings.
 	eras     []EraChange
-	notTaken []NotTaken
+	notTaken []RejectedReading
 	untold   int
 }
 
@@ -261,13 +261,13 @@
 	h.lost++
 }
 
-func (h *heard) SourceBack(string, time.Duration) {
+func (h *heard) SourceRecovered(string, time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.back++
 }
 
-func (h *heard) NotTaken(one NotTaken) {
+func (h *heard) ReadingRejected(one RejectedReading) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.notTaken = append(h.notTaken, one)
@@ -279,7 +279,7 @@
 	h.eras = append(h.eras, change)
 }
 
-func (h *heard) EraUntold(uint64) {
+func (h *heard) EraMissing(uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.untold++
@@ -396,7 +396,7 @@
 		f.store.set(func(s *fakeStore) { s.busy = true })
 		before := f.store.count()
 		f.store.put("b", false)
-		f.peers.copied.Apply(f.store.state.Since(Reached{}))
+		f.peers.copied.Apply(f.store.state.Since(Position{}))
 		time.Sleep(5 * time.Second)
 		_, held := f.copy.Get("b")
 		require.True(t, held)
@@ -423,7 +423,7 @@
 	return []peer.Target{{Node: "stale 1"}, {Node: "stale 2"}, {Node: "stale 3"}, {Node: "stale 4"}, last}, Other
 }
 
-func (p *stalePeers) Fetch(_ context.Context, from peer.Target, reached Reached, wait time.Duration) (Delta, time.Duration, error) {
+func (p *stalePeers) Fetch(_ context.Context, from peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error) {
 	p.asked.Add(1)
 	if from.Node != "fresh" {
 		time.Sleep(wait)
@@ -448,7 +448,7 @@
 		store.set(func(s *fakeStore) { s.busy = true })
 		time.Sleep(10 * time.Second)
 		store.put("b", false)
-		peers.fresh.Apply(store.state.Since(Reached{}))
+		peers.fresh.Apply(store.state.Since(Position{}))
 		asked, most := peers.asked.Load(), time.Duration(0)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
@@ -457,7 +457,7 @@
 		}
 		_, held := f.copy.Get("b")
 		require.True(t, held)
-		require.Less(t, most, DefaultConfig().Stale+time.Second)
+		require.Less(t, most, DefaultConfig().StaleAfter+time.Second)
 		require.Less(t, peers.asked.Load()-asked, int64(100*5), "it does not ask without end")
 	})
 }
@@ -570,7 +570,7 @@
 			require.EqualValues(t, 4, item.Revision, "an old configuration serves")
 			_, known := f.Age()
 			require.False(t, known, "but is not told to others as confirmed")
-			peers.copied.Apply(store.state.Since(Reached{}))
+			peers.copied.Apply(store.state.Since(Position{}))
 			peers.setAge(0)
 			time.Sleep(time.Second)
 			item, _ = f.copy.Get("config")
--- a/internal/mirror/fromstore.go
+++ b/internal/mirror/fromstore.go
@@ -47,7 +47,7 @@
 		f.begin(delta)
 		if delta.UpTo == 0 {
 			// An old reading of a store that had nothing yet.
-			wait.For(ctx, f.config.Gather)
+			wait.For(ctx, f.config.BatchDelay)
 		}
 		return false
 	}
@@ -61,10 +61,10 @@
 		return false
 	}
 	f.storeBack()
-	if len(delta.Items) > 0 || f.now()-started < f.config.Gather {
+	if len(delta.Items) > 0 || f.now()-started < f.config.BatchDelay {
 		// The second case is a watch that ends at once with nothing new: were it
 		// repeated at once, one node would use up what the store gives to all.
-		wait.For(ctx, f.config.Gather)
+		wait.For(ctx, f.config.BatchDelay)
 	}
 	return false
 }
@@ -74,7 +74,7 @@
 // refuses every request, while one that is seconds old serves all but the newest routes; and
 // 295 processes that start at once cost the store a tenth.
 func (f *Follower) begin(delta Delta) {
-	f.peersUntil = f.now() + f.config.FirstPeers
+	f.peersUntil = f.now() + f.config.PeersOnlyPeriod
 	if applied := f.copy.Apply(delta); len(applied.Changed) > 0 {
 		f.listener.Changed(Change{Items: applied.Changed, Era: delta.Era})
 	}
@@ -92,10 +92,10 @@
 // copy's, a watch brings what came after and hides that what lies before is another history. The era of
 // each answer tells, and the whole reading that follows takes the place of everything.
 func (f *Follower) fromStore(ctx context.Context, role Role) (Delta, error) {
-	timeout := f.config.WatchWait + f.config.Slack
+	timeout := f.config.WatchWait + f.config.ReplyTimeout
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reached := f.copy.Reached()
+	reached := f.copy.Position()
 	if reached.Revision == 0 {
 		return readAll(ctx, f.store, true)
 	}
@@ -118,7 +118,7 @@
 }
 
 // readGap reads everything, where this node may: the store lacks the history behind the copy.
-func (f *Follower) readGap(ctx context.Context, role Role, reached Reached) (Delta, error) {
+func (f *Follower) readGap(ctx context.Context, role Role, reached Position) (Delta, error) {
 	if !f.mayReadAll(role) {
 		return Delta{}, errLeftToReaders
 	}
@@ -128,24 +128,24 @@
 	}
 	f.gapAt = 0
 	_, confirmed := f.Age()
-	delta.Anew = !confirmed
+	delta.Replace = !confirmed
 	delta.Era, err = f.eraOf(delta, reached)
 	return delta, err
 }
 
 // eraOf is the era that the revisions of a reading belong to. A reading that names no era is taken to be of the known
 // one, so that it removes nothing and replaces nothing newer.
-func (f *Follower) eraOf(delta Delta, reached Reached) (uint64, error) {
+func (f *Follower) eraOf(delta Delta, reached Position) (uint64, error) {
 	untold := delta.Era == 0 && reached.Era > 0
 	if untold && !f.untold {
-		f.listener.EraUntold(reached.Era)
+		f.listener.EraMissing(reached.Era)
 	}
 	f.untold = untold
 	switch {
 	case untold:
 		return reached.Era, nil
 	case delta.Era < reached.Era:
-		return 0, &OlderEraError{Told: delta.Era, Known: reached.Era}
+		return 0, &OlderEraError{Received: delta.Era, Known: reached.Era}
 	default:
 		return delta.Era, nil
 	}
@@ -161,7 +161,7 @@
 	}
 	if f.gapAt == 0 {
 		f.gapAt = f.now()
-		f.peersUntil = f.gapAt + time.Duration(role)*f.config.FirstPeers
+		f.peersUntil = f.gapAt + time.Duration(role)*f.config.PeersOnlyPeriod
 		return false
 	}
 	return f.now() >= f.peersUntil
@@ -170,7 +170,7 @@
 func (f *Follower) storeFailed(cause error) {
 	f.counts.storeFailures.Add(1)
 	f.store.Close()
-	f.storeRetryAt = f.now() + min(f.config.FirstRetry<<min(f.failures, maxDoublings), f.config.Retry)
+	f.storeRetryAt = f.now() + min(f.config.MinRetryDelay<<min(f.failures, maxDoublings), f.config.MaxRetryDelay)
 	f.failures++
 	if f.failedSince == 0 {
 		f.failedSince = max(f.now(), 1)
@@ -182,7 +182,7 @@
 	if f.failedSince == 0 {
 		return
 	}
-	f.listener.SourceBack(storeSource, f.now()-f.failedSince)
+	f.listener.SourceRecovered(storeSource, f.now()-f.failedSince)
 	f.failedSince = 0
 	f.failures = 0
 }
--- a/internal/mirror/hint.go
+++ b/internal/mirror/hint.go
@@ -29,12 +29,12 @@
 // followHint asks the node of the hint, once this copy has lacked its version for Config.HintAfter.
 func (f *Follower) followHint(ctx context.Context) {
 	open := f.hinted.Load()
-	reached := f.copy.Reached()
+	reached := f.copy.Position()
 	switch {
 	case open == nil || reached.Revision == 0:
 	case reached.Rank >= open.rank:
 		f.hinted.Store(nil)
-	case f.now()-open.since >= f.config.HintAfter:
+	case f.now()-open.since >= f.config.HintDelay:
 		f.hinted.Store(nil)
 		f.readPeer(ctx, open.from, 0)
 	}
--- a/internal/mirror/listener.go
+++ b/internal/mirror/listener.go
@@ -19,11 +19,11 @@
 
 // EraChange is a copy's step into another era of the store.
 type EraChange struct {
-	Source      string
-	Former, Now Reached
+	Source            string
+	Previous, Current Position
 	// Lost counts the items that only the former era had, Differing those with another value in the new one or
-	// only there, Stood those that are equal in both.
-	Lost, Differing, Stood int
+	// only there, Unchanged those that are equal in both.
+	Lost, Differing, Unchanged int
 	// Outranked counts the items of which the copy kept the former era's value, as the new one's has a lower rank.
 	Outranked int
 }
@@ -35,20 +35,20 @@
 	// SourceFailed and SourceBack tell that the store, or a peer that was
 	// followed, does not answer or answers again.
 	SourceFailed(source string, cause error)
-	SourceBack(source string, after time.Duration)
+	SourceRecovered(source string, after time.Duration)
 	// EraChanged tells that the store came back from a copy of itself, or tells its era for the
 	// first time.
 	EraChanged(EraChange)
-	// EraUntold reports the first of a series of answers of the store without a readable era, while one is known.
-	EraUntold(known uint64)
-	// NotTaken reports the first of a series of readings that left the copy unchanged.
-	NotTaken(NotTaken)
+	// EraMissing reports the first of a series of answers of the store without a readable era, while one is known.
+	EraMissing(known uint64)
+	// ReadingRejected reports the first of a series of readings that left the copy unchanged.
+	ReadingRejected(RejectedReading)
 }
 
-// NotTaken is a reading that is older than the copy.
-type NotTaken struct {
+// RejectedReading is a reading that is older than the copy.
+type RejectedReading struct {
 	Source string
 	// Era and Revision are those of the reading, Reached is the copy's place.
 	Era, Revision uint64
-	Reached       Reached
+	Position      Position
 }
--- a/internal/mirror/peers.go
+++ b/internal/mirror/peers.go
@@ -19,11 +19,11 @@
 // unconfirmed is the age told of a copy that was never confirmed.
 const unconfirmed = time.Hour
 
-// Links asks peers for their copies.
-type Links struct{ Asker peer.Asker }
+// PeerClient asks peers for their copies.
+type PeerClient struct{ Asker peer.Asker }
 
 // Fetch is Peers.Fetch over the links between nodes.
-func (l Links) Fetch(ctx context.Context, from peer.Target, reached Reached, waiting time.Duration) (Delta, time.Duration, error) {
+func (l PeerClient) Fetch(ctx context.Context, from peer.Target, reached Position, waiting time.Duration) (Delta, time.Duration, error) {
 	request := &peerpb.Envelope{Body: &peerpb.Envelope_MirrorRequest{MirrorRequest: &peerpb.MirrorRequest{
 		After:  reached.Revision,
 		Era:    &reached.Era,
@@ -89,7 +89,7 @@
 // changes at the same moment: to make and compress each reply anew would keep a small VM busy for
 // longer than a change may take.
 type servedItems struct {
-	reached Reached
+	reached Position
 	version uint64
 	delta   Delta
 	items   []*peerpb.MirrorItem
@@ -120,7 +120,7 @@
 	defer cancel()
 	for {
 		changed := s.Copy.Changed()
-		if news(s.Copy.Reached(), s.reachedBy(request)) {
+		if news(s.Copy.Position(), s.reachedBy(request)) {
 			break
 		}
 		select {
@@ -138,24 +138,24 @@
 
 // reachedBy is how far the asker's copy has come. One whose program does not know eras is taken to
 // be of this copy's: told that it is behind, it would ask for everything without end.
-func (s *Server) reachedBy(request *peerpb.MirrorRequest) Reached {
+func (s *Server) reachedBy(request *peerpb.MirrorRequest) Position {
 	if request.Era == nil {
-		own := s.Copy.Reached()
-		return Reached{Era: own.Era, Revision: request.GetAfter(), Rank: own.Rank}
+		own := s.Copy.Position()
+		return Position{Era: own.Era, Revision: request.GetAfter(), Rank: own.Rank}
 	}
-	return Reached{Era: request.GetEra(), Revision: request.GetAfter(), Rank: request.GetRank()}
+	return Position{Era: request.GetEra(), Revision: request.GetAfter(), Rank: request.GetRank()}
 }
 
 // news reports whether an asker is to be answered at once: there is something that it lacks, or it has
 // reached a newer era and must turn to others.
-func news(own, asker Reached) bool {
+func news(own, asker Position) bool {
 	if own.Revision == 0 {
 		return false
 	}
 	return own.Era != asker.Era || own.Revision > asker.Revision || own.Rank > asker.Rank
 }
 
-func (s *Server) reply(reached Reached) *peerpb.MirrorReply {
+func (s *Server) reply(reached Position) *peerpb.MirrorReply {
 	age, known := s.Age()
 	if !known {
 		age = unconfirmed
@@ -169,10 +169,10 @@
 }
 
 // serve makes the items of a reply, or takes those of the last one.
-func (s *Server) serve(reached Reached) servedItems {
+func (s *Server) serve(reached Position) servedItems {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	version, own := s.Copy.Mark()
+	version, own := s.Copy.Version()
 	if s.last.version == version && s.last.reached == reached && s.last.delta.UpTo > 0 {
 		s.last.delta.UpTo = max(s.last.delta.UpTo, own.Revision)
 		return s.last
--- a/internal/mirror/restored_test.go
+++ b/internal/mirror/restored_test.go
@@ -31,7 +31,7 @@
 // all is what a copy holds.
 func all(c *Copy) map[string]Item {
 	held := map[string]Item{}
-	for _, item := range c.Since(Reached{}).Items {
+	for _, item := range c.Since(Position{}).Items {
 		held[item.Key] = item
 	}
 	return held
@@ -63,11 +63,11 @@
 				}
 			})
 			require.Equal(t, all(f.store.contents()), all(f.copy))
-			require.Equal(t, f.store.contents().Reached(), f.copy.Reached())
+			require.Equal(t, f.store.contents().Position(), f.copy.Position())
 			require.True(t, f.listener.last().NewEra)
 			require.Len(t, f.listener.eras, 1)
 			require.Equal(t, 1, f.listener.eras[0].Lost)
-			require.Equal(t, 1, f.listener.eras[0].Stood)
+			require.Equal(t, 1, f.listener.eras[0].Unchanged)
 			f.store.configure(6)
 			time.Sleep(100 * time.Millisecond)
 			require.EqualValues(t, 6, f.version(t))
@@ -91,7 +91,7 @@
 		f.store.configure(4)
 		time.Sleep(2 * time.Second)
 		require.Equal(t, all(f.store.contents()), all(f.copy))
-		require.EqualValues(t, 2, f.copy.Reached().Era)
+		require.EqualValues(t, 2, f.copy.Position().Era)
 	})
 }
 
@@ -203,11 +203,11 @@
 		{Era: 3, After: 10, UpTo: 11, Items: []Item{put("part", 11)}},
 	} {
 		require.True(t, c.Apply(delta).OtherEra)
-		require.Equal(t, Reached{Era: 2, Revision: 10}, c.Reached())
+		require.Equal(t, Position{Era: 2, Revision: 10}, c.Position())
 		require.Equal(t, map[string]Item{"a": put("a", 10)}, c.items)
 	}
-	require.Empty(t, c.Since(Reached{Era: 3, Revision: 5}).Items, "who is ahead gets nothing")
-	require.True(t, c.Since(Reached{Era: 1, Revision: 10}).Whole, "who is behind gets all")
+	require.Empty(t, c.Since(Position{Era: 3, Revision: 5}).Items, "who is ahead gets nothing")
+	require.True(t, c.Since(Position{Era: 1, Revision: 10}).Whole, "who is behind gets all")
 	makePeers := func() *fakePeers { return &fakePeers{reader: true, copied: NewCopy()} }
 	follow(t, makePeers, func(f following) {
 		f.peers.copied.Apply(f.store.backup())
@@ -226,13 +226,13 @@
 	c := NewCopy()
 	c.Apply(Delta{Era: 2, Whole: true, UpTo: 10, Items: []Item{put("a", 10)}})
 	server := NewServer(c, func() (time.Duration, bool) { return 0, true })
-	require.Equal(t, Reached{Era: 2, Revision: 10}, server.reachedBy(request(10, nil)))
+	require.Equal(t, Position{Era: 2, Revision: 10}, server.reachedBy(request(10, nil)))
 	era := uint64(1)
-	require.Equal(t, Reached{Era: 1, Revision: 10}, server.reachedBy(request(10, &era)))
-	require.False(t, news(c.Reached(), Reached{Era: 2, Revision: 10}))
-	require.True(t, news(c.Reached(), Reached{Era: 1, Revision: 10}))
-	require.True(t, news(c.Reached(), Reached{Era: 3, Revision: 10}), "it must turn to others")
-	require.False(t, news(Reached{}, Reached{Era: 3}), "an empty copy has nothing to tell yet")
+	require.Equal(t, Position{Era: 1, Revision: 10}, server.reachedBy(request(10, &era)))
+	require.False(t, news(c.Position(), Position{Era: 2, Revision: 10}))
+	require.True(t, news(c.Position(), Position{Era: 1, Revision: 10}))
+	require.True(t, news(c.Position(), Position{Era: 3, Revision: 10}), "it must turn to others")
+	require.False(t, news(Position{}, Position{Era: 3}), "an empty copy has nothing to tell yet")
 }
 
 var large = flag.Int("large", 60, "nodes of the fleet that a drill is played with")
@@ -248,9 +248,9 @@
 
 func (c *chain) Sources(int) ([]peer.Target, Role) { return []peer.Target{{Node: "before"}}, c.role }
 
-func (c *chain) Fetch(ctx context.Context, _ peer.Target, reached Reached, wait time.Duration) (Delta, time.Duration, error) {
+func (c *chain) Fetch(ctx context.Context, _ peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error) {
 	changed := c.from.Changed()
-	if !news(c.from.Reached(), reached) {
+	if !news(c.from.Position(), reached) {
 		select {
 		case <-changed:
 		case <-time.After(wait):
@@ -333,7 +333,7 @@
 			}
 			item, _ := one.copy.Get("config")
 			require.EqualValues(t, 5, item.Rank, "node %d", i)
-			require.EqualValues(t, 2, one.copy.Reached().Era)
+			require.EqualValues(t, 2, one.copy.Position().Era)
 		}
 		wholeAfter, callsAfter := readings()
 		t.Logf("%d nodes: %d whole readings and %d calls at the store in 3 s, %d whole copies between nodes", nodes, wholeAfter-whole, callsAfter-calls, given.Load())
@@ -357,7 +357,7 @@
 		// written holds what each era ever held.
 		written := map[uint64]map[string]bool{}
 		note := func() {
-			era := store.state.Reached().Era
+			era := store.state.Position().Era
 			if written[era] == nil {
 				written[era] = map[string]bool{}
 			}
@@ -394,16 +394,16 @@
 					store.restore(backups[step%len(backups)])
 				}
 			case 5, 6:
-				reached := nodes[i].Reached()
-				if reached.Era != store.state.Reached().Era {
-					reached = Reached{}
+				reached := nodes[i].Position()
+				if reached.Era != store.state.Position().Era {
+					reached = Position{}
 				}
 				note()
 				take(i, store.state.Since(reached))
 			case 7:
-				take(i, nodes[j].Since(nodes[i].Reached()))
+				take(i, nodes[j].Since(nodes[i].Position()))
 			case 8:
-				late = append(late, nodes[j].Since(nodes[i].Reached()))
+				late = append(late, nodes[j].Since(nodes[i].Position()))
 			default:
 				if len(late) > 0 {
 					take(i, late[step%len(late)])
@@ -414,9 +414,9 @@
 		version++
 		store.configure(version)
 		note()
-		take(0, store.state.Since(Reached{}))
+		take(0, store.state.Since(Position{}))
 		for i := range nodes[1:] {
-			take(i+1, nodes[0].Since(nodes[i+1].Reached()))
+			take(i+1, nodes[0].Since(nodes[i+1].Position()))
 		}
 		for _, one := range nodes {
 			require.Equal(t, slices.Sorted(maps.Keys(store.state.items)), slices.Sorted(maps.Keys(one.items)))
--- a/internal/mirror/source.go
+++ b/internal/mirror/source.go
@@ -15,11 +15,11 @@
 
 // OlderEraError is an answer of the store from an era before the one that is known: whatever is in
 // it was replaced since.
-type OlderEraError struct{ Told, Known uint64 }
+type OlderEraError struct{ Received, Known uint64 }
 
 // Error implements error.
 func (e *OlderEraError) Error() string {
-	return fmt.Sprintf("the store answers from era %d, era %d is known already", e.Told, e.Known)
+	return fmt.Sprintf("the store answers from era %d, era %d is known already", e.Received, e.Known)
 }
 
 // errEraChanged is a store that came back from a copy while its pages were read.
@@ -67,7 +67,7 @@
 	// Fetch reads what a node's copy has beyond what was reached, and how long ago
 	// that copy was confirmed by the store. It waits for changes at most for the
 	// given time.
-	Fetch(ctx context.Context, from peer.Target, reached Reached, wait time.Duration) (Delta, time.Duration, error)
+	Fetch(ctx context.Context, from peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error)
 }
 
 // readAll reads every item. Pages are not a snapshot: what changes between them is
--- a/internal/mirror/take.go
+++ b/internal/mirror/take.go
@@ -5,8 +5,8 @@
 // noteOutage notes whether the store was away for longer than Config.Outage before a reading.
 func (f *Follower) noteOutage(read core.Time) {
 	before := core.Time(f.confirmed.Load())
-	if before > 0 && read-before > f.config.Outage {
-		f.returnUntil = f.now() + f.config.Return
+	if before > 0 && read-before > f.config.OutageAfter {
+		f.returnUntil = f.now() + f.config.RecoveryPeriod
 	}
 }
 
@@ -16,7 +16,7 @@
 // too: a delta of an older era says nothing of the present store, nor does a whole reading that is older
 // than the copy.
 func (f *Follower) take(source string, delta Delta, confirmed core.Time) bool {
-	reached := f.copy.Reached()
+	reached := f.copy.Position()
 	applied := f.copy.Apply(delta)
 	if applied.OtherEra || delta.Whole && !applied.Replaced && delta.UpTo < reached.Revision {
 		f.notTaken(source, delta, reached)
@@ -24,7 +24,7 @@
 	}
 	f.behind = false
 	f.noteOutage(confirmed)
-	newEra := applied.Replaced && delta.Era != applied.Former.Era
+	newEra := applied.Replaced && delta.Era != applied.Previous.Era
 	if newEra {
 		f.eraChanged(source, applied)
 	}
@@ -43,11 +43,11 @@
 
 // eraChanged notes that the copy went over to another era of the store. Entries that were written since
 // the copy that the store came back from are written again, as after an outage.
-func (f *Follower) eraChanged(source string, applied Applied) {
+func (f *Follower) eraChanged(source string, applied ApplyResult) {
 	f.gapAt = 0
-	f.returnUntil = f.now() + f.config.Return
+	f.returnUntil = f.now() + f.config.RecoveryPeriod
 	f.counts.eraChanges.Add(1)
-	change := EraChange{Source: source, Former: applied.Former, Now: f.copy.Reached(), Stood: applied.Stood, Outranked: len(applied.Outranked)}
+	change := EraChange{Source: source, Previous: applied.Previous, Current: f.copy.Position(), Unchanged: applied.Unchanged, Outranked: len(applied.Outranked)}
 	for _, item := range applied.Changed {
 		if item.Removed {
 			change.Lost++
@@ -59,10 +59,10 @@
 }
 
 // notTaken counts a reading that left the copy unchanged, and reports the first one of a series.
-func (f *Follower) notTaken(source string, delta Delta, reached Reached) {
+func (f *Follower) notTaken(source string, delta Delta, reached Position) {
 	f.counts.notTaken.Add(1)
 	if !f.behind {
 		f.behind = true
-		f.listener.NotTaken(NotTaken{Source: source, Era: delta.Era, Revision: delta.UpTo, Reached: reached})
+		f.listener.ReadingRejected(RejectedReading{Source: source, Era: delta.Era, Revision: delta.UpTo, Position: reached})
 	}
 }
