--- a/internal/confwatch/confwatch.go
+++ b/internal/confwatch/confwatch.go
@@ -1,6 +1,6 @@
-// Package confwatch keeps the operators' text in force at one node: it reads the
-// configuration service when the node is a relay, follows the relays otherwise,
-// and answers other nodes. What to do is decided by internal/core/config.
+// Package confwatch keeps the operators' configuration up to date at one node: a
+// relay reads the configuration service, other nodes poll the relays, and every node
+// answers its peers. The decisions are made by internal/core/config.
 package confwatch
 
 import (
@@ -23,12 +23,12 @@
 )
 
 const (
-	tickEvery = 100 * time.Millisecond
-	// pausedAfter is how late a tick may come before the process counts as
-	// having been paused.
-	pausedAfter   = 2 * time.Second
-	eventDepth    = 4096
-	commandsDepth = 1
+	tickInterval = 100 * time.Millisecond
+	// pauseThreshold is the interval between two ticks above which the process counts
+	// as paused.
+	pauseThreshold   = 2 * time.Second
+	eventRingDepth   = 4096
+	commandRingDepth = 1
 )
 
 // Reader reads the configuration service.
@@ -36,7 +36,7 @@
 	ReadConfig(ctx context.Context, after uint64, wait time.Duration) (confservice.Config, bool, error)
 }
 
-// Options are what a watcher needs of its node.
+// Options are the dependencies of a Watcher.
 type Options struct {
 	Self       core.NodeID
 	DataCentre string
@@ -47,14 +47,14 @@
 	Log        logrus.FieldLogger
 	Problems   *observe.Problems
 	Metrics    observe.Registry
-	// Ticks, when set, replaces the duty's own ticker.
+	// Ticks, when set, replaces the watcher's own ticker.
 	Ticks <-chan time.Time
-	// Seed seeds the jitter of waits.
+	// Seed seeds the jitter of wait times.
 	Seed uint64
 }
 
-// Watcher is the configuration duty of one node. One goroutine owns its state;
-// another one reads the service. Both are joined by rings.
+// Watcher keeps one node's configuration up to date and answers its peers. One
+// goroutine owns its state, another reads the service; rings connect the two.
 type Watcher struct {
 	Options
 	machine  *config.Machine
@@ -65,52 +65,52 @@
 	stop     context.CancelFunc
 	done     sync.WaitGroup
 
-	asks       map[uint64]*ask
-	lastAsk    uint64
-	parked     []*parked
-	history    history
-	cancelRead context.CancelFunc
-	readFailed bool
-	logged     map[config.Problem]string
-	lastTick   core.Time
-	nextGather core.Time
+	openRequests  map[uint64]*peerRequest
+	lastRequestID uint64
+	parked        []*parkedPoll
+	history       history
+	cancelRead    context.CancelFunc
+	serviceFailed bool
+	loggedDetails map[config.Problem]string
+	lastTick      core.Time
+	nextGatherAt  core.Time
 }
 
-// event is something that happened to the duty.
+// event is an input of the goroutine that owns the state.
 type event interface{ apply(w *Watcher) }
 
-// New makes a watcher that takes requests but does nothing before Start.
+// New returns a watcher that queues requests and does nothing else before Start.
 func New(options Options) *Watcher {
 	ctx, stop := context.WithCancel(context.Background())
 	jitter := rand.New(rand.NewPCG(options.Seed, xxhash.Sum64String(string(options.Self))))
 	w := &Watcher{
-		Options:    options,
-		machine:    config.New(options.Now()),
-		follower:   config.NewFollower(options.Self, options.DataCentre, jitter.Float64),
-		events:     ring.New[event](eventDepth),
-		commands:   ring.New[readCommand](commandsDepth),
-		ctx:        ctx,
-		stop:       stop,
-		asks:       map[uint64]*ask{},
-		cancelRead: func() {},
-		logged:     map[config.Problem]string{},
-		lastTick:   options.Now(),
+		Options:       options,
+		machine:       config.New(options.Now()),
+		follower:      config.NewFollower(options.Self, options.DataCentre, jitter.Float64),
+		events:        ring.New[event](eventRingDepth),
+		commands:      ring.New[readCommand](commandRingDepth),
+		ctx:           ctx,
+		stop:          stop,
+		openRequests:  map[uint64]*peerRequest{},
+		cancelRead:    func() {},
+		loggedDetails: map[config.Problem]string{},
+		lastTick:      options.Now(),
 	}
 	return w
 }
 
-// Start begins the duty; Close ends it.
+// Start starts the watcher; Close stops it.
 func (w *Watcher) Start() {
-	// The waits of a start count from here, not from New.
+	// The time limits of a start run from here, not from New.
 	w.machine = config.New(w.Now())
 	w.lastTick = w.Now()
-	w.Belief.OnChange(func() { w.events.TryPut(turn{}) })
+	w.Belief.OnChange(func() { w.events.TryPut(viewOrConfigChanged{}) })
 	w.done.Add(2)
 	go w.readService()
 	go w.run()
 }
 
-// Close ends the duty. Held polls are refused, so that those who asked turn to
+// Close stops the watcher. It refuses parked polls, so that their senders switch to
 // another relay at once.
 func (w *Watcher) Close() {
 	w.stop()
@@ -121,28 +121,28 @@
 	defer w.done.Done()
 	ticks := w.Ticks
 	if ticks == nil {
-		ticker := time.NewTicker(tickEvery)
+		ticker := time.NewTicker(tickInterval)
 		defer ticker.Stop()
 		ticks = ticker.C
 	}
-	turn{}.apply(w)
+	viewOrConfigChanged{}.apply(w)
 	for {
 		select {
 		case <-w.ctx.Done():
 			w.refuseParked()
 			return
-		case happened := <-w.events.Items():
-			happened.apply(w)
+		case e := <-w.events.Items():
+			e.apply(w)
 		case <-ticks:
 			tick{}.apply(w)
 		}
 	}
 }
 
-// turn says that the view or the configuration in force may have changed.
-type turn struct{}
+// viewOrConfigChanged is sent when the view or the configuration in force may have changed.
+type viewOrConfigChanged struct{}
 
-func (turn) apply(w *Watcher) {
+func (viewOrConfigChanged) apply(w *Watcher) {
 	w.gatherPeers()
 	w.follow(w.follower.SetView(w.Now(), w.Belief.View(), w.machine.InForce().Revision))
 }
@@ -151,38 +151,38 @@
 
 func (tick) apply(w *Watcher) {
 	now := w.Now()
-	paused := now-w.lastTick > pausedAfter
+	paused := now-w.lastTick > pauseThreshold
 	w.lastTick = now
 	if paused {
 		w.follow(w.follower.Resume(now))
 	}
-	w.expireAsks(now)
+	w.expireRequests(now)
 	w.expireParked(now)
 	w.gatherPeers()
 	w.act(w.machine.Tick(now))
 	w.follow(w.follower.Tick(now))
-	w.gauge()
+	w.updateGauges()
 }
 
-// gatherPeers asks peers of each data centre for their revision while nothing
-// is in force here.
+// gatherPeers requests the revision of peers in each data centre while nothing is
+// in force here.
 func (w *Watcher) gatherPeers() {
 	now := w.Now()
 	view := w.Belief.View()
-	if !w.machine.Gathering() || len(view.Nodes()) == 0 || now < w.nextGather {
+	if !w.machine.Gathering() || len(view.Nodes()) == 0 || now < w.nextGatherAt {
 		return
 	}
-	w.nextGather = now + config.GatherRetryInterval
+	w.nextGatherAt = now + config.GatherRetryInterval
 	peers := config.StartPeers(view, w.Self)
 	w.act(w.machine.AskPeers(now, peers))
 	for _, node := range peers {
-		if !w.asking(askMark, node.ID) {
-			w.ask(askMark, node)
+		if !w.requestOpen(requestMark, node.ID) {
+			w.send(requestMark, node)
 		}
 	}
 }
 
-// act carries out what the machine decided, and what follows from it.
+// act carries out the actions of the state machine, including those that result from them.
 func (w *Watcher) act(actions []config.Action) {
 	for len(actions) > 0 {
 		next := actions[0]
@@ -194,18 +194,17 @@
 			actions = append(actions, w.fetch(a.Peer)...)
 		case config.Report:
 			w.report(a)
-			w.answerRefusal()
+			w.announceRefusal()
 		case config.Clear:
 			w.clear(a.Problem)
 		}
 	}
 }
 
-// adopt puts a reading in force, tells the waiting peers, and turns to the
-// relays of the new revision.
+// adopt puts a reading in force and answers the parked polls that it supersedes.
 func (w *Watcher) adopt(reading *config.Reading) {
-	former := w.Belief.Config()
-	w.history.add(former, reading)
+	previous := w.Belief.Config()
+	w.history.add(previous, reading)
 	w.Belief.SetConfig(&belief.Config{
 		Revision: reading.Mark.Revision,
 		Digest:   reading.Mark.Digest,
@@ -213,18 +212,18 @@
 		Catalog:  reading.Catalog,
 	})
 	w.answerParked()
-	w.Log.WithFields(logrus.Fields{"event": "config_in_force", "revision": era.Revision(reading.Mark.Revision), "era": era.Of(reading.Mark.Revision)}).Info("revision in force")
-	w.gauge()
+	w.Log.WithFields(logrus.Fields{"event": "config_in_force", "revision": era.Revision(reading.Mark.Revision), "era": era.Of(reading.Mark.Revision)}).Info("new configuration revision in force")
+	w.updateGauges()
 }
 
-// follow carries out what the follower decided.
+// follow carries out the actions of the follower.
 func (w *Watcher) follow(actions []config.FollowAction) {
 	for _, next := range actions {
 		switch a := next.(type) {
 		case config.Poll:
-			w.askFor(askPoll, a.Node, a.Wait)
+			w.sendWithWait(requestPoll, a.Node, a.Wait)
 		case config.CancelPoll:
-			w.cancelAsk(askPoll, a.Node)
+			w.cancelRequest(requestPoll, a.Node)
 		case config.Watch:
 			w.startRead(a.Wait)
 		case config.CancelWatch:
--- a/internal/confwatch/fleet_test.go
+++ b/internal/confwatch/fleet_test.go
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("version: 1\nindexes: [i]\nservices:\n  - name: s%d\n    index: i\n    shards: [{replicas: [{address: \"10.0.0.1:1\"}]}]\n", n)
 }
 
-// A fleet over real links follows a row of changes: in three data centres some
-// nodes are relays and the others learn from them.
+// Nodes with real connections in three data centres adopt a series of changes: some
+// are relays, and the others poll them.
 func TestFleetFollowsChanges(t *testing.T) {
 	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
 	require.NoError(t, err)
@@ -34,26 +34,26 @@
 	}
 }
 
-// The service comes back from a copy while the fleet runs: revisions are given out again. Over real links and calls each text
-// that is published afterwards is in force at every node, also under a revision that stood for another one.
+// The service is restored from a copy while the nodes run, so that it reuses revisions. Over real connections each text
+// that is published afterwards is in force at every node, even under a revision that stood for another text.
 func TestFleetFollowsItsServiceIntoTheNextEra(t *testing.T) {
 	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
 	require.NoError(t, err)
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	for told := range uint64(3) {
-		running.Platform.Change(func(b *standin.PlatformBehaviour) { b.Era = told })
+	for serviceEra := range uint64(3) {
+		running.Platform.Change(func(b *standin.PlatformBehaviour) { b.Era = serviceEra })
 		running.Platform.SetConfig(confservice.Config{Revision: 1, Text: fleetText(0)})
 		for n := range 3 {
-			revision := running.Platform.Publish(fleetText(100*int(told) + n + 1))
-			require.NoError(t, running.AwaitReady(ctx, era.Place(told, revision)))
+			revision := running.Platform.Publish(fleetText(100*int(serviceEra) + n + 1))
+			require.NoError(t, running.AwaitReady(ctx, era.Place(serviceEra, revision)))
 		}
 	}
 }
 
-// BenchmarkPublishToInForce measures a change from its publication until it is
-// in force at all nodes, over loopback.
+// BenchmarkPublishToInForce measures the time from the publication of a change until
+// it is in force at all nodes, over loopback.
 func BenchmarkPublishToInForce(b *testing.B) {
 	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
 	require.NoError(b, err)
--- a/internal/confwatch/history.go
+++ b/internal/confwatch/history.go
@@ -11,19 +11,19 @@
 const (
 	maxSteps     = 64
 	maxStepBytes = 256 << 10
-	// editOverhead is the encoded size of an edit without its lines, at most.
+	// editOverhead is the maximum encoded size of an edit without its lines.
 	editOverhead = 24
 )
 
-// history keeps how the text came to be what it is, as edits from each revision
-// to the next, to answer nodes that are a few revisions behind.
+// history holds the edits from each recent revision to the next, to answer nodes that
+// are a few revisions behind.
 type history struct {
 	steps []historyStep
 	bytes int
-	// reply is the latest reply, to a node that has repliedTo. After a change
-	// nearly all nodes ask for the same one.
-	reply     *peerpb.ConfigReply
-	repliedTo config.Mark
+	// lastReply is the latest reply, for nodes that have replyBase in force. After a
+	// change nearly all nodes need the same one.
+	lastReply *peerpb.ConfigReply
+	replyBase config.Mark
 }
 
 type historyStep struct {
@@ -32,15 +32,15 @@
 	bytes int
 }
 
-// add records that a reading replaces the former configuration.
-func (h *history) add(former *belief.Config, reading *config.Reading) {
-	h.reply = nil
-	if former == nil || !utf8.Valid(reading.Text) || !utf8.Valid(former.Text) {
+// add records the edits from the previous configuration to the reading that replaces it.
+func (h *history) add(previous *belief.Config, reading *config.Reading) {
+	h.lastReply = nil
+	if previous == nil || !utf8.Valid(reading.Text) || !utf8.Valid(previous.Text) {
 		h.steps, h.bytes = nil, 0
 		return
 	}
-	step := historyStep{from: config.Mark{Revision: former.Revision, Digest: former.Digest}}
-	for _, edit := range config.Diff(config.SplitLines(string(former.Text)), config.SplitLines(string(reading.Text))) {
+	step := historyStep{from: config.Mark{Revision: previous.Revision, Digest: previous.Digest}}
+	for _, edit := range config.Diff(config.SplitLines(string(previous.Text)), config.SplitLines(string(reading.Text))) {
 		step.edits = append(step.edits, &peerpb.TextEdit{From: uint32(edit.From), Removed: uint32(edit.Removed), Lines: edit.Lines})
 		step.bytes += editOverhead
 		for _, line := range edit.Lines {
@@ -55,20 +55,20 @@
 	}
 }
 
-// replyTo makes the reply to a node that has the marked text: the edits that
-// lead to the present one, or the whole text when those are not known or larger.
-func (h *history) replyTo(have config.Mark, present *belief.Config) *peerpb.ConfigReply {
-	if h.reply != nil && h.repliedTo == have {
-		return h.reply
+// replyTo returns the reply to a node that has the marked text: the edits to the
+// current text, or the whole text when the edits are unknown or larger.
+func (h *history) replyTo(have config.Mark, current *belief.Config) *peerpb.ConfigReply {
+	if h.lastReply != nil && h.replyBase == have {
+		return h.lastReply
 	}
-	reply := &peerpb.ConfigReply{Revision: present.Revision, Digest: present.Digest}
-	edits, known := h.editsFrom(have, len(present.Text))
+	reply := &peerpb.ConfigReply{Revision: current.Revision, Digest: current.Digest}
+	edits, known := h.editsFrom(have, len(current.Text))
 	if known {
 		reply.Edits = edits
 	} else {
-		reply.Text = present.Text
+		reply.Text = current.Text
 	}
-	h.reply, h.repliedTo = reply, have
+	h.lastReply, h.replyBase = reply, have
 	return reply
 }
 
--- a/internal/confwatch/observe.go
+++ b/internal/confwatch/observe.go
@@ -9,53 +9,53 @@
 	"github.com/pistachiopier/pistachiopier/internal/ring"
 )
 
-// subject is the subject of all problems of the configuration.
-const subject = "operators' text"
+// problemSubject is the subject of all configuration problems.
+const problemSubject = "operators' text"
 
-var kinds = map[config.Problem]observe.Kind{
+var problemKinds = map[config.Problem]observe.Kind{
 	config.ProblemRefused:  observe.KindConfigRefused,
 	config.ProblemConflict: observe.KindConfigConflict,
 	config.ProblemStale:    observe.KindConfigStale,
 	config.ProblemOlder:    observe.KindConfigReverted,
 }
 
-// report raises a problem. It is logged when it says something new; the age of
-// a stale configuration, which changes all night, is logged once.
+// report raises a problem and logs it when its detail is new. A stale configuration
+// is logged once, since its detail is an age that keeps changing.
 func (w *Watcher) report(report config.Report) {
-	kind := kinds[report.Problem]
+	kind := problemKinds[report.Problem]
 	detail := report.Detail
-	w.Problems.Report(kind, subject, detail)
+	w.Problems.Report(kind, problemSubject, detail)
 	if report.Problem == config.ProblemStale {
 		detail = ""
 	}
-	if logged, ok := w.logged[report.Problem]; ok && logged == detail {
+	if logged, ok := w.loggedDetails[report.Problem]; ok && logged == detail {
 		return
 	}
-	w.logged[report.Problem] = detail
-	w.Log.WithFields(logrus.Fields{"event": string(kind), "detail": report.Detail}).Error("problem of the configuration")
+	w.loggedDetails[report.Problem] = detail
+	w.Log.WithFields(logrus.Fields{"event": string(kind), "detail": report.Detail}).Error("configuration problem")
 }
 
 func (w *Watcher) clear(problem config.Problem) {
-	w.Problems.Clear(kinds[problem], subject)
-	delete(w.logged, problem)
+	w.Problems.Clear(problemKinds[problem], problemSubject)
+	delete(w.loggedDetails, problem)
 }
 
-func (w *Watcher) gauge() {
+func (w *Watcher) updateGauges() {
 	observe.Gauge(w.Metrics, "config_revision").Update(int64(w.machine.InForce().Revision))
 	observe.Gauge(w.Metrics, "config_age_ms").Update(w.machine.Age(w.Now()).Milliseconds())
-	observe.Gauge(w.Metrics, "config_relay").Update(flag(w.follower.Relay()))
-	observe.Gauge(w.Metrics, "config_reads_service").Update(flag(w.follower.ReadsService()))
+	observe.Gauge(w.Metrics, "config_relay").Update(boolGauge(w.follower.Relay()))
+	observe.Gauge(w.Metrics, "config_reads_service").Update(boolGauge(w.follower.ReadsService()))
 	observe.Gauge(w.Metrics, "config_parked_polls").Update(int64(len(w.parked)))
 }
 
-func flag(set bool) int64 {
+func boolGauge(set bool) int64 {
 	if set {
 		return 1
 	}
 	return 0
 }
 
-// Dump is the duty's state for operators.
+// Dump is the watcher's state for operators.
 type Dump struct {
 	State            string        `json:"state"`
 	InForce          config.Mark   `json:"in_force"`
@@ -71,13 +71,13 @@
 	EventRing        ring.Stats    `json:"ring"`
 }
 
-// dumpRequest has the duty describe itself.
+// dumpRequest requests a Dump.
 type dumpRequest struct{ reply chan Dump }
 
 func (d dumpRequest) apply(w *Watcher) { d.reply <- w.describe() }
 
-// Dump describes the duty. It waits for the duty's turn; after Close it returns
-// the last state.
+// Dump returns the state of the watcher. It waits for the goroutine that owns the
+// state; after Close it returns the last state.
 func (w *Watcher) Dump() Dump {
 	request := dumpRequest{make(chan Dump, 1)}
 	if w.events.Put(w.ctx, request) == nil {
@@ -100,7 +100,7 @@
 		ReadsService:     w.follower.ReadsService(),
 		WatchAfter:       w.machine.WatchAfter(),
 		Relays:           append([]core.NodeID(nil), w.follower.Targets()...),
-		OpenRequests:     len(w.asks),
+		OpenRequests:     len(w.openRequests),
 		ParkedPolls:      len(w.parked),
 		KnownDifferences: len(w.history.steps),
 		ServiceReads:     observe.Counter(w.Metrics, "config_service_reads_total").Count(),
--- a/internal/confwatch/serve.go
+++ b/internal/confwatch/serve.go
@@ -10,31 +10,31 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// maxParked bounds the polls held for other nodes.
+// maxParked bounds the number of parked polls.
 const maxParked = 4096
 
-// parked is a poll that waits for something new.
-type parked struct {
+// parkedPoll is a poll held until there is an update or its wait ends.
+type parkedPoll struct {
 	inbound *peer.Inbound
 	have    config.Mark
-	// refused is the highest refused revision that the asker knows of.
-	refused uint64
-	until   core.Time
+	// refused is the highest refused revision known to the sender.
+	refused   uint64
+	expiresAt core.Time
 }
 
-// Handle takes a ConfigRequest. It does not block.
+// Handle queues a ConfigRequest. It does not block.
 func (w *Watcher) Handle(inbound *peer.Inbound) {
 	if w.ctx.Err() != nil {
 		inbound.Reply(peer.Refused(core.ReasonDraining), true)
 		return
 	}
-	if !w.events.TryPut(request{inbound}) {
+	if !w.events.TryPut(inboundRequest{inbound}) {
 		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
 	}
 }
 
-// Hint says that a node has the marked text in force, as a heartbeat or a
-// request shows. Digest 0 stands for "not known". It does not block.
+// Hint records that a heartbeat or a request shows this text in force at a node.
+// Digest 0 means unknown. It does not block.
 func (w *Watcher) Hint(node core.NodeID, revision, digest uint64) {
 	if inForce := w.Belief.Config(); inForce != nil && (revision > inForce.Revision || revision == inForce.Revision && digest > inForce.Digest) {
 		w.events.TryPut(hint{node, config.Mark{Revision: revision, Digest: digest}})
@@ -54,40 +54,40 @@
 	w.act(w.machine.PeerReported(w.Now(), h.node, h.mark))
 }
 
-// request is a ConfigRequest of another node.
-type request struct{ inbound *peer.Inbound }
+// inboundRequest is a ConfigRequest from another node.
+type inboundRequest struct{ inbound *peer.Inbound }
 
-func (r request) apply(w *Watcher) {
-	asked := r.inbound.Envelope.GetConfigRequest()
-	have := config.Mark{Revision: asked.GetHaveRevision(), Digest: asked.GetHaveDigest()}
-	if !asked.GetMarkOnly() && have.Revision != 0 && !w.machine.Gathering() {
-		// Whoever asks may be ahead, or have another text under this revision.
+func (r inboundRequest) apply(w *Watcher) {
+	request := r.inbound.Envelope.GetConfigRequest()
+	have := config.Mark{Revision: request.GetHaveRevision(), Digest: request.GetHaveDigest()}
+	if !request.GetMarkOnly() && have.Revision != 0 && !w.machine.Gathering() {
+		// The sender may be ahead, or have another text under this revision.
 		w.act(w.machine.PeerReported(w.Now(), r.inbound.From.Node, have))
 	}
 	current := w.machine.InForce()
-	// A refusal below what the asker has in force is no news to it.
-	refused := max(asked.GetRefusedRevision(), have.Revision)
-	wait := min(time.Duration(asked.GetWaitMs())*time.Millisecond, config.PollWait)
+	// A refusal below the revision in force at the sender is irrelevant to it.
+	refused := max(request.GetRefusedRevision(), have.Revision)
+	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, config.PollWait)
 	switch {
-	case asked.GetMarkOnly():
-		r.inbound.Reply(w.unchanged(), true)
+	case request.GetMarkOnly():
+		r.inbound.Reply(w.unchangedReply(), true)
 	case current.Supersedes(have):
 		r.inbound.Reply(envelope(w.history.replyTo(have, w.Belief.Config())), true)
-	case w.knowsRefusalAbove(refused):
-		r.inbound.Reply(w.unchanged(), true)
+	case w.hasRefusalAbove(refused):
+		r.inbound.Reply(w.unchangedReply(), true)
 	case wait > 0 && len(w.parked) >= maxParked:
 		r.inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
 	case wait > 0:
-		w.parked = append(w.parked, &parked{r.inbound, have, refused, w.Now() + wait})
+		w.parked = append(w.parked, &parkedPoll{r.inbound, have, refused, w.Now() + wait})
 	default:
-		r.inbound.Reply(w.unchanged(), true)
+		r.inbound.Reply(w.unchangedReply(), true)
 	}
 }
 
-// answerParked answers the polls that are behind what is now in force.
+// answerParked answers the parked polls that the text in force supersedes.
 func (w *Watcher) answerParked() {
 	current := w.machine.InForce()
-	w.keepParked(func(p *parked) bool {
+	w.filterParked(func(p *parkedPoll) bool {
 		if !current.Supersedes(p.have) {
 			return true
 		}
@@ -97,69 +97,69 @@
 }
 
 func (w *Watcher) expireParked(now core.Time) {
-	w.keepParked(func(p *parked) bool {
+	w.filterParked(func(p *parkedPoll) bool {
 		if p.inbound.Context.Err() != nil {
 			return false
 		}
-		if now < p.until {
+		if now < p.expiresAt {
 			return true
 		}
-		p.inbound.Reply(w.unchanged(), true)
+		p.inbound.Reply(w.unchangedReply(), true)
 		return false
 	})
 }
 
 func (w *Watcher) refuseParked() {
-	w.keepParked(func(p *parked) bool {
+	w.filterParked(func(p *parkedPoll) bool {
 		p.inbound.Reply(peer.Refused(core.ReasonDraining), true)
 		return false
 	})
 }
 
-// keepParked drops the polls that keep answers false for.
-func (w *Watcher) keepParked(keep func(*parked) bool) {
+// filterParked removes the parked polls for which keep returns false.
+func (w *Watcher) filterParked(keep func(*parkedPoll) bool) {
 	kept := w.parked[:0]
-	for _, one := range w.parked {
-		if keep(one) {
-			kept = append(kept, one)
+	for _, poll := range w.parked {
+		if keep(poll) {
+			kept = append(kept, poll)
 		}
 	}
 	clear(w.parked[len(kept):])
 	w.parked = kept
 }
 
-// answerRefusal answers the polls of those who do not know of a refusal.
-func (w *Watcher) answerRefusal() {
-	w.keepParked(func(p *parked) bool {
-		if !w.knowsRefusalAbove(p.refused) {
+// announceRefusal answers the parked polls whose senders do not know the latest refusal.
+func (w *Watcher) announceRefusal() {
+	w.filterParked(func(p *parkedPoll) bool {
+		if !w.hasRefusalAbove(p.refused) {
 			return true
 		}
-		p.inbound.Reply(w.unchanged(), true)
+		p.inbound.Reply(w.unchangedReply(), true)
 		return false
 	})
 }
 
-func (w *Watcher) knowsRefusalAbove(revision uint64) bool {
+func (w *Watcher) hasRefusalAbove(revision uint64) bool {
 	refusal, ok := w.machine.Refused()
 	return ok && refusal.Mark.Revision > revision
 }
 
-// unchanged makes the reply without a text, with what was refused.
-func (w *Watcher) unchanged() *peerpb.Envelope {
+// unchangedReply returns the reply without a text, with the mark in force and the latest refusal.
+func (w *Watcher) unchangedReply() *peerpb.Envelope {
 	mark := w.machine.InForce()
 	reply := &peerpb.ConfigReply{Revision: mark.Revision, Digest: mark.Digest, Unchanged: true}
 	if refusal, ok := w.machine.Refused(); ok {
 		reply.RefusedRevision, reply.RefusedDigest = refusal.Mark.Revision, refusal.Mark.Digest
-		reply.RefusedReason = shorten(refusal.Reason)
+		reply.RefusedReason = truncateReason(refusal.Reason)
 	}
 	return envelope(reply)
 }
 
-// maxReasonBytes bounds the reason that is passed on: a text can have thousands
-// of problems, and the first says where to look.
+// maxReasonBytes bounds the reason passed to peers: a text can have thousands of
+// problems, and the first ones suffice to find the cause.
 const maxReasonBytes = 512
 
-func shorten(reason string) string {
+func truncateReason(reason string) string {
 	if len(reason) > maxReasonBytes {
 		reason = reason[:maxReasonBytes]
 	}
--- a/internal/confwatch/service.go
+++ b/internal/confwatch/service.go
@@ -11,7 +11,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// readCommand asks the reading goroutine for one service read.
+// readCommand requests one service read from the reading goroutine.
 type readCommand struct {
 	ctx   context.Context
 	after uint64
@@ -19,7 +19,7 @@
 	have  config.Mark
 }
 
-// startRead begins a service read. The follower has at most one open.
+// startRead starts a service read. The follower has at most one open.
 func (w *Watcher) startRead(wait time.Duration) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	w.cancelRead = cancel
@@ -27,7 +27,7 @@
 	w.commands.TryPut(readCommand{ctx: ctx, after: w.machine.WatchAfter(), wait: wait, have: w.machine.InForce()})
 }
 
-// readService is the duty that waits for the service.
+// readService carries out the read commands, which may wait for the service.
 func (w *Watcher) readService() {
 	defer w.done.Done()
 	for {
@@ -35,37 +35,37 @@
 		case <-w.ctx.Done():
 			return
 		case command := <-w.commands.Items():
-			_ = w.events.Put(w.ctx, w.readOnce(command))
+			_ = w.events.Put(w.ctx, w.read(command))
 		}
 	}
 }
 
-// serviceRead is the end of a service read; reading is nil when there was
+// serviceReadEnded is the result of a service read; reading is nil when there was
 // nothing new.
-type serviceRead struct {
+type serviceReadEnded struct {
 	reading *config.Reading
 	err     error
-	// withdrawn is set when this node gave the read up itself.
-	withdrawn bool
+	// cancelled is set when this node cancelled the read.
+	cancelled bool
 }
 
-func (w *Watcher) readOnce(command readCommand) serviceRead {
+func (w *Watcher) read(command readCommand) serviceReadEnded {
 	read, changed, err := w.Service.ReadConfig(command.ctx, command.after, command.wait)
 	switch {
 	case command.ctx.Err() != nil:
-		return serviceRead{withdrawn: true}
+		return serviceReadEnded{cancelled: true}
 	case err != nil || !changed:
-		return serviceRead{err: err}
+		return serviceReadEnded{err: err}
 	}
 	mark := config.Mark{Revision: read.Revision, Digest: xxhash.Sum64String(read.Text)}
 	if mark == command.have {
-		return serviceRead{reading: &config.Reading{Mark: mark, Source: config.FromService}}
+		return serviceReadEnded{reading: &config.Reading{Mark: mark, Source: config.FromService}}
 	}
-	return serviceRead{reading: judge(mark, []byte(read.Text), config.FromService)}
+	return serviceReadEnded{reading: parseReading(mark, []byte(read.Text), config.FromService)}
 }
 
-// judge parses a text.
-func judge(mark config.Mark, text []byte, source config.Source) *config.Reading {
+// parseReading parses a text. The reading of an invalid one has the fault and no catalog.
+func parseReading(mark config.Mark, text []byte, source config.Source) *config.Reading {
 	reading := &config.Reading{Mark: mark, Source: source, Text: text}
 	parsed, err := catalog.Parse(text)
 	if err != nil {
@@ -76,29 +76,29 @@
 	return reading
 }
 
-func (r serviceRead) apply(w *Watcher) {
+func (r serviceReadEnded) apply(w *Watcher) {
 	w.cancelRead()
 	now := w.Now()
 	switch {
-	case r.withdrawn:
+	case r.cancelled:
 	case r.err != nil:
-		w.noteReadFailed(r.err)
+		w.logReadFailure(r.err)
 		w.act(w.machine.ServiceFailed(now))
 	case r.reading == nil:
-		w.readFailed = false
+		w.serviceFailed = false
 		w.act(w.machine.ServiceAnswered(now))
 	default:
-		w.readFailed = false
+		w.serviceFailed = false
 		w.act(w.machine.Offer(now, r.reading))
 	}
-	w.follow(w.follower.ReadEnded(now, r.err == nil && !r.withdrawn))
+	w.follow(w.follower.ReadEnded(now, r.err == nil && !r.cancelled))
 }
 
-// noteReadFailed logs the first failure of a row: a service that is down all
-// night is a problem in the register, not a thousand lines.
-func (w *Watcher) noteReadFailed(err error) {
-	if !w.readFailed {
-		w.Log.WithError(err).WithField("event", "config_read_failed").Warn("configuration service not read")
+// logReadFailure logs only the first of consecutive failures. A long outage is
+// reported as a problem instead of in thousands of log lines.
+func (w *Watcher) logReadFailure(err error) {
+	if !w.serviceFailed {
+		w.Log.WithError(err).WithField("event", "config_read_failed").Warn("configuration service could not be read")
 	}
-	w.readFailed = true
+	w.serviceFailed = true
 }
--- a/internal/confwatch/world_test.go
+++ b/internal/confwatch/world_test.go
@@ -27,95 +27,95 @@
 )
 
 const (
-	hop         = 1500 * time.Microsecond
-	dialTimeout = 2 * time.Second
-	awaitLimit  = 2 * time.Minute
+	messageDelay = 1500 * time.Microsecond
+	dialTimeout  = 2 * time.Second
+	awaitLimit   = 2 * time.Minute
 )
 
 var errUnreached = errors.New("unreached")
 
-// world is a service and nodes in one process, in the virtual time of a
-// synctest bubble. Messages take one hop each way. All delays are goroutines
-// that sleep: timers with a channel or a function made the race detector's own
-// code crash in such a bubble now and then (go 1.26.8).
-type world struct {
+// simulation runs a service and nodes in one process, in the virtual time of a
+// synctest bubble. A message takes messageDelay each way. All delays are goroutines
+// that sleep, because timers with a channel or a function occasionally crashed the
+// race detector in such a bubble (go 1.26.8).
+type simulation struct {
 	t      *testing.T
 	mutex  sync.Mutex
 	config confservice.Config
-	// era counts how often the service came back from a copy.
+	// era counts how often the service was restored from a copy.
 	era     uint64
 	changed chan struct{}
 	reads   int
 	down    bool
-	// cut reports whether a node cannot reach another; "" is the service.
+	// cut reports whether from cannot reach to; "" is the service.
 	cut func(from, to core.NodeID) bool
-	// mute, when set, says which links are open and carry nothing.
-	mute func(from, to core.NodeID) bool
-	// shown, when set, is what the service shows a node in place of config.
-	shown func(to core.NodeID) confservice.Config
-	// tamper, when set, changes the replies on their way.
+	// silent, when set, reports whether a link is open and drops all messages.
+	silent func(from, to core.NodeID) bool
+	// offered, when set, returns the configuration that the service offers a node in place of config.
+	offered func(to core.NodeID) confservice.Config
+	// tamper, when set, changes replies in transit.
 	tamper func(*peerpb.Envelope)
 	bytes  map[core.NodeID]int
 	nodes  []*node
-	over   chan struct{}
+	ended  chan struct{}
 }
 
 type node struct {
 	route.Node
-	world    *world
-	belief   *belief.Store
-	problems *observe.Problems
-	watcher  *Watcher
-	// adopted lists the revisions that were in force, in order.
-	adopted []uint64
+	simulation *simulation
+	belief     *belief.Store
+	problems   *observe.Problems
+	watcher    *Watcher
+	// revisions lists the revisions that were in force at the node, in order.
+	revisions []uint64
 }
 
-// inWorld runs a test with nodes spread over data centres. The nodes are not
+// runSimulation runs a test with nodes spread over data centres. The nodes are not
 // started yet.
-func inWorld(t *testing.T, nodes, dataCentres int, test func(w *world)) {
+func runSimulation(t *testing.T, nodes, dataCentres int, test func(s *simulation)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, changed: make(chan struct{}), over: make(chan struct{}), bytes: map[core.NodeID]int{}, cut: func(_, _ core.NodeID) bool { return false }}
+		s := &simulation{t: t, changed: make(chan struct{}), ended: make(chan struct{}), bytes: map[core.NodeID]int{}, cut: func(_, _ core.NodeID) bool { return false }}
 		for n := range nodes {
-			w.nodes = append(w.nodes, w.newNode(n, dataCentres))
+			s.nodes = append(s.nodes, s.newNode(n, dataCentres))
 		}
-		test(w)
-		for _, one := range w.nodes {
+		test(s)
+		for _, one := range s.nodes {
 			one.watcher.Close()
 		}
-		close(w.over)
-		// Messages, dials and watches under way end before the bubble does.
+		close(s.ended)
+		// Messages, dials and watches in flight must end before the bubble does.
 		time.Sleep(config.WatchWait)
 	})
 }
 
-func (w *world) newNode(n, dataCentres int) *node {
+func (s *simulation) newNode(n, dataCentres int) *node {
 	id := core.NodeID(fmt.Sprintf("vm-%03d", n))
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	started := time.Now()
 	now := func() core.Time { return time.Since(started) }
 	one := &node{
-		Node:     route.Node{ID: id, DataCentre: fmt.Sprintf("dc%d", n%dataCentres), PeerAddress: string(id)},
-		world:    w,
-		belief:   belief.NewStore(),
-		problems: observe.NewProblems(now),
+		Node:       route.Node{ID: id, DataCentre: fmt.Sprintf("dc%d", n%dataCentres), PeerAddress: string(id)},
+		simulation: s,
+		belief:     belief.NewStore(),
+		problems:   observe.NewProblems(now),
 	}
-	one.belief.OnChange(one.noteRevision)
+	one.belief.OnChange(one.recordRevision)
 	one.watcher = New(Options{
 		Self: id, DataCentre: one.DataCentre, Service: one, Belief: one.belief, Peers: one,
-		Now: now, Ticks: w.ticks(), Log: log, Problems: one.problems, Metrics: observe.NewRegistry(), Seed: uint64(n),
+		Now: now, Ticks: s.ticks(), Log: log, Problems: one.problems, Metrics: observe.NewRegistry(), Seed: uint64(n),
 	})
 	return one
 }
 
-func (w *world) ticks() <-chan time.Time {
+func (s *simulation) ticks() <-chan time.Time {
 	ticks := make(chan time.Time)
 	go func() {
 		for {
-			time.Sleep(tickEvery)
+			time.Sleep(tickInterval)
 			select {
 			case ticks <- time.Now():
-			case <-w.over:
+			case <-s.ended:
 				return
 			}
 		}
@@ -123,31 +123,31 @@
 	return ticks
 }
 
-// noteRevision checks in every test that the revision never goes down.
-func (n *node) noteRevision() {
+// recordRevision checks in every test that the revision never goes down.
+func (n *node) recordRevision() {
 	inForce := n.belief.Config()
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
+	n.simulation.mutex.Lock()
+	defer n.simulation.mutex.Unlock()
 	if inForce == nil {
 		return
 	}
-	if len(n.adopted) > 0 && inForce.Revision < n.adopted[len(n.adopted)-1] {
-		n.world.t.Errorf("%s: revision %d after %v", n.ID, inForce.Revision, n.adopted)
+	if len(n.revisions) > 0 && inForce.Revision < n.revisions[len(n.revisions)-1] {
+		n.simulation.t.Errorf("%s: revision %d after %v", n.ID, inForce.Revision, n.revisions)
 	}
-	n.adopted = append(n.adopted, inForce.Revision)
+	n.revisions = append(n.revisions, inForce.Revision)
 }
 
-// first returns the revision that the node had in force first.
-func (n *node) first() uint64 {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
-	return n.adopted[0]
+// firstRevision returns the revision that the node had in force first.
+func (n *node) firstRevision() uint64 {
+	n.simulation.mutex.Lock()
+	defer n.simulation.mutex.Unlock()
+	return n.revisions[0]
 }
 
-// start starts nodes that see all nodes of the world.
-func (w *world) start(nodes ...*node) {
-	list := make([]route.Node, 0, len(w.nodes))
-	for _, one := range w.nodes {
+// start starts nodes whose view has all nodes of the simulation.
+func (s *simulation) start(nodes ...*node) {
+	list := make([]route.Node, 0, len(s.nodes))
+	for _, one := range s.nodes {
 		list = append(list, one.Node)
 	}
 	view := route.NewView(list)
@@ -157,51 +157,51 @@
 	}
 }
 
-func (w *world) set(change func()) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (s *simulation) update(change func()) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	change()
-	close(w.changed)
-	w.changed = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (w *world) publish(revision uint64, text string) {
-	w.set(func() { w.config = confservice.Config{Revision: revision, Text: text} })
+func (s *simulation) publish(revision uint64, text string) {
+	s.update(func() { s.config = confservice.Config{Revision: revision, Text: text} })
 }
 
-// partition cuts the world in two: the named side and the rest.
-func (w *world) partition(side func(core.NodeID) bool) {
-	w.set(func() { w.cut = func(from, to core.NodeID) bool { return side(from) != side(to) } })
+// partition cuts the links, including those to the service, between the given side and the rest.
+func (s *simulation) partition(side func(core.NodeID) bool) {
+	s.update(func() { s.cut = func(from, to core.NodeID) bool { return side(from) != side(to) } })
 }
 
-func (w *world) heal() {
-	w.set(func() { w.cut = func(_, _ core.NodeID) bool { return false } })
+func (s *simulation) heal() {
+	s.update(func() { s.cut = func(_, _ core.NodeID) bool { return false } })
 }
 
-func (w *world) isCut(from, to core.NodeID) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.cut(from, to)
+func (s *simulation) isCut(from, to core.NodeID) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.cut(from, to)
 }
 
-func (w *world) isMute(from, to core.NodeID) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.mute != nil && w.mute(from, to)
+func (s *simulation) isSilent(from, to core.NodeID) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.silent != nil && s.silent(from, to)
 }
 
-// await runs the world until the condition holds, and returns how long it took.
-func (w *world) await(what string, condition func() bool) time.Duration {
-	w.t.Helper()
+// await waits until the condition holds, and returns how long it took.
+func (s *simulation) await(what string, condition func() bool) time.Duration {
+	s.t.Helper()
 	start := time.Now()
 	for !condition() {
-		require.Less(w.t, time.Since(start), awaitLimit, what)
+		require.Less(s.t, time.Since(start), awaitLimit, what)
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-// everywhere reports whether the text is in force at all of the nodes.
+// everywhere reports whether the text is in force at all of the nodes under the revision.
 func everywhere(nodes []*node, revision uint64, text string) func() bool {
 	return func() bool {
 		for _, one := range nodes {
@@ -213,7 +213,7 @@
 	}
 }
 
-func (n *node) has(kind observe.Kind) bool {
+func (n *node) hasProblem(kind observe.Kind) bool {
 	for _, problem := range n.problems.List() {
 		if problem.Kind == kind {
 			return true
@@ -222,31 +222,31 @@
 	return false
 }
 
-// ReadConfig implements Reader in the manner of the platform's stand-in.
+// ReadConfig implements Reader like the platform's stand-in does.
 func (n *node) ReadConfig(ctx context.Context, after uint64, wait time.Duration) (confservice.Config, bool, error) {
-	w := n.world
-	over := make(chan struct{})
-	later(wait, func() { close(over) })
-	w.mutex.Lock()
-	w.reads++
-	w.mutex.Unlock()
+	s := n.simulation
+	expired := make(chan struct{})
+	runAfter(wait, func() { close(expired) })
+	s.mutex.Lock()
+	s.reads++
+	s.mutex.Unlock()
 	for {
-		w.mutex.Lock()
-		present, told, changed, unreached := w.config, w.era, w.changed, w.down || w.cut(n.ID, "")
-		if w.shown != nil {
-			present = w.shown(n.ID)
+		s.mutex.Lock()
+		present, serviceEra, changed, unreached := s.config, s.era, s.changed, s.down || s.cut(n.ID, "")
+		if s.offered != nil {
+			present = s.offered(n.ID)
 		}
-		w.mutex.Unlock()
+		s.mutex.Unlock()
 		if unreached {
 			return confservice.Config{}, false, errUnreached
 		}
-		if wait == 0 || era.Of(after) != told || present.Revision != era.Revision(after) {
-			present.Revision = era.Place(told, present.Revision)
+		if wait == 0 || era.Of(after) != serviceEra || present.Revision != era.Revision(after) {
+			present.Revision = era.Place(serviceEra, present.Revision)
 			return present, true, nil
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-expired:
 			return confservice.Config{}, false, nil
 		case <-ctx.Done():
 			return confservice.Config{}, false, ctx.Err()
@@ -254,8 +254,8 @@
 	}
 }
 
-// later runs a function after a while.
-func later(wait time.Duration, run func()) {
+// runAfter runs a function after the given time.
+func runAfter(wait time.Duration, run func()) {
 	go func() {
 		time.Sleep(wait)
 		run()
@@ -266,82 +266,82 @@
 
 func (t ticket) Cancel() { t.cancel() }
 
-// Ask implements peer.Asker. A node that is cut off is noticed only after the
-// dial's time, and what is under way then is lost without a word.
+// Ask implements peer.Asker. A partition fails new requests after dialTimeout and
+// drops messages in flight without an error.
 func (n *node) Ask(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
-	w := n.world
+	s := n.simulation
 	ctx, cancel := context.WithCancel(context.Background())
-	w.count(n.ID, request)
-	if w.isMute(n.ID, target.Node) {
+	s.count(n.ID, request)
+	if s.isSilent(n.ID, target.Node) {
 		return ticket{cancel}
 	}
-	if w.isCut(n.ID, target.Node) {
-		later(dialTimeout, func() {
+	if s.isCut(n.ID, target.Node) {
+		runAfter(dialTimeout, func() {
 			if ctx.Err() == nil {
 				sink(nil, &peer.LinkError{Peer: target, Outcome: core.NotRun, Cause: errUnreached})
 			}
 		})
 		return ticket{cancel}
 	}
-	later(hop, func() { w.deliver(ctx, n, target.Node, request, sink) })
+	runAfter(messageDelay, func() { s.deliver(ctx, n, target.Node, request, sink) })
 	return ticket{cancel}
 }
 
-func (w *world) deliver(ctx context.Context, from *node, to core.NodeID, request *peerpb.Envelope, sink peer.Sink) {
-	w.count(to, request)
+func (s *simulation) deliver(ctx context.Context, from *node, to core.NodeID, request *peerpb.Envelope, sink peer.Sink) {
+	s.count(to, request)
 	reply := func(reply *peerpb.Envelope) {
-		w.count(to, reply)
-		if w.tamper != nil {
+		s.count(to, reply)
+		if s.tamper != nil {
 			reply = proto.Clone(reply).(*peerpb.Envelope)
-			w.tamper(reply)
+			s.tamper(reply)
 		}
-		later(hop, func() {
-			if ctx.Err() == nil && !w.isCut(from.ID, to) && !w.isMute(from.ID, to) {
-				w.count(from.ID, reply)
+		runAfter(messageDelay, func() {
+			if ctx.Err() == nil && !s.isCut(from.ID, to) && !s.isSilent(from.ID, to) {
+				s.count(from.ID, reply)
 				sink(reply, nil)
 			}
 		})
 	}
-	for _, one := range w.nodes {
+	for _, one := range s.nodes {
 		if one.ID == to && ctx.Err() == nil {
 			one.watcher.Handle(peer.NewInbound(ctx, peer.Identity{Node: from.ID}, request, reply))
 		}
 	}
 }
 
-func (w *world) count(id core.NodeID, message proto.Message) {
+func (s *simulation) count(id core.NodeID, message proto.Message) {
 	size := proto.Size(message)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.bytes[id] += size
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.bytes[id] += size
 }
 
-// resetCounts starts counting anew.
-func (w *world) resetCounts() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.reads = 0
-	clear(w.bytes)
+// resetCounts resets the counts to zero.
+func (s *simulation) resetCounts() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.reads = 0
+	clear(s.bytes)
 }
 
-// counts returns the service reads, and the bytes of peer messages in all and
-// of the node that had the most.
-func (w *world) counts() (reads, total, most int) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for _, bytes := range w.bytes {
+// counts returns the number of service reads, the bytes of peer messages at all nodes
+// and the bytes at the node with the most.
+func (s *simulation) counts() (reads, total, most int) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, bytes := range s.bytes {
 		total += bytes
 		most = max(most, bytes)
 	}
-	return w.reads, total, most
+	return s.reads, total, most
 }
 
-// silence makes the links of the named nodes carry nothing, without breaking.
-func (w *world) silence(named func(core.NodeID) bool) {
-	w.set(func() {
-		w.mute = func(from, to core.NodeID) bool { return named(from) || named(to) }
+// silenceLinks makes the links of the named nodes drop all messages while they stay open.
+func (s *simulation) silenceLinks(named func(core.NodeID) bool) {
+	s.update(func() {
+		s.silent = func(from, to core.NodeID) bool { return named(from) || named(to) }
 	})
 }
 
-// digest is how a text is marked.
+// digest returns the digest of a text.
 func digest(text string) uint64 { return xxhash.Sum64String(text) }
