--- a/internal/confservice/confservice.go
+++ b/internal/confservice/confservice.go
@@ -1,5 +1,5 @@
-// Package confservice reads the configuration service and the VM list. Both can
-// only be read and watched; a waiting watch counts as one call.
+// Package confservice is the client of the platform's configuration service and VM
+// list. Both are read-only; a watch counts as one call however long it waits.
 package confservice
 
 import (
@@ -17,31 +17,32 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// Paths and query names of the platform's published protocol.
+// Paths, query parameters and headers of the platform's published protocol.
 const (
 	PathConfig = "/v1/config"
 	PathVMs    = "/v1/vms"
 	ParamAfter = "after"
 	ParamWait  = "wait_ms"
-	// HeaderEra tells how often the service came back from a copy of itself, which gives revisions
-	// out again. A service without it has one era.
+	// HeaderEra counts how often the service was restored from a copy of itself and so reuses
+	// revisions. A service without it has one era.
 	HeaderEra = "Store-Era"
 )
 
 const (
 	maxReplyBytes = 8 << 20
-	watchSlack    = 5 * time.Second
-	decimal       = 10
+	// replyTimeout is how long a reply may take beyond the wait that the call asks for.
+	replyTimeout = 5 * time.Second
+	base10       = 10
 )
 
-// Config is one revision of the operators' text.
+// Config is one revision of the operators' configuration text.
 type Config struct {
-	// Revision is the service's own on the wire, and its place (package era) to readers.
+	// Revision is the service's own revision on the wire; the methods of Client return its place (package era).
 	Revision uint64 `json:"revision"`
 	Text     string `json:"text"`
 }
 
-// VMState says whether a VM is to be used.
+// VMState is the state of a VM in the VM list.
 type VMState string
 
 // The states of a VM.
@@ -60,22 +61,22 @@
 	OperatorAddress string      `json:"operator_address"`
 }
 
-// VMList is a reading of the VM list. It lags behind the truth.
+// VMList is a version of the VM list. It may be stale.
 type VMList struct {
-	// Sequence is the service's own on the wire, and its place (package era) to readers.
+	// Sequence is the service's own sequence on the wire; the methods of Client return its place (package era).
 	Sequence uint64 `json:"sequence"`
 	VMs      []VM   `json:"vms"`
 }
 
-// Client reads one platform address.
+// Client reads from one platform address.
 type Client struct {
 	base string
 	http *http.Client
-	// era is the highest that was told.
+	// era is the highest era received.
 	era atomic.Uint64
 }
 
-// NewClient makes a client for a base URL such as http://10.0.0.1:7000.
+// NewClient returns a client for a base URL such as http://10.0.0.1:7000.
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
 }
@@ -83,89 +84,89 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// ReadConfig returns the present revision. With wait, it returns when another
-// revision than after is there or the wait is over; changed is false then.
+// ReadConfig returns the current revision. With a wait, it returns once the revision
+// differs from after, or with changed false when the wait ends first.
 func (c *Client) ReadConfig(ctx context.Context, after uint64, wait time.Duration) (config Config, changed bool, err error) {
-	told, changed, err := c.read(ctx, PathConfig, after, wait, &config)
+	serviceEra, changed, err := c.read(ctx, PathConfig, after, wait, &config)
 	if err == nil {
-		config.Revision, err = place(told, config.Revision)
+		config.Revision, err = place(serviceEra, config.Revision)
 	}
 	return config, changed, err
 }
 
-// ReadVMs returns the present VM list, in the manner of ReadConfig.
+// ReadVMs returns the current VM list and waits in the same way as ReadConfig.
 func (c *Client) ReadVMs(ctx context.Context, after uint64, wait time.Duration) (list VMList, changed bool, err error) {
-	told, changed, err := c.read(ctx, PathVMs, after, wait, &list)
+	serviceEra, changed, err := c.read(ctx, PathVMs, after, wait, &list)
 	if err == nil {
-		list.Sequence, err = place(told, list.Sequence)
+		list.Sequence, err = place(serviceEra, list.Sequence)
 	}
 	return list, changed, err
 }
 
-// place puts a revision into its era; one that no place holds is an error.
-func place(told, revision uint64) (uint64, error) {
+// place returns the place of a revision. A revision too high for a place is an error.
+func place(serviceEra, revision uint64) (uint64, error) {
 	if revision > era.MaxRevision {
-		return 0, platformFault(fmt.Sprintf("the platform's revision is %d, at most %d is possible", revision, uint64(era.MaxRevision)), nil)
+		return 0, platformFault(fmt.Sprintf("the platform's revision %d exceeds the maximum %d", revision, uint64(era.MaxRevision)), nil)
 	}
-	return era.Place(told, revision), nil
+	return era.Place(serviceEra, revision), nil
 }
 
-// read makes a call, and a second one at once where the first found nothing new in another era: the same
-// revision stands for other contents there.
-func (c *Client) read(ctx context.Context, path string, after uint64, wait time.Duration, out any) (told uint64, changed bool, err error) {
-	told, changed, err = c.get(ctx, path, era.Revision(after), wait, out)
-	if err == nil && !changed && told > era.Of(after) {
+// read makes a call. When it finds nothing new but a newer era, a second call follows at once, since the same
+// revision stands for other contents in that era.
+func (c *Client) read(ctx context.Context, path string, after uint64, wait time.Duration, out any) (serviceEra uint64, changed bool, err error) {
+	serviceEra, changed, err = c.get(ctx, path, era.Revision(after), wait, out)
+	if err == nil && !changed && serviceEra > era.Of(after) {
 		return c.get(ctx, path, 0, 0, out)
 	}
-	return told, changed, err
+	return serviceEra, changed, err
 }
 
-// eraTold is the era of an answer. One that names none, or none that can be read, counts as of the highest that was
-// told, where its revisions take nothing back; an older one is an error.
-func (c *Client) eraTold(header http.Header) (uint64, error) {
+// replyEra returns the era of a reply. Without a valid era header, the highest era received is assumed, so that the
+// reply's revisions replace nothing newer. An older era is an error.
+func (c *Client) replyEra(header http.Header) (uint64, error) {
 	known := c.era.Load()
-	told, err := strconv.ParseUint(header.Get(HeaderEra), decimal, 64)
+	received, err := strconv.ParseUint(header.Get(HeaderEra), base10, 64)
 	switch {
-	case err != nil || told > era.Max:
+	case err != nil || received > era.Max:
 		return known, nil
-	case told < known:
-		return 0, platformFault(fmt.Sprintf("the platform answers from era %d, era %d is known already", told, known), nil)
+	case received < known:
+		return 0, platformFault(fmt.Sprintf("the platform answered from era %d, but era %d is known already", received, known), nil)
 	}
-	c.era.Store(told)
-	return told, nil
+	c.era.Store(received)
+	return received, nil
 }
 
 func (c *Client) get(ctx context.Context, path string, after uint64, wait time.Duration, out any) (uint64, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+replyTimeout)
 	defer cancel()
 	url := c.base + path
 	if wait > 0 {
-		url += "?" + ParamAfter + "=" + strconv.FormatUint(after, decimal) + "&" + ParamWait + "=" + strconv.FormatInt(wait.Milliseconds(), decimal)
+		url += "?" + ParamAfter + "=" + strconv.FormatUint(after, base10) + "&" + ParamWait + "=" + strconv.FormatInt(wait.Milliseconds(), base10)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return 0, false, platformFault("the platform address is not a URL", err)
+		return 0, false, platformFault("the platform address is not a valid URL", err)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return 0, false, platformFault("the platform cannot be read", err)
+		return 0, false, platformFault("reading from the platform failed", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	told, err := c.eraTold(response.Header)
+	serviceEra, err := c.replyEra(response.Header)
 	if err != nil {
 		return 0, false, err
 	}
 	if response.StatusCode == http.StatusNotModified {
-		return told, false, nil
+		return serviceEra, false, nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return 0, false, platformFault("the platform answered "+response.Status, nil)
+		return 0, false, platformFault("the platform answered with status "+response.Status, nil)
 	}
 	decoder := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes))
 	if err := decoder.Decode(out); err != nil {
-		return 0, false, platformFault("the platform's answer cannot be read", err)
+		return 0, false, platformFault("the platform's reply could not be decoded", err)
 	}
-	return told, true, nil
+	return serviceEra, true, nil
 }
 
 func platformFault(message string, cause error) error {
