--- a/internal/mirror/copy_test.go
+++ b/internal/mirror/copy_test.go
@@ -22,8 +22,8 @@
 	require.EqualValues(t, 20, c.UpTo())
 }
 
-// A node reads from a peer whose copy lags behind the one it read from before. An
-// older configuration must not come back into force.
+// A node reads from a peer whose copy is behind the one it read from before. An older
+// configuration must not come back into force.
 func TestAnOlderSourceTakesNothingBack(t *testing.T) {
 	c := NewCopy()
 	c.Apply(Delta{Whole: true, UpTo: 20, Items: []Item{put("op", 20), put("new", 18)}})
@@ -39,21 +39,21 @@
 	c := NewCopy()
 	c.Apply(Delta{Whole: true, UpTo: 10})
 	c.Apply(Delta{After: 15, UpTo: 20, Items: []Item{put("a", 18)}})
-	require.EqualValues(t, 10, c.UpTo(), "11 to 15 are not known")
+	require.EqualValues(t, 10, c.UpTo(), "revisions 11 to 15 are missing")
 }
 
 func TestManyRemovalsLeadToAWholeDelta(t *testing.T) {
 	c := NewCopy()
 	c.Apply(Delta{Whole: true, UpTo: 1})
-	for i := range uint64(maxRemoved + 2) {
+	for i := range uint64(maxRemovals + 2) {
 		c.Apply(Delta{After: i + 1, UpTo: i + 2, Items: []Item{{Key: fmt.Sprint(i), Revision: i + 2, Removed: true}}})
 	}
 	require.True(t, c.Since(Position{Revision: 2}).Whole)
-	require.Len(t, c.removed, 2)
+	require.Len(t, c.removals, 2)
 }
 
-// Copies that exchange deltas in any order, each also reading the store now and
-// then, end up alike once each has read the newest state from any of the others.
+// Copies exchange deltas in any order, and each also reads the store at times. They must be
+// equal once each has read the newest state from one of the others.
 func TestCopiesAgreeWhateverTheOrderOfDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewCopy()
--- a/internal/mirror/follow_test.go
+++ b/internal/mirror/follow_test.go
@@ -18,39 +18,39 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer"
 )
 
-// fakeStore is a store in memory. While it is silent, calls last until they are given up.
+// fakeStore is a store in memory. While it is silent, calls last until they are cancelled.
 type fakeStore struct {
 	mutex sync.Mutex
 	state *Copy
-	// before, when set, is what stale readings give.
-	before *Copy
-	silent bool
-	busy   bool
-	// hasty watches end at once with nothing new.
-	hasty     bool
-	forgotten uint64
-	// untold stores name no era.
-	untold bool
-	// whole counts the readings of everything.
-	whole int
-	// most is how many changes one watch gives; 0 is all.
-	most  int
-	calls int
-}
-
-var errBusy = errors.New("busy")
+	// staleState, when set, is returned by stale reads.
+	staleState  *Copy
+	silent      bool
+	unavailable bool
+	// emptyWatches makes watches end at once without changes.
+	emptyWatches bool
+	droppedUpTo  uint64
+	// hidesEra leaves the era out of the replies.
+	hidesEra bool
+	// wholeReads counts the reads of all items that are not stale.
+	wholeReads int
+	// maxChanges is the maximum number of changes in one watch reply; 0 is unlimited.
+	maxChanges int
+	calls      int
+}
+
+var errUnavailable = errors.New("busy")
 
 func (s *fakeStore) call(ctx context.Context) error {
 	s.mutex.Lock()
 	s.calls++
-	silent, busy := s.silent, s.busy
+	silent, unavailable := s.silent, s.unavailable
 	s.mutex.Unlock()
 	if silent {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if busy {
-		return errBusy
+	if unavailable {
+		return errUnavailable
 	}
 	return nil
 }
@@ -59,20 +59,20 @@
 	if err := s.call(ctx); err != nil {
 		return Page{}, err
 	}
-	s.set(func(s *fakeStore) {
+	s.update(func(s *fakeStore) {
 		if !stale {
-			s.whole++
+			s.wholeReads++
 		}
 	})
-	if stale && s.before != nil {
-		return pageOf(s.before), nil
+	if stale && s.staleState != nil {
+		return pageOf(s.staleState), nil
 	}
 	page := pageOf(s.contents())
-	page.Era = s.told(page.Era)
+	page.Era = s.shownEra(page.Era)
 	return page, nil
 }
 
-// pageOf is all that a state holds.
+// pageOf returns all items of a state in one page.
 func pageOf(state *Copy) Page {
 	delta := state.Since(Position{})
 	return Page{Items: delta.Items, Revision: delta.UpTo, Era: delta.Era}
@@ -84,12 +84,12 @@
 	}
 	state := s.contents()
 	s.mutex.Lock()
-	gone, hasty := after < s.forgotten || after > state.UpTo(), s.hasty
+	historyGone, empty := after < s.droppedUpTo || after > state.UpTo(), s.emptyWatches
 	s.mutex.Unlock()
-	if hasty {
+	if empty {
 		return Delta{After: after, UpTo: after}, nil
 	}
-	if gone {
+	if historyGone {
 		return Delta{}, ErrHistoryGone
 	}
 	changed := state.Changed()
@@ -101,66 +101,66 @@
 			return Delta{}, ctx.Err()
 		}
 	}
-	delta := s.cut(state.Since(Position{Era: state.Position().Era, Revision: after}))
-	delta.Era = s.told(delta.Era)
+	delta := s.truncate(state.Since(Position{Era: state.Position().Era, Revision: after}))
+	delta.Era = s.shownEra(delta.Era)
 	return delta, nil
 }
 
-// cut leaves the oldest changes, as many as one answer holds.
-func (s *fakeStore) cut(delta Delta) Delta {
+// truncate returns the oldest changes, as many as fit one reply.
+func (s *fakeStore) truncate(delta Delta) Delta {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.most == 0 || len(delta.Items) <= s.most {
+	if s.maxChanges == 0 || len(delta.Items) <= s.maxChanges {
 		return delta
 	}
 	slices.SortFunc(delta.Items, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
-	delta.Items = delta.Items[:s.most]
-	delta.UpTo = delta.Items[s.most-1].Revision
+	delta.Items = delta.Items[:s.maxChanges]
+	delta.UpTo = delta.Items[s.maxChanges-1].Revision
 	return delta
 }
 
 func (s *fakeStore) Close() {}
 
-func (s *fakeStore) count() int {
+func (s *fakeStore) callCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls
 }
 
-func (s *fakeStore) set(change func(*fakeStore)) {
+func (s *fakeStore) update(change func(*fakeStore)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change(s)
 }
 
-// contents are what the store holds now.
+// contents returns the current state of the store.
 func (s *fakeStore) contents() *Copy {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state
 }
 
-// told is the era that answers name.
-func (s *fakeStore) told(era uint64) uint64 {
+// shownEra returns the era that replies announce.
+func (s *fakeStore) shownEra(era uint64) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.untold {
+	if s.hidesEra {
 		return 0
 	}
 	return era
 }
 
-// wholeReadings counts the readings of everything that need be the newest.
-func (s *fakeStore) wholeReadings() int {
+// wholeReadCount returns the number of reads of all items that are not stale.
+func (s *fakeStore) wholeReadCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.whole
+	return s.wholeReads
 }
 
-// put changes an item in the store.
+// put writes or removes an item in the store.
 func (s *fakeStore) put(key string, removed bool) { s.write(Item{Key: key, Removed: removed}) }
 
-// configure writes a configuration of a version.
+// configure writes a version of the configuration.
 func (s *fakeStore) configure(version uint64) {
 	s.write(Item{Key: "config", Value: fmt.Append(nil, version), Rank: version})
 }
@@ -172,28 +172,28 @@
 	state.Apply(Delta{Era: reached.Era, After: reached.Revision, UpTo: item.Revision, Items: []Item{item}})
 }
 
-// backup copies what the store holds.
+// backup returns a copy of the store's contents.
 func (s *fakeStore) backup() Delta { return s.contents().Since(Position{}) }
 
-// restore puts a backup in place of what the store holds, in the next era.
+// restore replaces the store's contents by a backup, in the next era.
 func (s *fakeStore) restore(from Delta) {
 	from.Era = s.contents().Position().Era + 1
 	restored := NewCopy()
 	restored.Apply(from)
-	s.set(func(s *fakeStore) { s.state = restored })
+	s.update(func(s *fakeStore) { s.state = restored })
 }
 
-// fakePeers is one peer with a copy of its own.
+// fakePeers is one peer with its own copy.
 type fakePeers struct {
 	reader bool
 	copied *Copy
 	mutex  sync.Mutex
 	age    time.Duration
-	// follows, when set, is the follower itself: the others have what it read, no more.
-	follows *Follower
+	// copyOf, when set, is the follower under test: the peer then has only what that one has read.
+	copyOf *Follower
 }
 
-func alone() *fakePeers { return &fakePeers{} }
+func noPeers() *fakePeers { return &fakePeers{} }
 
 func (p *fakePeers) setAge(age time.Duration) {
 	p.mutex.Lock()
@@ -217,14 +217,14 @@
 
 func (p *fakePeers) Fetch(ctx context.Context, _ peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error) {
 	p.mutex.Lock()
-	follows := p.follows
+	source := p.copyOf
 	p.mutex.Unlock()
-	if follows != nil {
+	if source != nil {
 		time.Sleep(wait)
-		age, _ := follows.Age()
+		age, _ := source.Age()
 		return Delta{Era: reached.Era, After: reached.Revision, UpTo: reached.Revision}, age, nil
 	}
-	if !news(p.copied.Position(), reached) {
+	if !mustReplyNow(p.copied.Position(), reached) {
 		select {
 		case <-p.copied.Changed():
 		case <-time.After(wait):
@@ -237,77 +237,77 @@
 	return p.copied.Since(reached), p.age, nil
 }
 
-// heard collects what a listener is told.
-type heard struct {
-	mutex   sync.Mutex
-	changes []Change
-	lost    int
-	back    int
-	// eras, notTaken and untold are what was told of eras and readings.
-	eras     []EraChange
-	notTaken []RejectedReading
-	untold   int
+// recordingListener records the calls of a Listener.
+type recordingListener struct {
+	mutex      sync.Mutex
+	changes    []Change
+	failures   int
+	recoveries int
+	// eraChanges, rejected and erasMissing record the calls about eras and rejected readings.
+	eraChanges  []EraChange
+	rejected    []RejectedReading
+	erasMissing int
 }
 
-func (h *heard) Changed(change Change) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.changes = append(h.changes, change)
+func (l *recordingListener) Changed(change Change) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.changes = append(l.changes, change)
 }
 
-func (h *heard) SourceFailed(string, error) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.lost++
+func (l *recordingListener) SourceFailed(string, error) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.failures++
 }
 
-func (h *heard) SourceRecovered(string, time.Duration) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.back++
+func (l *recordingListener) SourceRecovered(string, time.Duration) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.recoveries++
 }
 
-func (h *heard) ReadingRejected(one RejectedReading) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.notTaken = append(h.notTaken, one)
+func (l *recordingListener) ReadingRejected(one RejectedReading) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.rejected = append(l.rejected, one)
 }
 
-func (h *heard) EraChanged(change EraChange) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.eras = append(h.eras, change)
+func (l *recordingListener) EraChanged(change EraChange) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.eraChanges = append(l.eraChanges, change)
 }
 
-func (h *heard) EraMissing(uint64) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.untold++
+func (l *recordingListener) EraMissing(uint64) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.erasMissing++
 }
 
-func (h *heard) last() Change {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return h.changes[len(h.changes)-1]
+func (l *recordingListener) last() Change {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.changes[len(l.changes)-1]
 }
 
-type following struct {
+type followerTest struct {
 	*Follower
 	store    *fakeStore
 	peers    *fakePeers
-	listener *heard
+	listener *recordingListener
 }
 
-// follow runs a scenario in virtual time. The peers are made within it: a wait on a channel
-// from outside would stop the clock.
-func follow(t *testing.T, makePeers func() *fakePeers, scenario func(f following)) {
+// runFollower runs a scenario in virtual time. The peers are created within it: a wait on a channel
+// from outside would stop the virtual clock.
+func runFollower(t *testing.T, makePeers func() *fakePeers, scenario func(f followerTest)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		peers := makePeers()
 		store := &fakeStore{state: NewCopy()}
 		store.state.Apply(Delta{Whole: true, UpTo: 1})
 		started := time.Now()
-		f := following{store: store, peers: peers, listener: &heard{}}
+		f := followerTest{store: store, peers: peers, listener: &recordingListener{}}
 		now := func() core.Time { return time.Since(started) + 1 }
 		f.Follower = NewFollower(DefaultConfig(), NewCopy(), store, peers, f.listener, now)
 		store.put("a", false)
@@ -318,42 +318,42 @@
 	})
 }
 
-func TestAChangeIsTakenUpAtOnce(t *testing.T) {
-	follow(t, alone, func(f following) {
+func TestAChangeIsAppliedAtOnce(t *testing.T) {
+	runFollower(t, noPeers, func(f followerTest) {
 		f.store.put("b", false)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, f.store.state.UpTo(), f.copy.UpTo())
 	})
 }
 
-// The store is silent for four seconds and drops the entries of replicas that could not
-// renew them. Their removal says nothing of them; a removal later on does.
+// The store does not respond for four seconds and drops the entries of replicas that could not
+// renew them. The removals do not mean that the replicas are gone; a later removal does.
 func TestRemovalsAfterAnOutageAreMarked(t *testing.T) {
-	follow(t, alone, func(f following) {
-		f.store.set(func(s *fakeStore) { s.silent = true })
+	runFollower(t, noPeers, func(f followerTest) {
+		f.store.update(func(s *fakeStore) { s.silent = true })
 		time.Sleep(4 * time.Second)
 		f.store.put("a", true)
 		f.store.put("b", false)
-		f.store.set(func(s *fakeStore) { s.silent = false })
+		f.store.update(func(s *fakeStore) { s.silent = false })
 		time.Sleep(6 * time.Second)
 		require.True(t, f.listener.last().AfterOutage)
-		require.Equal(t, 1, f.listener.lost)
-		require.Equal(t, 1, f.listener.back)
+		require.Equal(t, 1, f.listener.failures)
+		require.Equal(t, 1, f.listener.recoveries)
 		f.store.put("b", true)
 		time.Sleep(time.Second)
 		require.False(t, f.listener.last().AfterOutage)
 	})
 }
 
-// All nodes start again at once. The peers know nothing yet, and each refuses callers until
-// it has a configuration.
+// All nodes restart at once. The peers have no copy yet, and each node refuses callers until it
+// has a configuration.
 func TestAStartDoesNotWaitForPeersThatKnowNothing(t *testing.T) {
 	makePeers := func() *fakePeers { return &fakePeers{copied: NewCopy(), age: time.Hour} }
 	synctest.Test(t, func(*testing.T) {
 		store := &fakeStore{state: NewCopy()}
 		store.state.Apply(Delta{Whole: true, UpTo: 5, Items: []Item{{Key: "a", Revision: 5}}})
 		started := time.Now()
-		f := NewFollower(DefaultConfig(), NewCopy(), store, makePeers(), &heard{}, func() core.Time { return time.Since(started) + 1 })
+		f := NewFollower(DefaultConfig(), NewCopy(), store, makePeers(), &recordingListener{}, func() core.Time { return time.Since(started) + 1 })
 		f.Start()
 		defer f.Close()
 		time.Sleep(10 * time.Millisecond)
@@ -361,14 +361,14 @@
 	})
 }
 
-// A store that dropped its history is read anew, and what vanished meanwhile is noticed.
+// A store that dropped its history is read whole, and items that were removed meanwhile are removed from the copy.
 func TestADroppedHistoryIsReadAnew(t *testing.T) {
-	follow(t, alone, func(f following) {
-		f.store.set(func(s *fakeStore) { s.silent = true })
+	runFollower(t, noPeers, func(f followerTest) {
+		f.store.update(func(s *fakeStore) { s.silent = true })
 		time.Sleep(time.Second)
 		f.store.put("a", true)
 		f.store.put("b", false)
-		f.store.set(func(s *fakeStore) { s.silent, s.forgotten = false, 100 })
+		f.store.update(func(s *fakeStore) { s.silent, s.droppedUpTo = false, 100 })
 		time.Sleep(3 * time.Second)
 		_, held := f.copy.Get("a")
 		require.False(t, held)
@@ -377,37 +377,37 @@
 	})
 }
 
-// Something between answers each watch at once with nothing new. The node must not use up the
-// reads that the store gives to all.
+// A proxy answers each watch at once without changes. The node must not use up the reads that the
+// store allows for all nodes.
 func TestAWatchThatEndsAtOnceIsNotRepeatedAtOnce(t *testing.T) {
-	follow(t, alone, func(f following) {
-		f.store.set(func(s *fakeStore) { s.hasty = true })
-		before := f.store.count()
+	runFollower(t, noPeers, func(f followerTest) {
+		f.store.update(func(s *fakeStore) { s.emptyWatches = true })
+		before := f.store.callCount()
 		time.Sleep(3 * time.Second)
-		require.Less(t, f.store.count()-before, 3*20)
+		require.Less(t, f.store.callCount()-before, 3*20)
 	})
 }
 
-// The store turns this node away and serves the others. Changes come from their copies,
-// and the store is asked again at a bounded pace.
+// The store rejects this node and serves the others. The node receives changes from their copies and
+// retries the store at a bounded rate.
 func TestANodeThatIsTurnedAwayFollowsAPeer(t *testing.T) {
 	makePeers := func() *fakePeers { return &fakePeers{reader: true, copied: NewCopy()} }
-	follow(t, makePeers, func(f following) {
-		f.store.set(func(s *fakeStore) { s.busy = true })
-		before := f.store.count()
+	runFollower(t, makePeers, func(f followerTest) {
+		f.store.update(func(s *fakeStore) { s.unavailable = true })
+		before := f.store.callCount()
 		f.store.put("b", false)
 		f.peers.copied.Apply(f.store.state.Since(Position{}))
 		time.Sleep(5 * time.Second)
 		_, held := f.copy.Get("b")
 		require.True(t, held)
-		require.LessOrEqual(t, f.store.count()-before, 5*3)
+		require.LessOrEqual(t, f.store.callCount()-before, 5*3)
 		age, _ := f.Age()
 		require.Less(t, age, 3*time.Second)
 	})
 }
 
-// stalePeers are several nodes that the store turns away too, and behind them, each third turn, one that
-// it serves.
+// stalePeers are several nodes that the store rejects too; in every third list of sources, the last one is a
+// node that it serves.
 type stalePeers struct {
 	fresh *Copy
 	turn  int
@@ -432,8 +432,8 @@
 	return p.fresh.Since(reached), 0, nil
 }
 
-// The store turns away this node and all that it follows. One that knows more comes last among those that it
-// can ask, and not each time. Held by each of the others for 0.4 s, it would take up a change after six seconds.
+// The store rejects this node and its usual sources. A fresher node is last in the list of sources, and not in every
+// list. If each of the others held the request for 0.4 s, the node would receive a change after six seconds.
 func TestAStaleNodeDoesNotWaitForOthersAsStale(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		store := &fakeStore{state: NewCopy()}
@@ -441,11 +441,11 @@
 		store.put("a", false)
 		peers := &stalePeers{fresh: NewCopy()}
 		started := time.Now()
-		f := NewFollower(DefaultConfig(), NewCopy(), store, peers, &heard{}, func() core.Time { return time.Since(started) + 1 })
+		f := NewFollower(DefaultConfig(), NewCopy(), store, peers, &recordingListener{}, func() core.Time { return time.Since(started) + 1 })
 		f.Start()
 		defer f.Close()
 		time.Sleep(time.Second)
-		store.set(func(s *fakeStore) { s.busy = true })
+		store.update(func(s *fakeStore) { s.unavailable = true })
 		time.Sleep(10 * time.Second)
 		store.put("b", false)
 		peers.fresh.Apply(store.state.Since(Position{}))
@@ -458,23 +458,23 @@
 		_, held := f.copy.Get("b")
 		require.True(t, held)
 		require.Less(t, most, DefaultConfig().StaleAfter+time.Second)
-		require.Less(t, peers.asked.Load()-asked, int64(100*5), "it does not ask without end")
+		require.Less(t, peers.asked.Load()-asked, int64(100*5), "it does not send requests in a tight loop")
 	})
 }
 
-// A node that is not a reader leaves the store alone while its peers are fresh. When the
-// readers are cut off from the store it reads itself.
+// A node that is not a reader does not read the store while its peers are fresh. When the
+// readers are cut off from the store, it reads the store itself.
 func TestAFollowerReadsTheStoreOnlyWhenItsPeersAreStale(t *testing.T) {
 	makePeers := func() *fakePeers {
 		copied := NewCopy()
 		copied.Apply(Delta{Whole: true, UpTo: 2, Items: []Item{{Key: "a", Revision: 2}}})
 		return &fakePeers{copied: copied}
 	}
-	follow(t, makePeers, func(f following) {
-		before := f.store.count()
-		require.Equal(t, 1, before, "the first reading is its own")
+	runFollower(t, makePeers, func(f followerTest) {
+		before := f.store.callCount()
+		require.Equal(t, 1, before, "only the first reading is from the store")
 		time.Sleep(10 * time.Second)
-		require.Equal(t, before, f.store.count())
+		require.Equal(t, before, f.store.callCount())
 		f.peers.setAge(time.Minute)
 		f.store.put("b", false)
 		time.Sleep(3 * time.Second)
@@ -483,27 +483,27 @@
 	})
 }
 
-// The store turns all readers away while a catalogue is split: hundreds of new replicas register,
-// and then a configuration names them. A node that can read the store gets 500 changes an answer.
-// If it took the first answer for the newest state, it and all that follow it would go on with the
-// former configuration for as many times four seconds as there are answers.
+// The store rejects all readers while a catalogue is split: hundreds of new replicas register, and
+// then a configuration names them. A node that can read the store gets 500 changes in a reply. If
+// it took the first reply for the newest state, this node and all that follow it would keep the
+// previous configuration for four seconds per further reply.
 func TestAllChangesAreReadWhereOneAnswerHoldsAPart(t *testing.T) {
 	makePeers := func() *fakePeers {
 		copied := NewCopy()
 		copied.Apply(Delta{Whole: true, UpTo: 2, Items: []Item{{Key: "a", Revision: 2}}})
 		return &fakePeers{copied: copied}
 	}
-	follow(t, makePeers, func(f following) {
-		f.store.set(func(s *fakeStore) { s.most = 500 })
+	runFollower(t, makePeers, func(f followerTest) {
+		f.store.update(func(s *fakeStore) { s.maxChanges = 500 })
 		f.peers.mutex.Lock()
-		f.peers.follows = f.Follower
+		f.peers.copyOf = f.Follower
 		f.peers.mutex.Unlock()
 		for i := range 1200 {
 			f.store.put(fmt.Sprint("replica-", i), false)
 		}
 		f.store.put("config", false)
 		f.store.put("a", true)
-		// The copy is found stale first.
+		// The copy must become stale first.
 		time.Sleep(4 * time.Second)
 		_, held := f.copy.Get("config")
 		require.True(t, held)
@@ -511,20 +511,20 @@
 	})
 }
 
-// Entries of replicas lapse while the store is away, and so many that one answer holds a part.
-// None of them may be taken for gone at once.
+// So many entries of replicas expire during an outage of the store that one reply holds only a
+// part of the removals. None of them may count as a real removal at once.
 func TestRemovalsAfterAnOutageAreMarkedInEachPart(t *testing.T) {
-	follow(t, alone, func(f following) {
+	runFollower(t, noPeers, func(f followerTest) {
 		for i := range 1100 {
 			f.store.put(fmt.Sprint("replica-", i), false)
 		}
 		time.Sleep(time.Second)
-		f.store.set(func(s *fakeStore) { s.silent, s.most = true, 500 })
+		f.store.update(func(s *fakeStore) { s.silent, s.maxChanges = true, 500 })
 		time.Sleep(5 * time.Second)
 		for i := range 1100 {
 			f.store.put(fmt.Sprint("replica-", i), true)
 		}
-		f.store.set(func(s *fakeStore) { s.silent = false })
+		f.store.update(func(s *fakeStore) { s.silent = false })
 		time.Sleep(5 * time.Second)
 		require.Equal(t, f.store.state.UpTo(), f.copy.UpTo())
 		f.listener.mutex.Lock()
@@ -542,20 +542,20 @@
 	})
 }
 
-// All processes start at once, and the store gives them a reading that is seconds old: a configuration
-// that was accepted just before is not in it. Nobody may take that reading for the newest state; a
-// reader confirms it with its next call, and the others take the news from it and leave the store alone.
+// All processes start at once and get a stale reading of the store, which lacks a configuration that was
+// accepted just before. It must not count as the newest state: a reader confirms it with its next call,
+// and the other nodes receive the change from the reader and do not read the store again.
 func TestAFirstReadingThatIsOldIsConfirmedAtOnce(t *testing.T) {
 	for _, reader := range []bool{true, false} {
 		synctest.Test(t, func(*testing.T) {
 			started := time.Now()
 			now := func() core.Time { return time.Since(started) + 1 }
-			store := &fakeStore{state: NewCopy(), before: NewCopy()}
-			store.before.Apply(Delta{Whole: true, UpTo: 4, Items: []Item{{Key: "config", Revision: 4}}})
+			store := &fakeStore{state: NewCopy(), staleState: NewCopy()}
+			store.staleState.Apply(Delta{Whole: true, UpTo: 4, Items: []Item{{Key: "config", Revision: 4}}})
 			store.state.Apply(Delta{Whole: true, UpTo: 4, Items: []Item{{Key: "config", Revision: 4}}})
 			store.put("config", false)
 			peers := &fakePeers{reader: reader, copied: NewCopy(), age: time.Hour}
-			f := NewFollower(DefaultConfig(), NewCopy(), store, peers, &heard{}, now)
+			f := NewFollower(DefaultConfig(), NewCopy(), store, peers, &recordingListener{}, now)
 			f.Start()
 			defer f.Close()
 			synctest.Wait()
@@ -567,15 +567,15 @@
 				require.Zero(t, age)
 				return
 			}
-			require.EqualValues(t, 4, item.Revision, "an old configuration serves")
+			require.EqualValues(t, 4, item.Revision, "an old configuration is in force")
 			_, known := f.Age()
-			require.False(t, known, "but is not told to others as confirmed")
+			require.False(t, known, "but is not reported to peers as confirmed")
 			peers.copied.Apply(store.state.Since(Position{}))
 			peers.setAge(0)
 			time.Sleep(time.Second)
 			item, _ = f.copy.Get("config")
 			require.EqualValues(t, 5, item.Revision)
-			require.Equal(t, 1, store.count())
+			require.Equal(t, 1, store.callCount())
 		})
 	}
 }
--- a/internal/mirror/fromstore.go
+++ b/internal/mirror/fromstore.go
@@ -9,116 +9,116 @@
 	"github.com/pistachiopier/pistachiopier/internal/wait"
 )
 
-// What does a node read from the store itself, and when?
+// Reads of the store itself.
 
-// cutFrom is the number of changes from which on an answer may have been cut: the users'
-// store gives 500 at a time.
-const cutFrom = 400
+// truncatedFrom is the number of changes from which on a reply may be truncated: the users' store
+// returns 500 at a time.
+const truncatedFrom = 400
 
-// readStore reads until the copy is the store's newest state. While hundreds of replicas
-// start, that takes several calls. A node that turns to the store only when all readers are
-// cut off would otherwise take a part of the changes for all of them, and the next part only when
-// that is stale: a configuration behind such a row of changes would be in force too late.
+// readStore reads until the copy has the store's newest state, which takes several calls while hundreds
+// of replicas start. A node that reads the store only because all readers are cut off would otherwise
+// take the first part of the changes for all of them, and read the next part only once its copy is
+// stale: a configuration behind such a series of changes would be in force too late.
 func (f *Follower) readStore(ctx context.Context, role Role) {
-	for f.readOnce(ctx, role) {
+	for f.readStoreOnce(ctx, role) {
 	}
 }
 
-// readOnce makes one call, or those of a whole reading. It reports whether there is more to
+// readStoreOnce makes one call, or the calls of a whole reading. It reports whether there is more to
 // read at once.
-func (f *Follower) readOnce(ctx context.Context, role Role) bool {
-	started := f.now()
-	first := f.copy.UpTo() == 0
+func (f *Follower) readStoreOnce(ctx context.Context, role Role) bool {
+	startedAt := f.now()
+	firstRead := f.copy.UpTo() == 0
 	f.counts.storeCalls.Add(1)
-	delta, err := f.fromStore(ctx, role)
+	delta, err := f.fetchFromStore(ctx, role)
 	if ctx.Err() != nil {
 		return false
 	}
 	if errors.Is(err, errLeftToReaders) {
-		f.storeBack()
+		f.storeRecovered()
 		return false
 	}
 	if err != nil {
 		f.storeFailed(err)
 		return false
 	}
-	if first {
-		f.storeBack()
-		f.begin(delta)
+	if firstRead {
+		f.storeRecovered()
+		f.applyFirst(delta)
 		if delta.UpTo == 0 {
-			// An old reading of a store that had nothing yet.
+			// A stale reading of a store that was still empty.
 			wait.For(ctx, f.config.BatchDelay)
 		}
 		return false
 	}
-	if !delta.Whole && len(delta.Items) >= cutFrom {
-		f.noteOutage(f.now())
-		f.take(storeSource, delta, core.Time(f.confirmed.Load()))
+	if !delta.Whole && len(delta.Items) >= truncatedFrom {
+		f.detectOutage(f.now())
+		f.applyReading(storeSource, delta, core.Time(f.confirmed.Load()))
 		return true
 	}
-	if !f.take(storeSource, delta, f.now()) {
-		f.storeFailed(errBehind)
+	if !f.applyReading(storeSource, delta, f.now()) {
+		f.storeFailed(errStoreBehind)
 		return false
 	}
-	f.storeBack()
-	if len(delta.Items) > 0 || f.now()-started < f.config.BatchDelay {
-		// The second case is a watch that ends at once with nothing new: were it
-		// repeated at once, one node would use up what the store gives to all.
+	f.storeRecovered()
+	if len(delta.Items) > 0 || f.now()-startedAt < f.config.BatchDelay {
+		// The second condition is a watch that ends at once without changes: repeated
+		// at once, it would use up the calls that the store allows for all nodes.
 		wait.For(ctx, f.config.BatchDelay)
 	}
 	return false
 }
 
-// begin takes up the first copy. It may be seconds old, so that it is not confirmed: others do not
-// follow it, and a route that it lacks may be there. A process without any configuration
-// refuses every request, while one that is seconds old serves all but the newest routes; and
-// 295 processes that start at once cost the store a tenth.
-func (f *Follower) begin(delta Delta) {
-	f.peersUntil = f.now() + f.config.PeersOnlyPeriod
+// applyFirst applies the first reading. It may be seconds old, so that the copy does not count as
+// confirmed: other nodes do not follow it, and it may lack a new route. It is still better than none:
+// without a configuration a node refuses every request, while one that is seconds old serves all but the
+// newest routes. When 295 processes start at once, stale reads cost the store a tenth of fresh ones.
+func (f *Follower) applyFirst(delta Delta) {
+	f.peersOnlyUntil = f.now() + f.config.PeersOnlyPeriod
 	if applied := f.copy.Apply(delta); len(applied.Changed) > 0 {
 		f.listener.Changed(Change{Items: applied.Changed, Era: delta.Era})
 	}
 }
 
-// errBehind is a whole reading of the store that is older than the copy although the store names no newer era.
-var errBehind = errors.New("the store is behind what it told before")
+// errStoreBehind is a whole reading of the store that is older than the copy, although the store announces no newer era.
+var errStoreBehind = errors.New("the store returned an older state than before")
 
-// errLeftToReaders is a whole reading that is left to the nodes that read the store for the others.
-var errLeftToReaders = errors.New("the whole reading is left to the readers")
+// errLeftToReaders is returned when a whole reading is left to the nodes that read the store for the others.
+var errLeftToReaders = errors.New("whole reading left to the nodes that read the store")
 
-// fromStore reads what is new, or everything where the store lacks the history behind the copy.
+// fetchFromStore reads the changes, or everything where the store lacks the history after the copy.
 //
-// That a store came back from a copy does not show by its revisions: once they have passed the
-// copy's, a watch brings what came after and hides that what lies before is another history. The era of
-// each answer tells, and the whole reading that follows takes the place of everything.
-func (f *Follower) fromStore(ctx context.Context, role Role) (Delta, error) {
+// Revisions do not show that the store was restored from a copy: once they exceed the copy's, a watch
+// returns the later changes and hides that the earlier ones belong to another history. The era of each
+// reply shows it, and the whole reading that follows replaces all contents.
+func (f *Follower) fetchFromStore(ctx context.Context, role Role) (Delta, error) {
 	timeout := f.config.WatchWait + f.config.ReplyTimeout
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reached := f.copy.Position()
-	if reached.Revision == 0 {
+	position := f.copy.Position()
+	if position.Revision == 0 {
 		return readAll(ctx, f.store, true)
 	}
 	_, confirmed := f.Age()
-	waiting := f.config.WatchWait
-	if !confirmed || f.gapAt > 0 {
-		// The first copy is to be confirmed at once, and a gap to be closed.
-		waiting = 0
+	watchWait := f.config.WatchWait
+	if !confirmed || f.gapSince > 0 {
+		// The first copy must be confirmed at once, and a gap must be closed.
+		watchWait = 0
 	}
-	delta, err := f.store.Watch(ctx, reached.Revision, waiting)
+	delta, err := f.store.Watch(ctx, position.Revision, watchWait)
 	if err == nil {
-		delta.Era, err = f.eraOf(delta, reached)
+		delta.Era, err = f.eraOf(delta, position)
 	}
-	gone := errors.Is(err, ErrHistoryGone) || err == nil && delta.Era != reached.Era
-	if gone {
-		return f.readGap(ctx, role, reached)
+	historyGone := errors.Is(err, ErrHistoryGone) || err == nil && delta.Era != position.Era
+	if historyGone {
+		return f.readAfterGap(ctx, role, position)
 	}
-	f.gapAt = 0
+	f.gapSince = 0
 	return delta, err
 }
 
-// readGap reads everything, where this node may: the store lacks the history behind the copy.
-func (f *Follower) readGap(ctx context.Context, role Role, reached Position) (Delta, error) {
+// readAfterGap reads everything, where this node may, because the store lacks the history after the copy.
+func (f *Follower) readAfterGap(ctx context.Context, role Role, position Position) (Delta, error) {
 	if !f.mayReadAll(role) {
 		return Delta{}, errLeftToReaders
 	}
@@ -126,63 +126,63 @@
 	if err != nil {
 		return Delta{}, err
 	}
-	f.gapAt = 0
+	f.gapSince = 0
 	_, confirmed := f.Age()
 	delta.Replace = !confirmed
-	delta.Era, err = f.eraOf(delta, reached)
+	delta.Era, err = f.eraOf(delta, position)
 	return delta, err
 }
 
-// eraOf is the era that the revisions of a reading belong to. A reading that names no era is taken to be of the known
-// one, so that it removes nothing and replaces nothing newer.
-func (f *Follower) eraOf(delta Delta, reached Position) (uint64, error) {
-	untold := delta.Era == 0 && reached.Era > 0
-	if untold && !f.untold {
-		f.listener.EraMissing(reached.Era)
-	}
-	f.untold = untold
+// eraOf returns the era of a reading's revisions. A reading without an era is assumed to be of the known one,
+// so that it removes nothing and replaces nothing newer.
+func (f *Follower) eraOf(delta Delta, position Position) (uint64, error) {
+	missing := delta.Era == 0 && position.Era > 0
+	if missing && !f.eraMissing {
+		f.listener.EraMissing(position.Era)
+	}
+	f.eraMissing = missing
 	switch {
-	case untold:
-		return reached.Era, nil
-	case delta.Era < reached.Era:
-		return 0, &OlderEraError{Received: delta.Era, Known: reached.Era}
+	case missing:
+		return position.Era, nil
+	case delta.Era < position.Era:
+		return 0, &OlderEraError{Received: delta.Era, Known: position.Era}
 	default:
 		return delta.Era, nil
 	}
 }
 
-// mayReadAll reports whether this node is to read the whole store where that lacks the history behind its copy.
-// Readers do so at once; the others have it from them, and read it themselves when that
-// takes too long, the heads of data centres first. While a store is away all nodes turn to it, so that
-// else all of them would read it whole in the moment of its return.
+// mayReadAll reports whether this node may read the whole store when that lacks the history after its copy.
+// Readers do so at once. The other nodes receive it from them, and read it themselves when that takes too
+// long, the heads of data centres first. During an outage of the store all nodes turn to it, and without this
+// rule all would read it whole at the moment it recovers.
 func (f *Follower) mayReadAll(role Role) bool {
 	if role == Reader {
 		return true
 	}
-	if f.gapAt == 0 {
-		f.gapAt = f.now()
-		f.peersUntil = f.gapAt + time.Duration(role)*f.config.PeersOnlyPeriod
+	if f.gapSince == 0 {
+		f.gapSince = f.now()
+		f.peersOnlyUntil = f.gapSince + time.Duration(role)*f.config.PeersOnlyPeriod
 		return false
 	}
-	return f.now() >= f.peersUntil
+	return f.now() >= f.peersOnlyUntil
 }
 
 func (f *Follower) storeFailed(cause error) {
 	f.counts.storeFailures.Add(1)
 	f.store.Close()
-	f.storeRetryAt = f.now() + min(f.config.MinRetryDelay<<min(f.failures, maxDoublings), f.config.MaxRetryDelay)
-	f.failures++
-	if f.failedSince == 0 {
-		f.failedSince = max(f.now(), 1)
+	f.storeRetryAt = f.now() + min(f.config.MinRetryDelay<<min(f.storeFailures, maxDoublings), f.config.MaxRetryDelay)
+	f.storeFailures++
+	if f.storeFailedSince == 0 {
+		f.storeFailedSince = max(f.now(), 1)
 		f.listener.SourceFailed(storeSource, cause)
 	}
 }
 
-func (f *Follower) storeBack() {
-	if f.failedSince == 0 {
+func (f *Follower) storeRecovered() {
+	if f.storeFailedSince == 0 {
 		return
 	}
-	f.listener.SourceRecovered(storeSource, f.now()-f.failedSince)
-	f.failedSince = 0
-	f.failures = 0
+	f.listener.SourceRecovered(storeSource, f.now()-f.storeFailedSince)
+	f.storeFailedSince = 0
+	f.storeFailures = 0
 }
--- a/internal/mirror/pack.go
+++ b/internal/mirror/pack.go
@@ -10,13 +10,13 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// A configuration of a large deployment is tens of kilobytes of names that repeat, and
-// every change of it goes to every node: DEFLATE takes it to a sixth or less.
+// The configuration of a large deployment is tens of kilobytes of repetitive names, and every
+// change of it is sent to every node: DEFLATE compresses it to a sixth or less.
 const (
-	// packFrom is the size in bytes from which on items are compressed.
-	packFrom = 2 << 10
-	// maxUnpacked bounds what a peer can make this node unpack.
-	maxUnpacked = 32 << 20
+	// packThreshold is the size in bytes from which on items are compressed.
+	packThreshold = 2 << 10
+	// maxUnpackedBytes bounds the size of unpacked data that a peer can cause.
+	maxUnpackedBytes = 32 << 20
 )
 
 func pack(items []*peerpb.MirrorItem) ([]byte, error) {
@@ -40,7 +40,7 @@
 
 func unpack(packed []byte) ([]*peerpb.MirrorItem, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
-	plain, err := io.ReadAll(io.LimitReader(reader, maxUnpacked))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mirror/pack_test.go
+++ b/internal/mirror/pack_test.go
@@ -12,8 +12,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// A large change travels compressed. What cannot be unpacked must not count as read: the
-// copy would go past changes that it never took.
+// A large delta is sent compressed. A delta that cannot be unpacked must not count as read,
+// or the copy would skip changes that it never applied.
 func TestLargeDeltasTravelCompressed(t *testing.T) {
 	c := NewCopy()
 	delta := Delta{Whole: true, UpTo: 500}
@@ -29,27 +29,27 @@
 	require.NoError(t, err)
 	require.Equal(t, time.Second, age)
 	require.ElementsMatch(t, delta.Items, got.Items)
-	require.Same(t, &reply.GetPacked()[0], &server.reply(Position{}).GetPacked()[0], "made once for all who ask")
+	require.Same(t, &reply.GetPacked()[0], &server.reply(Position{}).GetPacked()[0], "encoded once for all peers")
 	c.Apply(Delta{After: 500, UpTo: 500 + 7})
-	require.EqualValues(t, 507, server.reply(Position{}).GetUpTo(), "a revision without changes is told all the same")
+	require.EqualValues(t, 507, server.reply(Position{}).GetUpTo(), "a revision without changes is sent as well")
 	c.Apply(Delta{After: 507, UpTo: 508, Items: []Item{{Key: "servers/i-1", Revision: 508, Removed: true}}})
 	got, _, err = decode(server.reply(Position{Revision: 507}))
 	require.NoError(t, err)
-	require.Len(t, got.Items, 1, "a change ends it")
+	require.Len(t, got.Items, 1, "a change ends the reuse")
 	reply = server.reply(Position{})
 	reply.Packed = reply.GetPacked()[:len(reply.GetPacked())/2]
 	_, _, err = decode(reply)
 	require.Error(t, err)
 }
 
-// request asks for what lies behind a revision of an era; nil is a program that knows none.
+// request asks for the changes after a revision of an era; a nil era stands for a program that knows none.
 func request(after uint64, era *uint64) *peerpb.MirrorRequest {
 	return &peerpb.MirrorRequest{After: after, Era: era}
 }
 
-// A store that comes back from a copy sends each node everything once. What that takes for the replicas of the aim is told by
-// the log; it must stay a small part of what the links bear in the time within which changes are in force.
-func TestAWholeCopyOfTheAimIsSmall(t *testing.T) {
+// A restored store sends each node a whole copy once. For the number of replicas that the tier must support, its size must
+// stay a small part of what the links carry within the time in which changes are in force. The log prints it.
+func TestAWholeCopyAtTheSupportedSizeIsSmall(t *testing.T) {
 	const replicas, most = 6000, 512 << 10
 	random := rand.New(rand.NewPCG(1, 2))
 	c := NewCopy()
--- a/internal/mirror/peers.go
+++ b/internal/mirror/peers.go
@@ -11,43 +11,43 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-var errRefused = errors.New("the peer does not give its copy")
+var errPeerRefused = errors.New("the peer refused to send its copy")
 
-// maxServed bounds the peers' questions that are held at once.
-const maxServed = 1024
+// maxHeldRequests bounds the number of peer requests held at once.
+const maxHeldRequests = 1024
 
-// unconfirmed is the age told of a copy that was never confirmed.
-const unconfirmed = time.Hour
+// unconfirmedAge is the age reported for a copy that was never confirmed.
+const unconfirmedAge = time.Hour
 
-// PeerClient asks peers for their copies.
+// PeerClient reads the copies of peers.
 type PeerClient struct{ Asker peer.Asker }
 
-// Fetch is Peers.Fetch over the links between nodes.
-func (l PeerClient) Fetch(ctx context.Context, from peer.Target, reached Position, waiting time.Duration) (Delta, time.Duration, error) {
+// Fetch implements Peers.Fetch over the links between nodes.
+func (c PeerClient) Fetch(ctx context.Context, from peer.Target, position Position, wait time.Duration) (Delta, time.Duration, error) {
 	request := &peerpb.Envelope{Body: &peerpb.Envelope_MirrorRequest{MirrorRequest: &peerpb.MirrorRequest{
-		After:  reached.Revision,
-		Era:    &reached.Era,
-		Rank:   reached.Rank,
-		WaitMs: uint64(waiting.Milliseconds()),
+		After:  position.Revision,
+		Era:    &position.Era,
+		Rank:   position.Rank,
+		WaitMs: uint64(wait.Milliseconds()),
 	}}}
-	type answer struct {
+	type result struct {
 		reply   *peerpb.Envelope
 		failure *peer.LinkError
 	}
-	answers := make(chan answer, 1)
-	ticket := l.Asker.Ask(from, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	results := make(chan result, 1)
+	ticket := c.Asker.Ask(from, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
-		case answers <- answer{reply, failure}:
+		case results <- result{reply, failure}:
 		default:
 		}
 	})
 	select {
-	case got := <-answers:
+	case got := <-results:
 		if got.failure != nil {
 			return Delta{}, 0, got.failure
 		}
 		if got.reply.GetMirrorReply() == nil {
-			return Delta{}, 0, errRefused
+			return Delta{}, 0, errPeerRefused
 		}
 		return decode(got.reply.GetMirrorReply())
 	case <-ctx.Done():
@@ -56,8 +56,8 @@
 	}
 }
 
-// decode reads a reply. One whose items cannot be read is an error: taken without them
-// it would move the copy's revision past changes that it does not have.
+// decode converts a reply. Items that cannot be unpacked are an error: without them, the delta would move
+// the copy's revision past changes that it does not have.
 func decode(reply *peerpb.MirrorReply) (Delta, time.Duration, error) {
 	delta := Delta{Era: reply.GetEra(), After: reply.GetAfter(), UpTo: reply.GetUpTo(), Whole: reply.GetWhole()}
 	items := reply.GetItems()
@@ -68,40 +68,40 @@
 		}
 		items = unpacked
 	}
-	for _, one := range items {
-		delta.Items = append(delta.Items, Item{Key: one.GetKey(), Value: one.GetValue(), Revision: one.GetRevision(), Rank: one.GetRank(), Removed: one.GetRemoved()})
+	for _, item := range items {
+		delta.Items = append(delta.Items, Item{Key: item.GetKey(), Value: item.GetValue(), Revision: item.GetRevision(), Rank: item.GetRank(), Removed: item.GetRemoved()})
 	}
 	return delta, time.Duration(reply.GetAgeMs()) * time.Millisecond, nil
 }
 
-// Server answers peers from a copy.
+// Server answers requests of peers from a copy.
 type Server struct {
 	Copy *Copy
-	// Age is how long ago the copy was confirmed; false is never.
+	// Age returns the time since the copy was confirmed, or false if it never was.
 	Age   func() (time.Duration, bool)
 	slots chan struct{}
 
-	mutex sync.Mutex
-	last  servedItems
+	mutex     sync.Mutex
+	lastReply encodedReply
 }
 
-// servedItems are the items of the reply made last. The followers of a head ask for the same
-// changes at the same moment: to make and compress each reply anew would keep a small VM busy for
-// longer than a change may take.
-type servedItems struct {
-	reached Position
-	version uint64
-	delta   Delta
-	items   []*peerpb.MirrorItem
-	packed  []byte
+// encodedReply holds the items of the latest reply. The followers of a head request the same changes at
+// the same moment: encoding and compressing each reply anew would occupy a small VM for longer than
+// a change may take.
+type encodedReply struct {
+	position Position
+	version  uint64
+	delta    Delta
+	items    []*peerpb.MirrorItem
+	packed   []byte
 }
 
-// NewServer makes a server of a copy.
+// NewServer returns a server of a copy.
 func NewServer(copied *Copy, age func() (time.Duration, bool)) *Server {
-	return &Server{Copy: copied, Age: age, slots: make(chan struct{}, maxServed)}
+	return &Server{Copy: copied, Age: age, slots: make(chan struct{}, maxHeldRequests)}
 }
 
-// Handle answers a request, held back while there is nothing new.
+// Handle answers a request, and holds it while there is no change to send.
 func (s *Server) Handle(inbound *peer.Inbound) {
 	select {
 	case s.slots <- struct{}{}:
@@ -120,7 +120,7 @@
 	defer cancel()
 	for {
 		changed := s.Copy.Changed()
-		if news(s.Copy.Position(), s.reachedBy(request)) {
+		if mustReplyNow(s.Copy.Position(), s.requestPosition(request)) {
 			break
 		}
 		select {
@@ -133,12 +133,12 @@
 	if inbound.Context.Err() != nil {
 		return
 	}
-	inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_MirrorReply{MirrorReply: s.reply(s.reachedBy(request))}}, true)
+	inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_MirrorReply{MirrorReply: s.reply(s.requestPosition(request))}}, true)
 }
 
-// reachedBy is how far the asker's copy has come. One whose program does not know eras is taken to
-// be of this copy's: told that it is behind, it would ask for everything without end.
-func (s *Server) reachedBy(request *peerpb.MirrorRequest) Position {
+// requestPosition returns the position of the requesting copy. A program that does not know eras is assumed
+// to be in this copy's era: if it counted as behind, it would request everything again without end.
+func (s *Server) requestPosition(request *peerpb.MirrorRequest) Position {
 	if request.Era == nil {
 		own := s.Copy.Position()
 		return Position{Era: own.Era, Revision: request.GetAfter(), Rank: own.Rank}
@@ -146,21 +146,21 @@
 	return Position{Era: request.GetEra(), Revision: request.GetAfter(), Rank: request.GetRank()}
 }
 
-// news reports whether an asker is to be answered at once: there is something that it lacks, or it has
-// reached a newer era and must turn to others.
-func news(own, asker Position) bool {
+// mustReplyNow reports whether to reply without waiting: there are changes that the peer lacks, or it has
+// reached a newer era and must read from other nodes.
+func mustReplyNow(own, remote Position) bool {
 	if own.Revision == 0 {
 		return false
 	}
-	return own.Era != asker.Era || own.Revision > asker.Revision || own.Rank > asker.Rank
+	return own.Era != remote.Era || own.Revision > remote.Revision || own.Rank > remote.Rank
 }
 
-func (s *Server) reply(reached Position) *peerpb.MirrorReply {
+func (s *Server) reply(position Position) *peerpb.MirrorReply {
 	age, known := s.Age()
 	if !known {
-		age = unconfirmed
+		age = unconfirmedAge
 	}
-	served := s.serve(reached)
+	served := s.encodeItems(position)
 	delta := served.delta
 	return &peerpb.MirrorReply{
 		Era: delta.Era, After: delta.After, UpTo: delta.UpTo, Whole: delta.Whole && delta.UpTo > 0, AgeMs: uint64(age.Milliseconds()),
@@ -168,27 +168,27 @@
 	}
 }
 
-// serve makes the items of a reply, or takes those of the last one.
-func (s *Server) serve(reached Position) servedItems {
+// encodeItems encodes the items of a reply, or reuses those of the latest one.
+func (s *Server) encodeItems(position Position) encodedReply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	version, own := s.Copy.Version()
-	if s.last.version == version && s.last.reached == reached && s.last.delta.UpTo > 0 {
-		s.last.delta.UpTo = max(s.last.delta.UpTo, own.Revision)
-		return s.last
+	if s.lastReply.version == version && s.lastReply.position == position && s.lastReply.delta.UpTo > 0 {
+		s.lastReply.delta.UpTo = max(s.lastReply.delta.UpTo, own.Revision)
+		return s.lastReply
 	}
-	served := servedItems{reached: reached, version: version, delta: s.Copy.Since(reached)}
+	served := encodedReply{position: position, version: version, delta: s.Copy.Since(position)}
 	size := 0
 	for _, item := range served.delta.Items {
 		size += len(item.Key) + len(item.Value)
 		served.items = append(served.items, &peerpb.MirrorItem{Key: item.Key, Value: item.Value, Revision: item.Revision, Rank: item.Rank, Removed: item.Removed})
 	}
 	served.delta.Items = nil
-	if size >= packFrom {
+	if size >= packThreshold {
 		if packed, err := pack(served.items); err == nil {
 			served.packed, served.items = packed, nil
 		}
 	}
-	s.last = served
+	s.lastReply = served
 	return served
 }
--- a/internal/mirror/restored_test.go
+++ b/internal/mirror/restored_test.go
@@ -18,18 +18,18 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer"
 )
 
-// drill takes a store away for a moment and brings it back from a backup.
-func (f following) drill(from Delta, meanwhile func()) {
-	f.store.set(func(s *fakeStore) { s.busy = true })
+// restoreStore makes the store unavailable for a moment and restores it from a backup.
+func (f followerTest) restoreStore(from Delta, meanwhile func()) {
+	f.store.update(func(s *fakeStore) { s.unavailable = true })
 	time.Sleep(700 * time.Millisecond)
 	f.store.restore(from)
 	meanwhile()
-	f.store.set(func(s *fakeStore) { s.busy = false })
+	f.store.update(func(s *fakeStore) { s.unavailable = false })
 	time.Sleep(time.Second)
 }
 
-// all is what a copy holds.
-func all(c *Copy) map[string]Item {
+// itemsOf returns the items of a copy by key.
+func itemsOf(c *Copy) map[string]Item {
 	held := map[string]Item{}
 	for _, item := range c.Since(Position{}).Items {
 		held[item.Key] = item
@@ -37,37 +37,37 @@
 	return held
 }
 
-func (f following) version(t *testing.T) uint64 {
+func (f followerTest) version(t *testing.T) uint64 {
 	t.Helper()
 	item, held := f.copy.Get("config")
 	require.True(t, held)
 	return item.Rank
 }
 
-// A store comes back from a copy. While its revisions are lower a watch is refused, and each reading that
-// followed was thrown away; once they had passed, unseen, nothing refused the watch and what
-// lay before was never read. In both cases what the store holds is to be the copy's.
+// A store is restored from a copy. While its revisions are below the copy's, watches fail, and the whole readings that
+// followed were discarded. Once they had passed the copy's unnoticed, watches succeeded again and the earlier
+// changes were never read. In both cases the copy must end with the store's contents.
 func TestACopyFollowsTheStoreIntoItsNextEra(t *testing.T) {
 	for _, writes := range []int{1, 20} {
-		follow(t, alone, func(f following) {
+		runFollower(t, noPeers, func(f followerTest) {
 			f.store.configure(3)
 			backup := f.store.backup()
 			for range 10 {
 				f.store.put("lost", false)
 			}
 			time.Sleep(time.Second)
-			f.drill(backup, func() {
+			f.restoreStore(backup, func() {
 				f.store.configure(5)
 				for range writes {
 					f.store.put("again", false)
 				}
 			})
-			require.Equal(t, all(f.store.contents()), all(f.copy))
+			require.Equal(t, itemsOf(f.store.contents()), itemsOf(f.copy))
 			require.Equal(t, f.store.contents().Position(), f.copy.Position())
 			require.True(t, f.listener.last().NewEra)
-			require.Len(t, f.listener.eras, 1)
-			require.Equal(t, 1, f.listener.eras[0].Lost)
-			require.Equal(t, 1, f.listener.eras[0].Unchanged)
+			require.Len(t, f.listener.eraChanges, 1)
+			require.Equal(t, 1, f.listener.eraChanges[0].Lost)
+			require.Equal(t, 1, f.listener.eraChanges[0].Unchanged)
 			f.store.configure(6)
 			time.Sleep(100 * time.Millisecond)
 			require.EqualValues(t, 6, f.version(t))
@@ -75,36 +75,36 @@
 	}
 }
 
-// Two drills come in a row, the second from an older copy, and the store drops its history after
-// it. What is lost twice must not be believed, what is written then is.
+// The store is restored twice in a row, the second time from an older copy, and drops its history afterwards.
+// Items lost in either restore must be removed, and items written afterwards applied.
 func TestTwoDrillsInARowAndADroppedHistory(t *testing.T) {
-	follow(t, alone, func(f following) {
+	runFollower(t, noPeers, func(f followerTest) {
 		f.store.configure(3)
 		oldest := f.store.backup()
 		f.store.put("b", false)
 		older := f.store.backup()
 		f.store.put("c", false)
 		time.Sleep(time.Second)
-		f.drill(older, func() {})
-		f.drill(oldest, func() { f.store.set(func(s *fakeStore) { s.forgotten = 1000 }) })
-		f.store.set(func(s *fakeStore) { s.forgotten = 0 })
+		f.restoreStore(older, func() {})
+		f.restoreStore(oldest, func() { f.store.update(func(s *fakeStore) { s.droppedUpTo = 1000 }) })
+		f.store.update(func(s *fakeStore) { s.droppedUpTo = 0 })
 		f.store.configure(4)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, all(f.store.contents()), all(f.copy))
+		require.Equal(t, itemsOf(f.store.contents()), itemsOf(f.copy))
 		require.EqualValues(t, 2, f.copy.Position().Era)
 	})
 }
 
-// The store shows an older configuration until the operator has written the newer one again, version by
-// version. Callers have seen the older ones replaced: none comes back.
+// A restored store shows an older configuration until the operator has written the newer ones again, version by
+// version. Callers have already been served by newer versions: none of the older ones may come back into force.
 func TestARestoredStoreTakesNoConfigurationBack(t *testing.T) {
-	follow(t, alone, func(f following) {
+	runFollower(t, noPeers, func(f followerTest) {
 		f.store.configure(3)
 		backup := f.store.backup()
 		f.store.configure(7)
 		f.store.configure(9)
 		time.Sleep(time.Second)
-		f.drill(backup, func() {})
+		f.restoreStore(backup, func() {})
 		require.EqualValues(t, 9, f.version(t))
 		require.Len(t, f.listener.last().Outranked, 1)
 		f.store.configure(7)
@@ -122,11 +122,11 @@
 	require.EqualValues(t, 9, item.Rank)
 }
 
-// A node starts while the store shows an older configuration and the others have the newer one. It asks them
-// behind the revision that it read, where theirs is no news: their higher rank is.
+// A node starts while the store shows an older configuration and the other nodes have the newer one. It asks them for
+// changes after the revision that it read, which theirs does not exceed: their higher rank makes them reply.
 func TestANodeThatStartsAfterARestoreHasTheNewerConfigurationFromOthers(t *testing.T) {
 	makePeers := func() *fakePeers { return &fakePeers{copied: NewCopy(), age: time.Hour} }
-	follow(t, makePeers, func(f following) {
+	runFollower(t, makePeers, func(f followerTest) {
 		config := func(version, revision uint64) Item {
 			return Item{Key: "config", Value: fmt.Append(nil, version), Rank: version, Revision: revision}
 		}
@@ -135,7 +135,7 @@
 		f.peers.copied.Apply(f.store.backup())
 		f.peers.setAge(0)
 		started := NewCopy()
-		node := NewFollower(DefaultConfig(), started, f.store, f.peers, &heard{}, f.now)
+		node := NewFollower(DefaultConfig(), started, f.store, f.peers, &recordingListener{}, f.now)
 		node.Start()
 		defer node.Close()
 		time.Sleep(time.Second)
@@ -144,56 +144,56 @@
 	})
 }
 
-// A first reading may be seconds old: from before the store came back from a copy. The store's revisions are
-// lower than it, so that nothing that is read later would be taken for news.
+// A first reading may be stale, and so from before a restore of the store. The store's revisions are lower, so that no
+// later reading would count as newer.
 func TestAFirstReadingFromBeforeARestoreIsReplaced(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
-		store := &fakeStore{state: NewCopy(), before: NewCopy()}
-		store.before.Apply(Delta{Era: 2, Whole: true, UpTo: 40, Items: []Item{put("lost", 40)}})
+		store := &fakeStore{state: NewCopy(), staleState: NewCopy()}
+		store.staleState.Apply(Delta{Era: 2, Whole: true, UpTo: 40, Items: []Item{put("lost", 40)}})
 		store.state.Apply(Delta{Era: 2, Whole: true, UpTo: 20, Items: []Item{put("a", 20)}})
 		started := time.Now()
-		f := NewFollower(DefaultConfig(), NewCopy(), store, alone(), &heard{}, func() core.Time { return time.Since(started) + 1 })
+		f := NewFollower(DefaultConfig(), NewCopy(), store, noPeers(), &recordingListener{}, func() core.Time { return time.Since(started) + 1 })
 		f.Start()
 		defer f.Close()
 		time.Sleep(time.Second)
-		require.Equal(t, all(store.state), all(f.copy))
+		require.Equal(t, itemsOf(store.state), itemsOf(f.copy))
 	})
 }
 
-// The header that tells the era vanishes, or cannot be read, while the store goes back. Nothing is taken back, the
-// node does not call itself up to date, the store is not asked without end, and the log tells.
-// Once eras are told again the copy goes on from there.
+// The era header is missing or invalid while the store is restored from an older copy. The copy must not go back or count
+// as fresh, the store must not be read in a tight loop, and the listener must be notified. Once the era is announced
+// again, the copy follows the store.
 func TestAnEraThatIsNotToldTakesNothingBack(t *testing.T) {
-	follow(t, alone, func(f following) {
+	runFollower(t, noPeers, func(f followerTest) {
 		backup := f.store.backup()
-		f.drill(backup, func() {})
+		f.restoreStore(backup, func() {})
 		f.store.put("b", false)
 		f.store.put("c", false)
 		time.Sleep(time.Second)
-		f.store.set(func(s *fakeStore) { s.untold = true })
-		f.drill(backup, func() {})
-		before := f.store.count()
+		f.store.update(func(s *fakeStore) { s.hidesEra = true })
+		f.restoreStore(backup, func() {})
+		before := f.store.callCount()
 		time.Sleep(10 * time.Second)
-		require.Less(t, f.store.count()-before, 50)
+		require.Less(t, f.store.callCount()-before, 50)
 		_, held := f.copy.Get("c")
 		require.True(t, held)
 		f.listener.mutex.Lock()
-		untold, notTaken := f.listener.untold, len(f.listener.notTaken)
+		erasMissing, rejected := f.listener.erasMissing, len(f.listener.rejected)
 		f.listener.mutex.Unlock()
-		require.Equal(t, 1, untold)
-		require.Equal(t, 1, notTaken)
+		require.Equal(t, 1, erasMissing)
+		require.Equal(t, 1, rejected)
 		age, _ := f.Age()
 		require.Greater(t, age, 9*time.Second)
-		f.store.set(func(s *fakeStore) { s.untold = false })
+		f.store.update(func(s *fakeStore) { s.hidesEra = false })
 		time.Sleep(2 * time.Second)
-		require.Equal(t, all(f.store.contents()), all(f.copy))
+		require.Equal(t, itemsOf(f.store.contents()), itemsOf(f.copy))
 		age, _ = f.Age()
 		require.Less(t, age, 2*time.Second)
 	})
 }
 
-// A copy of an older era is offered by a node that the store turns away, whole or in part, and a part of a newer one.
-// Neither fits this copy, and what confirmed the other says nothing of this one.
+// A node that the store rejects offers a delta of an older era, whole or in part, or a part of a newer era. None of them
+// may be applied, and the confirmation of another era's copy does not confirm this one.
 func TestNothingOfAnotherEraIsLaidOnACopy(t *testing.T) {
 	c := NewCopy()
 	c.Apply(Delta{Era: 2, Whole: true, UpTo: 10, Items: []Item{put("a", 10)}})
@@ -206,51 +206,53 @@
 		require.Equal(t, Position{Era: 2, Revision: 10}, c.Position())
 		require.Equal(t, map[string]Item{"a": put("a", 10)}, c.items)
 	}
-	require.Empty(t, c.Since(Position{Era: 3, Revision: 5}).Items, "who is ahead gets nothing")
-	require.True(t, c.Since(Position{Era: 1, Revision: 10}).Whole, "who is behind gets all")
+	require.Empty(t, c.Since(Position{Era: 3, Revision: 5}).Items, "a peer that is ahead gets nothing")
+	require.True(t, c.Since(Position{Era: 1, Revision: 10}).Whole, "a peer that is behind gets all")
 	makePeers := func() *fakePeers { return &fakePeers{reader: true, copied: NewCopy()} }
-	follow(t, makePeers, func(f following) {
+	runFollower(t, makePeers, func(f followerTest) {
 		f.peers.copied.Apply(f.store.backup())
 		f.store.restore(f.store.backup())
 		time.Sleep(2 * time.Second)
-		f.store.set(func(s *fakeStore) { s.busy = true })
+		f.store.update(func(s *fakeStore) { s.unavailable = true })
 		time.Sleep(5 * time.Second)
 		age, _ := f.Age()
 		require.GreaterOrEqual(t, age, 5*time.Second-DefaultConfig().WatchWait, "the other node's fresh copy is of the former era")
 	})
 }
 
-// An asker whose program does not know eras is answered as of this copy's; told that it is behind, it would ask for
-// everything again and again.
-func TestAnAskerThatKnowsNoErasIsNotSentEverything(t *testing.T) {
+// A request from a program that does not know eras is answered as if from this copy's era. If it counted as behind, the peer
+// would request everything again and again.
+func TestARequestWithoutAnEraIsNotAnsweredWithEverything(t *testing.T) {
 	c := NewCopy()
 	c.Apply(Delta{Era: 2, Whole: true, UpTo: 10, Items: []Item{put("a", 10)}})
 	server := NewServer(c, func() (time.Duration, bool) { return 0, true })
-	require.Equal(t, Position{Era: 2, Revision: 10}, server.reachedBy(request(10, nil)))
+	require.Equal(t, Position{Era: 2, Revision: 10}, server.requestPosition(request(10, nil)))
 	era := uint64(1)
-	require.Equal(t, Position{Era: 1, Revision: 10}, server.reachedBy(request(10, &era)))
-	require.False(t, news(c.Position(), Position{Era: 2, Revision: 10}))
-	require.True(t, news(c.Position(), Position{Era: 1, Revision: 10}))
-	require.True(t, news(c.Position(), Position{Era: 3, Revision: 10}), "it must turn to others")
-	require.False(t, news(Position{}, Position{Era: 3}), "an empty copy has nothing to tell yet")
+	require.Equal(t, Position{Era: 1, Revision: 10}, server.requestPosition(request(10, &era)))
+	require.False(t, mustReplyNow(c.Position(), Position{Era: 2, Revision: 10}))
+	require.True(t, mustReplyNow(c.Position(), Position{Era: 1, Revision: 10}))
+	require.True(t, mustReplyNow(c.Position(), Position{Era: 3, Revision: 10}), "it must read from other nodes")
+	require.False(t, mustReplyNow(Position{}, Position{Era: 3}), "an empty copy has nothing to send yet")
 }
 
-var large = flag.Int("large", 60, "nodes of the fleet that a drill is played with")
+var restoreFleetNodes = flag.Int("large", 60, "number of nodes in the simulated fleet")
 
-// chain is a node's peers in a fleet: a reader, or one that follows the node before it.
-type chain struct {
+// chainPeer gives a node of a fleet access to the copy of the node before it.
+type chainPeer struct {
 	role Role
 	from *Copy
 	age  func() (time.Duration, bool)
-	// whole counts the whole deltas that were given.
+	// whole counts the whole deltas returned.
 	whole *atomic.Int64
 }
 
-func (c *chain) Sources(int) ([]peer.Target, Role) { return []peer.Target{{Node: "before"}}, c.role }
+func (c *chainPeer) Sources(int) ([]peer.Target, Role) {
+	return []peer.Target{{Node: "before"}}, c.role
+}
 
-func (c *chain) Fetch(ctx context.Context, _ peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error) {
+func (c *chainPeer) Fetch(ctx context.Context, _ peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error) {
 	changed := c.from.Changed()
-	if !news(c.from.Position(), reached) {
+	if !mustReplyNow(c.from.Position(), reached) {
 		select {
 		case <-changed:
 		case <-time.After(wait):
@@ -260,7 +262,7 @@
 	}
 	age, known := c.age()
 	if !known {
-		age = unconfirmed
+		age = unconfirmedAge
 	}
 	delta := c.from.Since(reached)
 	if delta.Whole {
@@ -269,16 +271,16 @@
 	return delta, age, nil
 }
 
-// The store is away for three seconds, so that all nodes turn to it, and comes back from a copy. All at once they
-// would read it whole, 780 nodes three times what it bears in a second. Those that read it for the others do, or, where it turns
-// these away, the heads of data centres; the rest has it from them, and a change is in force in time.
+// The store is away for three seconds, so that all nodes turn to it, and is then restored from a copy. If all 780 nodes read
+// it whole at once, that would be three times what it serves in a second. Only the readers may do so or, where the store
+// rejects them, the heads of data centres. The other nodes receive the copy from them, and a change is in force in time.
 func TestADrillDoesNotMakeAllNodesReadTheStoreWhole(t *testing.T) {
-	for name, turnedAway := range map[string]bool{"all served": false, "the readers turned away": true} {
-		t.Run(name, func(t *testing.T) { drillOfAFleet(t, *large, turnedAway) })
+	for name, readersRejected := range map[string]bool{"all served": false, "the readers rejected": true} {
+		t.Run(name, func(t *testing.T) { restoreFleet(t, *restoreFleetNodes, readersRejected) })
 	}
 }
 
-func drillOfAFleet(t *testing.T, nodes int, turnedAway bool) {
+func restoreFleet(t *testing.T, nodes int, readersRejected bool) {
 	const readers, heads = 3, 6
 	synctest.Test(t, func(*testing.T) {
 		started := time.Now()
@@ -286,22 +288,22 @@
 		store := &fakeStore{state: NewCopy()}
 		store.state.Apply(Delta{Era: 1, Whole: true, UpTo: 1})
 		store.configure(3)
-		ofReaders := &fakeStore{state: store.state}
+		readersStore := &fakeStore{state: store.state}
 		var fleet []*Follower
-		var given atomic.Int64
+		var wholeReplies atomic.Int64
 		for i := range nodes {
 			before, role, from := readers+i%heads, Other, store
 			switch {
 			case i < readers:
-				before, role, from = max(i-1, 0), Reader, ofReaders
+				before, role, from = max(i-1, 0), Reader, readersStore
 			case i < readers+heads:
 				before, role = i%readers, Head
 			}
-			peers := &chain{role: role, whole: &given, from: NewCopy(), age: func() (time.Duration, bool) { return 0, false }}
+			peers := &chainPeer{role: role, whole: &wholeReplies, from: NewCopy(), age: func() (time.Duration, bool) { return 0, false }}
 			if before < i {
 				peers.from, peers.age = fleet[before].copy, fleet[before].Age
 			}
-			fleet = append(fleet, NewFollower(DefaultConfig(), NewCopy(), from, peers, &heard{}, now))
+			fleet = append(fleet, NewFollower(DefaultConfig(), NewCopy(), from, peers, &recordingListener{}, now))
 		}
 		for _, one := range fleet {
 			one.Start()
@@ -313,22 +315,22 @@
 			store.put("lost", false)
 		}
 		time.Sleep(2 * time.Second)
-		for _, one := range []*fakeStore{store, ofReaders} {
-			one.set(func(s *fakeStore) { s.busy = true })
+		for _, one := range []*fakeStore{store, readersStore} {
+			one.update(func(s *fakeStore) { s.unavailable = true })
 		}
 		time.Sleep(3 * time.Second)
 		store.restore(backup)
 		store.configure(5)
-		store.set(func(s *fakeStore) { s.busy = false })
-		ofReaders.set(func(s *fakeStore) { s.state, s.busy = store.state, turnedAway })
+		store.update(func(s *fakeStore) { s.unavailable = false })
+		readersStore.update(func(s *fakeStore) { s.state, s.unavailable = store.state, readersRejected })
 		readings := func() (whole, calls int) {
-			return store.wholeReadings() + ofReaders.wholeReadings(), store.count() + ofReaders.count()
+			return store.wholeReadCount() + readersStore.wholeReadCount(), store.callCount() + readersStore.callCount()
 		}
 		whole, calls := readings()
-		given.Store(0)
+		wholeReplies.Store(0)
 		time.Sleep(3 * time.Second)
 		for i, one := range fleet {
-			if turnedAway && i < readers {
+			if readersRejected && i < readers {
 				continue
 			}
 			item, _ := one.copy.Get("config")
@@ -336,9 +338,9 @@
 			require.EqualValues(t, 2, one.copy.Position().Era)
 		}
 		wholeAfter, callsAfter := readings()
-		t.Logf("%d nodes: %d whole readings and %d calls at the store in 3 s, %d whole copies between nodes", nodes, wholeAfter-whole, callsAfter-calls, given.Load())
+		t.Logf("%d nodes: %d whole readings and %d calls at the store in 3 s, %d whole copies between nodes", nodes, wholeAfter-whole, callsAfter-calls, wholeReplies.Load())
 		require.Positive(t, wholeAfter-whole)
-		if turnedAway {
+		if readersRejected {
 			require.LessOrEqual(t, wholeAfter-whole, heads)
 			return
 		}
@@ -347,14 +349,14 @@
 	})
 }
 
-// Nodes exchange copies while the store comes back from copies of itself, whose revisions are given out again for other
-// contents; what a node told may arrive much later, in another era. No configuration ever falls in version, no
-// copy holds what its era never held, and in the end all are alike.
+// Nodes exchange copies while the store is restored from copies of itself and reuses its revisions for other contents; a delta
+// may arrive much later, in another era. The version of a configuration never decreases, no copy holds an item that its
+// era never held, and at the end all copies are equal.
 func TestCopiesAgreeOverErasWhateverTheOrderOfDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{state: NewCopy()}
 		store.state.Apply(Delta{Era: 1, Whole: true, UpTo: 1})
-		// written holds what each era ever held.
+		// written holds the items that each era ever held.
 		written := map[uint64]map[string]bool{}
 		note := func() {
 			era := store.state.Position().Era
@@ -372,7 +374,7 @@
 		take := func(i int, delta Delta) {
 			nodes[i].Apply(delta)
 			held := nodes[i].items["config"].Rank
-			require.GreaterOrEqual(t, held, ranks[i], "a version never falls")
+			require.GreaterOrEqual(t, held, ranks[i], "a version never decreases")
 			ranks[i] = held
 			for key, item := range nodes[i].items {
 				require.True(t, key == "config" || written[nodes[i].era][key+string(item.Value)], "%s of another era", key)
--- a/internal/mirror/source.go
+++ b/internal/mirror/source.go
@@ -9,40 +9,40 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer"
 )
 
-// ErrHistoryGone says that the store no longer knows the changes asked for: the
-// copy has to be read anew.
-var ErrHistoryGone = errors.New("the store has dropped the history that was asked for")
+// ErrHistoryGone is returned when the store no longer has the changes after the requested revision.
+// The whole copy has to be read again.
+var ErrHistoryGone = errors.New("the store no longer has the requested history")
 
-// OlderEraError is an answer of the store from an era before the one that is known: whatever is in
-// it was replaced since.
+// OlderEraError is returned for a reply of the store from an era before the known one: its contents
+// have been replaced since.
 type OlderEraError struct{ Received, Known uint64 }
 
 // Error implements error.
 func (e *OlderEraError) Error() string {
-	return fmt.Sprintf("the store answers from era %d, era %d is known already", e.Received, e.Known)
+	return fmt.Sprintf("the store answered from era %d, but era %d is known already", e.Received, e.Known)
 }
 
-// errEraChanged is a store that came back from a copy while its pages were read.
-var errEraChanged = errors.New("the store came back from a copy while it was read")
+// errEraChanged is returned when the store was restored from a copy while its pages were read.
+var errEraChanged = errors.New("the store was restored from a copy while it was read")
 
-// Page is a part of all items.
+// Page is a part of all items, in the order of their keys.
 type Page struct {
 	Items []Item
 	// More is set when further items come after the last one.
 	More bool
-	// Revision is the store's revision at the reading of the page.
+	// Revision is the store's revision when the page was read.
 	Revision uint64
-	// Era is the store's era at that moment; 0 where it tells none.
+	// Era is the store's era when the page was read; 0 where it announces none.
 	Era uint64
 }
 
-// Store is where items are published.
+// Store is the store in which items are published.
 type Store interface {
-	// Page reads the items behind a key; "" is the start. A stale one may be seconds old.
+	// Page reads the items after a key; "" is the start. A stale page may be seconds old.
 	Page(ctx context.Context, after string, stale bool) (Page, error)
-	// Watch waits for changes behind a revision, at most for the given time.
+	// Watch waits for changes after a revision, for at most the given time.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Delta, error)
-	// Close ends the connections that are idle.
+	// Close closes idle connections.
 	Close()
 }
 
@@ -51,27 +51,26 @@
 
 // The roles, in the order in which a change reaches them.
 const (
-	// Reader nodes read the store for all.
+	// Reader nodes read the store for all nodes.
 	Reader Role = iota
-	// Head nodes follow the readers for the others of their data centre.
+	// Head nodes follow the readers, and serve the other nodes of their data centre.
 	Head
 	// Other nodes follow the heads.
 	Other
 )
 
-// Peers are the other nodes' copies.
+// Peers gives access to the copies of other nodes.
 type Peers interface {
-	// Sources lists the nodes to read from, the best first, and this node's role where the given
+	// Sources lists the nodes to read from, the best one first, and this node's role when the given
 	// number of nodes read the store.
 	Sources(readers int) (sources []peer.Target, role Role)
-	// Fetch reads what a node's copy has beyond what was reached, and how long ago
-	// that copy was confirmed by the store. It waits for changes at most for the
-	// given time.
-	Fetch(ctx context.Context, from peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error)
+	// Fetch reads the changes in a node's copy beyond a position, and the time since the store
+	// confirmed that copy. It waits for changes for at most the given time.
+	Fetch(ctx context.Context, from peer.Target, position Position, wait time.Duration) (Delta, time.Duration, error)
 }
 
-// readAll reads every item. Pages are not a snapshot: what changes between them is
-// brought by the watch from the first page's revision, which the result bears.
+// readAll reads every item. The pages are not a snapshot: the result has the revision of the first
+// page, and a watch from there returns what changed between the pages.
 func readAll(ctx context.Context, store Store, stale bool) (Delta, error) {
 	delta := Delta{Whole: true}
 	after := ""
