--- a/internal/confwatch/confwatch.go
+++ b/internal/confwatch/confwatch.go
@@ -201,7 +201,8 @@
 	}
 }
 
-// adopt puts a reading in force and answers the parked polls that it supersedes.
+// adopt puts a reading in force and answers the parked polls that it supersedes. The
+// change notice of Belief then makes the node follow the relays of the new revision.
 func (w *Watcher) adopt(reading *config.Reading) {
 	previous := w.Belief.Config()
 	w.history.add(previous, reading)
--- a/internal/confwatch/serve.go
+++ b/internal/confwatch/serve.go
@@ -128,7 +128,7 @@
 	w.parked = kept
 }
 
-// announceRefusal answers the parked polls whose senders do not know the latest refusal.
+// announceRefusal answers the parked polls whose senders do not know the highest refused revision.
 func (w *Watcher) announceRefusal() {
 	w.filterParked(func(p *parkedPoll) bool {
 		if !w.hasRefusalAbove(p.refused) {
@@ -144,7 +144,7 @@
 	return ok && refusal.Mark.Revision > revision
 }
 
-// unchangedReply returns the reply without a text, with the mark in force and the latest refusal.
+// unchangedReply returns the reply without a text, with the mark in force and the highest refused revision.
 func (w *Watcher) unchangedReply() *peerpb.Envelope {
 	mark := w.machine.InForce()
 	reply := &peerpb.ConfigReply{Revision: mark.Revision, Digest: mark.Digest, Unchanged: true}
--- a/internal/confwatch/service.go
+++ b/internal/confwatch/service.go
@@ -35,7 +35,7 @@
 		case <-w.ctx.Done():
 			return
 		case command := <-w.commands.Items():
-			_ = w.events.Put(w.ctx, w.read(command))
+			_ = w.events.Put(w.ctx, w.readConfig(command))
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	cancelled bool
 }
 
-func (w *Watcher) read(command readCommand) serviceReadEnded {
+func (w *Watcher) readConfig(command readCommand) serviceReadEnded {
 	read, changed, err := w.Service.ReadConfig(command.ctx, command.after, command.wait)
 	switch {
 	case command.ctx.Err() != nil:
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -90,9 +90,9 @@
 	done        sync.WaitGroup
 
 	// The fields below are used only by the goroutine of run.
-	storeFailedSince core.Time
-	storeFailures    int
-	storeRetryAt     core.Time
+	storeFailedSince    core.Time
+	consecutiveFailures int
+	storeRetryAt        core.Time
 	// peersOnlyUntil is the time until which only readers read the store.
 	peersOnlyUntil core.Time
 	recoveryUntil  core.Time
--- a/internal/mirror/fromstore.go
+++ b/internal/mirror/fromstore.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// errStoreBehind is a whole reading of the store that is older than the copy, although the store announces no newer era.
+// errStoreBehind is reported when a reading of the store is older than the copy, although no older era is announced.
 var errStoreBehind = errors.New("the store returned an older state than before")
 
 // errLeftToReaders is returned when a whole reading is left to the nodes that read the store for the others.
@@ -170,8 +170,8 @@
 func (f *Follower) storeFailed(cause error) {
 	f.counts.storeFailures.Add(1)
 	f.store.Close()
-	f.storeRetryAt = f.now() + min(f.config.MinRetryDelay<<min(f.storeFailures, maxDoublings), f.config.MaxRetryDelay)
-	f.storeFailures++
+	f.storeRetryAt = f.now() + min(f.config.MinRetryDelay<<min(f.consecutiveFailures, maxDoublings), f.config.MaxRetryDelay)
+	f.consecutiveFailures++
 	if f.storeFailedSince == 0 {
 		f.storeFailedSince = max(f.now(), 1)
 		f.listener.SourceFailed(storeSource, cause)
@@ -184,5 +184,5 @@
 	}
 	f.listener.SourceRecovered(storeSource, f.now()-f.storeFailedSince)
 	f.storeFailedSince = 0
-	f.storeFailures = 0
+	f.consecutiveFailures = 0
 }
--- a/internal/mirror/restored_test.go
+++ b/internal/mirror/restored_test.go
@@ -237,8 +237,8 @@
 
 var restoreFleetNodes = flag.Int("large", 60, "number of nodes in the simulated fleet")
 
-// chainPeer gives a node of a fleet access to the copy of the node before it.
-type chainPeer struct {
+// chain implements Peers for a node in a chain of nodes, with the copy of the node before it.
+type chain struct {
 	role Role
 	from *Copy
 	age  func() (time.Duration, bool)
@@ -246,11 +246,9 @@
 	whole *atomic.Int64
 }
 
-func (c *chainPeer) Sources(int) ([]peer.Target, Role) {
-	return []peer.Target{{Node: "before"}}, c.role
-}
+func (c *chain) Sources(int) ([]peer.Target, Role) { return []peer.Target{{Node: "before"}}, c.role }
 
-func (c *chainPeer) Fetch(ctx context.Context, _ peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error) {
+func (c *chain) Fetch(ctx context.Context, _ peer.Target, reached Position, wait time.Duration) (Delta, time.Duration, error) {
 	changed := c.from.Changed()
 	if !mustReplyNow(c.from.Position(), reached) {
 		select {
@@ -299,7 +297,7 @@
 			case i < readers+heads:
 				before, role = i%readers, Head
 			}
-			peers := &chainPeer{role: role, whole: &wholeReplies, from: NewCopy(), age: func() (time.Duration, bool) { return 0, false }}
+			peers := &chain{role: role, whole: &wholeReplies, from: NewCopy(), age: func() (time.Duration, bool) { return 0, false }}
 			if before < i {
 				peers.from, peers.age = fleet[before].copy, fleet[before].Age
 			}
