--- a/internal/app/evidence.go
+++ b/internal/app/evidence.go
@@ -15,12 +15,12 @@
 	switch update.State {
 	case peer.LinkAnswers:
 		n.problems.Clear(observe.KindSilentConnection, "peer "+string(update.Peer.Node))
-		n.members.Answered(update.Peer.Node)
+		n.members.RecordAnswer(update.Peer.Node)
 	case peer.LinkSilent:
 		n.problems.Report(observe.KindSilentConnection, "peer "+string(update.Peer.Node), "the link to "+update.Peer.Address+" gave no answer and was replaced")
-		n.members.Lost(update.Peer.Node)
+		n.members.RecordFailure(update.Peer.Node)
 	default:
-		n.members.Lost(update.Peer.Node)
+		n.members.RecordFailure(update.Peer.Node)
 	}
 }
 
@@ -54,7 +54,7 @@
 		return view.Nodes()
 	}
 	nodes := slices.Clone(view.Nodes())
-	for _, listed := range n.members.Listed() {
+	for _, listed := range n.members.ListedNodes() {
 		if _, routed := view.Node(listed.ID); !routed {
 			nodes = append(nodes, listed)
 		}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -71,7 +71,7 @@
 	follower *mirror.Follower
 	pool     *peer.Pool
 	server   *peer.Server
-	members  *membership.Duty
+	members  *membership.Manager
 	seeds    *membership.Seeds
 	callers  *callerServer
 	others   []*http.Server
@@ -149,7 +149,7 @@
 	}
 	n.setBound()
 	store := platform.NewStore(s.StoreAddress, storeDialTimeout)
-	n.follower = mirror.NewFollower(mirror.DefaultConfig(), n.copied, store, copies{node: n, turn: &atomic.Uint64{}, Links: mirror.Links{Asker: n.pool}}, n.registry, n.now)
+	n.follower = mirror.NewFollower(mirror.DefaultConfig(), n.copied, store, copies{node: n, turn: &atomic.Uint64{}, PeerClient: mirror.PeerClient{Asker: n.pool}}, n.registry, n.now)
 	n.mirror = mirror.NewServer(n.copied, n.follower.Age)
 	n.watchMetrics()
 	if n.callers, err = listenCallers(s.CallerAddress, n); err != nil {
@@ -185,19 +185,19 @@
 	n.views.SetSelf(self)
 	n.seeds = membership.NewSeeds(s.PeerAddress, s.Seeds)
 	n.members = membership.Start(membership.Options{
-		Self:        self,
-		Incarnation: n.identity.Incarnation,
-		List:        n.seeds,
-		Belief:      n.views,
-		Peers:       n.pool,
-		Now:         n.now,
-		Log:         n.log.Logger(),
-		Problems:    observe.NewProblems(n.now),
-		InForce:     func() (uint64, uint64) { return n.configVersion(), 0 },
-		Heard:       n.heardVersion,
-
-		Quarantine:      n.quarantine.Digest,
-		HeardQuarantine: n.heardQuarantine,
+		Self:         self,
+		Incarnation:  n.identity.Incarnation,
+		Lister:       n.seeds,
+		Belief:       n.views,
+		Peers:        n.pool,
+		Now:          n.now,
+		Log:          n.log.Logger(),
+		Problems:     observe.NewProblems(n.now),
+		InForce:      func() (uint64, uint64) { return n.configVersion(), 0 },
+		OnPeerConfig: n.heardVersion,
+
+		QuarantineDigest: n.quarantine.Digest,
+		OnPeerQuarantine: n.heardQuarantine,
 	})
 	n.quarantine.Start(n.pool)
 	n.pool.OnLink(n.linkNews)
@@ -236,10 +236,10 @@
 // linkNews takes the evidence of data traffic about the node behind a link.
 func (n *Node) linkNews(news peer.LinkNews) {
 	if news.State == peer.LinkAnswers {
-		n.members.Answered(news.Peer.Node)
+		n.members.RecordAnswer(news.Peer.Node)
 		return
 	}
-	n.members.Lost(news.Peer.Node)
+	n.members.RecordFailure(news.Peer.Node)
 }
 
 // startOthers opens the addresses besides the callers'. Metrics are no condition of
@@ -379,7 +379,7 @@
 	s := n.settings.Load()
 	state := map[string]any{
 		"node": s.Node, "data_centre": s.DataCentre, "stopping": n.stopping.Load(), "in_flight": n.inFlight.Load(),
-		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Reached().Era, "connections": n.replicas.OpenConnections(),
+		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Position().Era, "connections": n.replicas.OpenConnections(),
 	}
 	if config := n.beliefs.config.Load(); config != nil {
 		state["config_version"] = config.Version
