--- a/internal/command/edge.go
+++ b/internal/command/edge.go
@@ -73,7 +73,7 @@
 	defer stop()
 	app, node := edge.New(s, out)
 	log.SetFlags(0)
-	log.SetOutput(node.LibraryLog())
+	log.SetOutput(node.LibraryLogWriter())
 	if err := app.Err(); err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 		text, err := os.ReadFile(path)
 		switch {
 		case err != nil && asked:
-			node.SettingsRefused(err)
+			node.LogRefusedSettings(err)
 		case err != nil:
 			// It is being replaced, or stays away: the signal would tell.
 		case asked || !bytes.Equal(text, seen):
@@ -125,7 +125,7 @@
 func reload(node *edge.Node, text string, metricsPort int) {
 	s, err := platform.ParseSettings(text)
 	if err != nil {
-		node.SettingsRefused(err)
+		node.LogRefusedSettings(err)
 		return
 	}
 	s.SetMetricsPort(metricsPort)
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -35,7 +35,7 @@
 func (n *Node) readiness() http.Handler {
 	router := newRouter()
 	router.GET(platform.PathReady, func(c *gin.Context) {
-		if !n.TakesCallers() {
+		if !n.AcceptsCallers() {
 			c.Status(http.StatusServiceUnavailable)
 			return
 		}
@@ -44,9 +44,9 @@
 	return router
 }
 
-// TakesCallers reports whether callers are to use this node: it knows a configuration and
+// AcceptsCallers reports whether callers are to use this node: it knows a configuration and
 // is not about to stop.
-func (n *Node) TakesCallers() bool { return !n.stopping.Load() && n.beliefs.config.Load() != nil }
+func (n *Node) AcceptsCallers() bool { return !n.stopping.Load() && n.beliefs.config.Load() != nil }
 
 // operator serves the metrics and the state dump.
 func (n *Node) operator() http.Handler {
--- a/internal/edge/handler.go
+++ b/internal/edge/handler.go
@@ -101,7 +101,7 @@
 // know a route that was added since: it does not call the request wrong.
 func (n *Node) unknownRoute(w http.ResponseWriter, r *http.Request, config *policy.Config) {
 	age, confirmed := n.follower.Age()
-	if !confirmed || age > n.settings.Load().ConfigApply {
+	if !confirmed || age > n.settings.Load().ConfigApplyLimit {
 		n.refuse(w, r, "the configuration may be outdated", retryNotReady)
 		return
 	}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -129,7 +129,7 @@
 		Self: n.identity.Node, Nodes: func() []route.Node { return n.view().Nodes() },
 	})
 	n.beliefs = newBeliefs(s.DataCentre, s.Regions, extra.Bound{}, n.now)
-	n.registry = &registry{beliefs: n.beliefs, log: n.log, metrics: n.metrics, heartbeat: func() time.Duration { return n.settings.Load().Heartbeat }, onConfig: n.configInForce, onRestart: n.replicas.End, onEvacuation: n.leaveUnwanted}
+	n.registry = &registry{beliefs: n.beliefs, log: n.log, metrics: n.metrics, heartbeat: func() time.Duration { return n.settings.Load().HeartbeatInterval }, onConfig: n.configInForce, onRestart: n.replicas.End, onEvacuation: n.leaveUnwanted}
 	return n
 }
 
@@ -367,7 +367,7 @@
 func (n *Node) Reload(read *settings.Edge) {
 	taken := *read
 	s := &taken
-	kept := s.Keep(n.settings.Load())
+	kept := s.RestoreFixed(n.settings.Load())
 	changed := !reflect.DeepEqual(n.settings.Swap(s), s)
 	n.seeds.Replace(s.Seeds)
 	n.setBound()
@@ -395,10 +395,10 @@
 	return state
 }
 
-// LibraryLog takes what libraries write of themselves into the node's log.
-func (n *Node) LibraryLog() io.Writer { return n.log.Libraries() }
+// LibraryLogWriter takes what libraries write of themselves into the node's log.
+func (n *Node) LibraryLogWriter() io.Writer { return n.log.Libraries() }
 
-// SettingsRefused notes new settings that cannot be used; the former stay in force.
-func (n *Node) SettingsRefused(cause error) {
+// LogRefusedSettings notes new settings that cannot be used; the former stay in force.
+func (n *Node) LogRefusedSettings(cause error) {
 	n.log.Life("settings_refused", decisionlog.Fields{"error": cause.Error(), "outcome": "the former stay in force"})
 }
--- a/internal/edge/settings/settings.go
+++ b/internal/edge/settings/settings.go
@@ -36,11 +36,11 @@
 	Cores float64
 	// StopWait is the time from the signal to stop until the process is killed.
 	StopWait time.Duration
-	// ConfigApply is the time within which an acknowledged configuration is to
+	// ConfigApplyLimit is the time within which an acknowledged configuration is to
 	// be in force.
-	ConfigApply time.Duration
-	// Heartbeat is the pause between two reports of a replica; 0 is not known.
-	Heartbeat time.Duration
+	ConfigApplyLimit time.Duration
+	// HeartbeatInterval is the pause between two reports of a replica; 0 is not known.
+	HeartbeatInterval time.Duration
 	// ExtraRatio, ExtraWindow and ExtraAllowance bound the arrivals at a service
 	// beyond the first of each request, over all nodes.
 	ExtraRatio     float64
@@ -57,10 +57,10 @@
 	e.MetricsAddress = net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// Keep puts back what a running process cannot change in place, and names what differed. A node that
+// RestoreFixed puts back what a running process cannot change in place, and names what differed. A node that
 // took another data centre or address for its own would tell other nodes one thing and
 // decide by another, and a changed address would be one that nobody listens on.
-func (e *Edge) Keep(running *Edge) (kept []string) {
+func (e *Edge) RestoreFixed(running *Edge) (kept []string) {
 	for _, one := range []struct {
 		name         string
 		read, former *string
--- a/internal/edgefleet/edgefleet.go
+++ b/internal/edgefleet/edgefleet.go
@@ -114,7 +114,7 @@
 	s := &settings.Edge{
 		Node: fmt.Sprintf("vm-%d", len(f.Nodes)), DataCentre: dataCentre,
 		CallerAddress: free[0], ReadyAddress: free[1], DirectoryAddress: free[2], MetricsAddress: free[3],
-		PeerAddress: free[4], StoreAddress: f.Store.Address(), StopWait: stopWait, ConfigApply: configApply,
+		PeerAddress: free[4], StoreAddress: f.Store.Address(), StopWait: stopWait, ConfigApplyLimit: configApply,
 		ExtraRatio: extraRatio, ExtraWindow: extraWindow, ExtraAllowance: extraAllowance,
 	}
 	s.Seeds = []string{s.PeerAddress}
@@ -158,7 +158,7 @@
 
 // ready reports whether a node takes callers and sends them to so many nodes.
 func (n *Node) ready(ctx context.Context, directory *platform.Directory, nodes int) bool {
-	if !n.TakesCallers() {
+	if !n.AcceptsCallers() {
 		return false
 	}
 	answer, err := directory.Ask(ctx, n.Settings.DirectoryAddress, "", "")
