--- a/internal/edge/settings/settings.go
+++ b/internal/edge/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is what one process of the forwarding tier is told at its
-// start and at each reload.
+// Package settings defines the settings that a node of the forwarding tier reads at its start and at each
+// reload.
 package settings
 
 import (
@@ -11,44 +11,43 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// Edge are the settings of one node.
+// Edge holds the settings of one node.
 type Edge struct {
-	// Node is the VM's name, for people; nodes know each other by PeerAddress.
+	// Node is the VM's name, for operators; nodes identify each other by PeerAddress.
 	Node       string
 	DataCentre string
-	// Regions names the region of each data centre; those not named are in one.
+	// Regions maps data centres to regions. All data centres that are not listed share one region.
 	Regions map[string]string
-	// CallerAddress takes callers' requests, ReadyAddress says whether it does,
-	// DirectoryAddress tells callers which addresses to use.
+	// CallerAddress takes callers' requests, ReadyAddress readiness checks, DirectoryAddress lookups of the
+	// addresses that callers connect to.
 	CallerAddress    string
 	ReadyAddress     string
 	DirectoryAddress string
 	OperatorAddress  string
 	MetricsAddress   string
-	// PeerAddress is the UDP address for other nodes. PeerListen is where this node listens
-	// for them when something on the way forwards to another port; else it is PeerAddress.
+	// PeerAddress is the UDP address that other nodes send to. PeerListen is the address to listen on if
+	// traffic is forwarded to a different port; otherwise it equals PeerAddress.
 	PeerAddress string
 	PeerListen  string
-	// Seeds are peer addresses of a few nodes; they may be stale.
+	// Seeds are the peer addresses of a few nodes; they may be stale.
 	Seeds        []string
 	StoreAddress string
-	// Cores are what the VM has; 0 is not known.
+	// Cores is the number of the VM's CPU cores; 0 means unknown.
 	Cores float64
-	// StopWait is the time from the signal to stop until the process is killed.
+	// StopWait is the time from the stop signal until the process is killed.
 	StopWait time.Duration
-	// ConfigApplyLimit is the time within which an acknowledged configuration is to
-	// be in force.
+	// ConfigApplyLimit is the time within which an acknowledged configuration must be in force.
 	ConfigApplyLimit time.Duration
-	// HeartbeatInterval is the pause between two reports of a replica; 0 is not known.
+	// HeartbeatInterval is the time between two reports of a replica; 0 means unknown.
 	HeartbeatInterval time.Duration
-	// ExtraRatio, ExtraWindow and ExtraAllowance bound the arrivals at a service
-	// beyond the first of each request, over all nodes.
+	// ExtraRatio, ExtraWindow and ExtraAllowance bound the arrivals at a service beyond the first of each
+	// request, over all nodes.
 	ExtraRatio     float64
 	ExtraWindow    time.Duration
 	ExtraAllowance float64
 }
 
-// SetMetricsPort moves the metrics to a fixed port; 0 leaves them where they are.
+// SetMetricsPort changes the port of the metrics address; 0 leaves it unchanged.
 func (e *Edge) SetMetricsPort(port int) {
 	host, _, err := net.SplitHostPort(e.MetricsAddress)
 	if port == 0 || err != nil {
@@ -57,9 +56,9 @@
 	e.MetricsAddress = net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// RestoreFixed puts back what a running process cannot change in place, and names what differed. A node that
-// took another data centre or address for its own would tell other nodes one thing and
-// decide by another, and a changed address would be one that nobody listens on.
+// RestoreFixed restores the settings that cannot change in a running process and returns the names of those
+// that differed. A node with a new data centre or address would announce one value and decide by the other,
+// and nothing would listen on a new address.
 func (e *Edge) RestoreFixed(running *Edge) (kept []string) {
 	for _, one := range []struct {
 		name         string
@@ -88,14 +87,14 @@
 	return kept
 }
 
-// Defaults of settings that may be missing.
+// Defaults of optional settings.
 const (
 	DefaultStopWait    = 6 * time.Second
 	DefaultExtraRatio  = 0.1
 	DefaultExtraWindow = 10 * time.Second
 )
 
-// Validate fills defaults and refuses settings that a node cannot run with.
+// Validate sets defaults and rejects settings that a node cannot run with.
 func (e *Edge) Validate() error {
 	for _, one := range []struct{ name, value string }{
 		{"the node's name", e.Node},
