--- a/internal/edge/account.go
+++ b/internal/edge/account.go
@@ -8,18 +8,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/traffic"
 )
 
-// tellTrafficEvery is how often the log tells the bytes so far, as often as its other summary.
-const tellTrafficEvery = 10 * time.Second
+// trafficLogInterval is the interval between log lines on traffic, the same as that of the log's other
+// summary.
+const trafficLogInterval = 10 * time.Second
 
-// sentToNode counts what went to another node. One that the view does not hold, as at the start, has
-// no known data centre.
-func (n *Node) sentToNode(node core.NodeID, purpose traffic.Purpose, bytes int) {
+// countPeerBytes counts bytes sent to another node. The data centre of a node that is not in the view, as at
+// start-up, is unknown.
+func (n *Node) countPeerBytes(node core.NodeID, purpose traffic.Purpose, bytes int) {
 	known, _ := n.view().Node(node)
 	n.traffic.Add(traffic.Flow{Purpose: purpose, To: known.DataCentre}, bytes)
 }
 
-// tellTraffic writes the bytes so far between this data centre and others.
-func (n *Node) tellTraffic() {
+// logTraffic logs the bytes exchanged so far between this data centre and the others.
+func (n *Node) logTraffic() {
 	fields := decisionlog.Fields{}
 	for purpose, bytes := range n.traffic.Far(n.settings.Load().DataCentre) {
 		fields["far_"+string(purpose)+"_bytes"] = bytes
--- a/internal/edge/answer.go
+++ b/internal/edge/answer.go
@@ -10,7 +10,7 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// answer gives the caller what came of the request.
+// answer sends the result of the request to the caller.
 func (q *request) answer(w http.ResponseWriter, result scatter.Result) {
 	if q.route.Gather != nil && q.answerGathered(w, &result) {
 		return
@@ -22,64 +22,65 @@
 	q.relay(w, q.sends[result.Parts[0]], outcomeWhole, result)
 }
 
-// relay passes a replica's answer on unchanged. A long one is passed on as it comes: when
-// the replica cuts it, the caller's connection is cut too, so that it does not look whole.
+// relay passes a replica's answer on unchanged. A long answer is streamed: if the replica cuts it off, the
+// caller's connection is aborted as well, so that the answer does not look complete.
 func (q *request) relay(w http.ResponseWriter, one *exchange, outcome string, result scatter.Result) {
 	response := one.response
 	if response.Rest == nil {
-		q.tell(outcome, response.Status, result)
+		q.recordOutcome(outcome, response.Status, result)
 		writeAnswer(w, response)
 		return
 	}
 	defer func() { _ = response.Rest.Close() }()
 	writeAnswer(w, response)
 	if _, err := io.Copy(w, response.Rest); err != nil {
-		q.note(step{Event: "answer_cut", Replica: one.send.Replica.ID, Service: one.send.Replica.Service, Cause: err.Error()})
-		q.tell(outcomeFailed, response.Status, result)
+		q.addStep(step{Event: "answer_cut", Replica: one.send.Replica.ID, Service: one.send.Replica.Service, Cause: err.Error()})
+		q.recordOutcome(outcomeFailed, response.Status, result)
 		panic(http.ErrAbortHandler)
 	}
-	q.tell(outcome, response.Status, result)
+	q.recordOutcome(outcome, response.Status, result)
 }
 
-// writeAnswer writes the head of an answer and what is there of its body.
+// writeAnswer writes the head of an answer and the part of its body that has been read.
 func writeAnswer(w http.ResponseWriter, response *replicaconn.Response) {
 	header := w.Header()
-	for name, values := range forwardable(response.Header) {
+	for name, values := range forwardableHeaders(response.Header) {
 		header[name] = values
 	}
 	if header.Get("Content-Type") == "" {
-		// A nil entry keeps net/http from guessing a type.
+		// A nil entry keeps net/http from guessing a content type.
 		header["Content-Type"] = nil
 	}
-	if bodyAllowed(response.Status) && response.Length >= 0 {
+	if allowsBody(response.Status) && response.Length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
 	w.WriteHeader(response.Status)
 	_, _ = w.Write(response.Body)
 }
 
-func bodyAllowed(status int) bool {
+func allowsBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// noteMissing notes for each missing part what its last send came to.
-func (q *request) noteMissing(taken []bool) {
+// addMissingSteps adds a step for each missing part with the result of its last send.
+func (q *request) addMissingSteps(taken []bool) {
 	last := make([]*exchange, len(taken))
 	for _, one := range q.sends {
 		last[one.send.Service] = one
 	}
-	noted := 0
+	added := 0
 	for i, have := range taken {
-		if have || noted >= maxMissing {
+		if have || added >= maxMissingSteps {
 			continue
 		}
-		noted++
-		q.noteLast(q.missing(q.services[i], last[i]))
+		added++
+		q.appendStep(q.missingStep(q.services[i], last[i]))
 	}
 }
 
-// missing says why a part is missing, from the last send for it; nil is none.
-func (q *request) missing(service string, last *exchange) step {
+// missingStep returns the step that gives the reason for a missing part, from its last send; nil means that
+// none was made.
+func (q *request) missingStep(service string, last *exchange) step {
 	s := step{Event: "part_missing", Service: service}
 	if last == nil {
 		s.Cause = "no replica to send to"
@@ -91,31 +92,31 @@
 		s.Via = string(last.group.helper.Node)
 	}
 	switch {
-	case !last.over:
+	case !last.handled:
 		s.Cause = "not answered yet"
 	case last.err != nil:
 		s.Cause = last.err.Error()
 	case last.response != nil:
-		s.Cause, s.Status = "not a part", last.response.Status
+		s.Cause, s.Status = "the answer does not count as a part", last.response.Status
 	}
 	return s
 }
 
-// answerFailure says what is certain: "not run" only when every send proved it.
+// answerFailure answers a failed request. It states "not run" only if every send proved it.
 func (q *request) answerFailure(w http.ResponseWriter, result scatter.Result) {
 	if !result.MayHaveRun {
-		retryAfter := retryFull
+		retryAfter := retryAfterFull
 		switch {
 		case result.Rejected:
 			retryAfter = result.RetryAfter
 		case result.NoReplica:
-			retryAfter = retryNoReplica
+			retryAfter = retryAfterNoReplica
 		}
-		q.tell(outcomeRefused, http.StatusServiceUnavailable, result)
+		q.recordOutcome(outcomeRefused, http.StatusServiceUnavailable, result)
 		writeRefusal(w, retryAfter)
 		return
 	}
-	if one := q.replicasFailure(); one != nil && !result.PastDeadline {
+	if one := q.failureToRelay(); one != nil && !result.PastDeadline {
 		q.relay(w, one, outcomeFailed, result)
 		return
 	}
@@ -123,29 +124,29 @@
 	if result.PastDeadline {
 		status = http.StatusGatewayTimeout
 	}
-	q.tell(outcomeFailed, status, result)
+	q.recordOutcome(outcomeFailed, status, result)
 	http.Error(w, http.StatusText(status), status)
 }
 
-// promises are the statuses that tell a caller that its request has not run.
-var promises = map[int]bool{
+// notRunStatuses are the statuses that tell a caller that its request has not run.
+var notRunStatuses = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// replicasFailure finds a replica's own failure to pass on: the last one with its
-// signature. A failure of a part is not one of the whole, and a status that would
-// promise "not run" is not passed on without the replica's proof.
-func (q *request) replicasFailure() *exchange {
+// failureToRelay returns the failed exchange whose answer is passed on to the caller: the last one that
+// carries the replica's signature. The failure of a part is not a failure of the whole request, and a status
+// that means "not run" is not passed on without the replica's proof.
+func (q *request) failureToRelay() *exchange {
 	if q.route.Gather != nil {
 		return nil
 	}
 	for i := len(q.sends) - 1; i >= 0; i-- {
 		one := q.sends[i]
-		if !one.over || one.response == nil || success(one.response.Status) {
+		if !one.handled || one.response == nil || isSuccess(one.response.Status) {
 			continue
 		}
-		if platform.Stamp(one.response.Header) != "" && !promises[one.response.Status] {
+		if platform.Stamp(one.response.Header) != "" && !notRunStatuses[one.response.Status] {
 			return one
 		}
 	}
--- a/internal/edge/beliefs.go
+++ b/internal/edge/beliefs.go
@@ -14,9 +14,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/scatter"
 )
 
-// beliefs is what a node holds for true while it decides on requests, for use by many of them
-// at once.
-type beliefs struct {
+// sharedState holds the configuration and the outlook that the node's decisions are based on. It is safe for
+// concurrent use.
+type sharedState struct {
 	now    func() core.Time
 	config atomic.Pointer[policy.Config]
 
@@ -24,88 +24,90 @@
 	outlook *outlook.Outlook
 }
 
-func newBeliefs(dataCentre string, regions map[string]string, bound extra.Bound, now func() core.Time) *beliefs {
-	return &beliefs{now: now, outlook: outlook.New(dataCentre, regions, bound, rand.Float64)}
+func newSharedState(dataCentre string, regions map[string]string, bound extra.Bound, now func() core.Time) *sharedState {
+	return &sharedState{now: now, outlook: outlook.New(dataCentre, regions, bound, rand.Float64)}
 }
 
-// plan names the services of a request and plans it; no service is an empty list.
-func (b *beliefs) plan(ask outlook.Request) scatter.Plan {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	ask.Services = b.outlook.Services(ask.Route, ask.Arrived)
-	return b.outlook.Plan(ask)
+// plan chooses the services of a request and plans it. The plan has no services if none of the route has a
+// positive weight.
+func (s *sharedState) plan(request outlook.Request) scatter.Plan {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	request.Services = s.outlook.Services(request.Route, request.Arrived)
+	return s.outlook.Plan(request)
 }
 
-// chooser chooses the replicas of one request.
-func (b *beliefs) chooser(route *policy.Route) scatter.Chooser {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return &lockedChooser{beliefs: b, chooser: b.outlook.Chooser(route)}
+// chooser returns a chooser for the replicas of one request.
+func (s *sharedState) chooser(route *policy.Route) scatter.Chooser {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return &lockedChooser{state: s, chooser: s.outlook.Chooser(route)}
 }
 
-// lockedChooser asks a chooser under the mutex of the beliefs.
+// lockedChooser calls a chooser under the mutex of the shared state.
 type lockedChooser struct {
-	beliefs *beliefs
+	state   *sharedState
 	chooser scatter.Chooser
 }
 
 // Pick implements scatter.Chooser.
 func (c *lockedChooser) Pick(service string, tried []string, now core.Time) (replica.Choice, bool) {
-	c.beliefs.mutex.Lock()
-	defer c.beliefs.mutex.Unlock()
+	c.state.mutex.Lock()
+	defer c.state.mutex.Unlock()
 	return c.chooser.Pick(service, tried, now)
 }
 
 // TakeExtra implements scatter.Chooser.
 func (c *lockedChooser) TakeExtra(service string, now core.Time) bool {
-	c.beliefs.mutex.Lock()
-	defer c.beliefs.mutex.Unlock()
+	c.state.mutex.Lock()
+	defer c.state.mutex.Unlock()
 	return c.chooser.TakeExtra(service, now)
 }
 
 // ExtraScarce implements scatter.Chooser.
 func (c *lockedChooser) ExtraScarce(service string, now core.Time) bool {
-	c.beliefs.mutex.Lock()
-	defer c.beliefs.mutex.Unlock()
+	c.state.mutex.Lock()
+	defer c.state.mutex.Unlock()
 	return c.chooser.ExtraScarce(service, now)
 }
 
-// answered and answeredLate learn from an answer that was waited for, and from one that was not.
-func (b *beliefs) answered(route *policy.Route, life replica.Incarnation, took time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.outlook.Answered(route, life, took, b.now())
+// recordAnswer and recordLateAnswer record the latency of an answer that was awaited, and of one that was
+// not.
+func (s *sharedState) recordAnswer(route *policy.Route, incarnation replica.Incarnation, latency time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.outlook.Answered(route, incarnation, latency, s.now())
 }
 
-func (b *beliefs) answeredLate(route *policy.Route, life replica.Incarnation, took time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.outlook.AnsweredLate(route, life, took, b.now())
+func (s *sharedState) recordLateAnswer(route *policy.Route, incarnation replica.Incarnation, latency time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.outlook.AnsweredLate(route, incarnation, latency, s.now())
 }
 
-// excerptParts and skewed ask and tell how the records of a route lie over its parts.
-func (b *beliefs) excerptParts(route *policy.Route) int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.outlook.ExcerptParts(route, b.now())
+// excerptParts and recordSkew read and update how the records of a route are distributed over its parts.
+func (s *sharedState) excerptParts(route *policy.Route) int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.outlook.ExcerptParts(route, s.now())
 }
 
-func (b *beliefs) skewed(route *policy.Route) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.outlook.RecordSkew(route, b.now())
+func (s *sharedState) recordSkew(route *policy.Route) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.outlook.RecordSkew(route, s.now())
 }
 
-// pauseAge tells how long ago a pause of a replica ended that this node knows of.
-func (b *beliefs) pauseAge(life replica.Incarnation) (time.Duration, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.outlook.Replicas.PauseAge(life, b.now())
+// pauseAge returns the time since the last known pause of a replica ended; false means that none is known.
+func (s *sharedState) pauseAge(incarnation replica.Incarnation) (time.Duration, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.outlook.Replicas.PauseAge(incarnation, s.now())
 }
 
-// note changes the book under the mutex.
-func (b *beliefs) note(change func(book *replica.Table, now core.Time)) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	change(b.outlook.Replicas, b.now())
+// withReplicas gives access to the replica table under the mutex.
+func (s *sharedState) withReplicas(access func(table *replica.Table, now core.Time)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	access(s.outlook.Replicas, s.now())
 }
--- a/internal/edge/callers_test.go
+++ b/internal/edge/callers_test.go
@@ -15,23 +15,23 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-func TestLimitsOfTheConfigurationBindCallers(t *testing.T) {
-	w := newWorld(t)
-	w.replica("notes", "east", "a note")
-	w.serve("east")
-	response, _ := w.ask(w.nodes[0], http.MethodPost, "/plain/x", "r1", strings.Repeat("x", 1001))
+func TestCallersAreHeldToTheConfiguredLimits(t *testing.T) {
+	h := newHarness(t)
+	h.replica("notes", "east", "a note")
+	h.serve("east")
+	response, _ := h.mustRequest(h.nodes[0], http.MethodPost, "/plain/x", "r1", strings.Repeat("x", 1001))
 	require.Equal(t, http.StatusRequestEntityTooLarge, response.StatusCode)
-	response, _ = w.ask(w.nodes[0], http.MethodPost, "/plain/x", "r2", strings.Repeat("x", 1000))
+	response, _ = h.mustRequest(h.nodes[0], http.MethodPost, "/plain/x", "r2", strings.Repeat("x", 1000))
 	require.Equal(t, http.StatusOK, response.StatusCode)
 }
 
-// A caller sends half of its body and stops. The node must not hold it for ever, and since
-// nothing was sent on, "not run" is the truth.
-func TestABodyThatStopsIsGivenUpInTime(t *testing.T) {
-	w := newWorld(t)
-	notes := w.replica("notes", "east", "a note")
-	w.serve("east")
-	conn, err := net.Dial("tcp", w.nodes[0].Settings.CallerAddress)
+// Guards against holding a request for ever whose body stops half-way. As nothing was sent, the answer may
+// state "not run".
+func TestAnIncompleteBodyTimesOut(t *testing.T) {
+	h := newHarness(t)
+	notes := h.replica("notes", "east", "a note")
+	h.serve("east")
+	conn, err := net.Dial("tcp", h.nodes[0].Settings.CallerAddress)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, "POST /plain/x HTTP/1.1\r\nHost: search.example\r\nPistachiopier-Deadline-Ms: 200\r\nContent-Length: 10\r\n\r\nhalf")
@@ -42,39 +42,38 @@
 	require.Empty(t, notes.Arrivals())
 }
 
-// A catalogue export of several megabytes is asked for. Held in memory whole, a few at a time
-// would end a small VM's process; and when the replica stops in the middle, the caller must
-// not take what came for all of it.
+// Guards against buffering answers of several megabytes whole, a few of which would exhaust a small VM's
+// memory. A caller must not take an answer that the replica cuts off for a complete one.
 func TestALongAnswerIsPassedOnInPieces(t *testing.T) {
 	const records = 10 << 20 / 16
 	long := make([]string, records)
 	for i := range long {
 		long[i] = fmt.Sprint("record ", i)
 	}
-	w := newWorld(t)
-	notes := w.replica("notes", "east", long...)
-	w.serve("east")
+	h := newHarness(t)
+	notes := h.replica("notes", "east", long...)
+	h.serve("east")
 	for i, act := range []platformtest.Act{platformtest.Answer, platformtest.Unframed, platformtest.Answer} {
 		notes.SetAct(always(act))
-		response, body := w.ask(w.nodes[0], http.MethodGet, "/plain/x", fmt.Sprint("r", i), "")
+		response, body := h.mustRequest(h.nodes[0], http.MethodGet, "/plain/x", fmt.Sprint("r", i), "")
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		require.Len(t, body, 16*records)
 		require.Equal(t, fmt.Sprintf("%-16.16s", long[records-1]), body[len(body)-16:])
 	}
 	for i, act := range []platformtest.Act{platformtest.Cut, platformtest.UnframedReset} {
 		notes.SetAct(always(act))
-		_, _, err := w.try(w.nodes[0], http.MethodGet, "/plain/x", fmt.Sprint("cut", i), "")
+		_, _, err := h.request(h.nodes[0], http.MethodGet, "/plain/x", fmt.Sprint("cut", i), "")
 		require.Error(t, err, "act %d", act)
 	}
-	require.Eventually(t, func() bool { return strings.Count(w.nodes[0].log.String(), `"answer_cut"`) == 2 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(h.nodes[0].log.String(), `"answer_cut"`) == 2 }, waitLimit, time.Millisecond)
 }
 
-// A caller asks how long an answer is without wanting it.
-func TestAHeadKeepsTheLength(t *testing.T) {
-	w := newWorld(t)
-	w.replica("notes", "east", "a note")
-	w.serve("east")
-	response, body := w.ask(w.nodes[0], http.MethodHead, "/plain/x", "r1", "")
+// Guards against losing the Content-Length of an answer to HEAD.
+func TestAHeadRequestKeepsTheContentLength(t *testing.T) {
+	h := newHarness(t)
+	h.replica("notes", "east", "a note")
+	h.serve("east")
+	response, body := h.mustRequest(h.nodes[0], http.MethodHead, "/plain/x", "r1", "")
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Empty(t, body)
 	require.EqualValues(t, 16, response.ContentLength)
--- a/internal/edge/copies_test.go
+++ b/internal/edge/copies_test.go
@@ -12,7 +12,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/mirror"
 )
 
-// nodesIn are so many nodes, dealt out to data centres in turn.
+// nodesIn returns the given number of nodes, spread evenly over data centres.
 func nodesIn(count, dataCentres int) []route.Node {
 	var nodes []route.Node
 	for i := range count {
@@ -22,8 +22,8 @@
 	return nodes
 }
 
-// A configuration of 40 KB changes in a fleet of 100 nodes in four data centres. Were each
-// node to read from anywhere, three quarters of 4 MB would cross between data centres.
+// Guards against excessive traffic between data centres. If each of 100 nodes in four data centres read a
+// changed configuration of 40 KB from any node, three quarters of 4 MB would cross between data centres.
 func TestChangesCrossBetweenDataCentresFewTimes(t *testing.T) {
 	nodes := nodesIn(100, 4)
 	view := route.NewView(nodes)
@@ -51,9 +51,9 @@
 	}
 }
 
-// The store turns away the readers and a data centre's heads. A node that it turns away too must in turn reach
-// all others of its data centre, behind those that it always asks, or it learns of no change.
-func TestFurtherNodesAreAskedInTurnBehindTheOthers(t *testing.T) {
+// Guards against a node that learns of no change because the store refuses it, the readers and the heads of
+// its data centre. Its last source must rotate over all other nodes of the data centre.
+func TestTheLastSourceRotatesOverTheOtherNodes(t *testing.T) {
 	nodes := nodesIn(24, 2)
 	view := route.NewView(nodes)
 	for _, self := range nodes {
@@ -83,8 +83,8 @@
 	require.Equal(t, mirror.Reader, role)
 }
 
-// All nodes lose power and start again. The replicas still count the former connections:
-// were these more than half of the limit, the new ones would be reset for many seconds.
+// Guards against reset connections after all nodes lose power and restart: the replicas still count the
+// former connections. If these were more than half of the limit, new ones would be reset for many seconds.
 func TestConnectionsOfAllNodesLeaveRoomForTheirSuccessors(t *testing.T) {
 	for _, one := range []struct{ limit, nodes, near int }{{26, 7, 2}, {26, 8, 3}, {26, 7, 1}, {60, 8, 2}, {100, 7, 2}, {520, 8, 2}} {
 		sum := one.near*outlook.ConnectionsPerNode(one.limit, one.nodes, one.near, true) + (one.nodes-one.near)*outlook.ConnectionsPerNode(one.limit, one.nodes, one.near, false)
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -18,42 +18,41 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// A gathered request needs parts from replicas in several data centres. Sends to
-// another one go together, in one message, to a node there, which asks the replicas
-// next to it and merges their records before they travel: a part costs its signature
-// in place of a whole exchange over HTTP. The entry keeps every decision; the other
-// node only carries the sends out. Where no node can be had, the entry sends itself.
+// A gathered request needs parts from replicas in several data centres. The sends to another data centre go
+// in one message to a node there, which sends to the replicas near it and merges their records before they
+// are returned: a part then costs its signature instead of a whole HTTP exchange between data centres. The
+// entry node makes all decisions; the helper only carries out the sends. If no helper is available, the entry
+// node sends to the replicas itself.
 
 const (
-	// maxDelegatedBody is the longest body that goes with delegated sends.
-	maxDelegatedBody = 4 << 10
-	// helperAvoid is how long a node that was not heard is not delegated to.
-	helperAvoid = time.Second
-	// delegateLinger is how long replies are still learnt from after the answer.
-	delegateLinger = 250 * time.Millisecond
-	// flushShare is the part of the hedge delay, one in so many, that a helper may
-	// wait for more parts before its first reply.
-	flushShare = 2
+	// maxDelegatedBodyBytes is the longest request body that is delegated.
+	maxDelegatedBodyBytes = 4 << 10
+	// helperAvoidTime is how long a helper that did not reply is not delegated to.
+	helperAvoidTime = time.Second
+	// lateReplyTime is how long replies are still processed after the request was answered.
+	lateReplyTime = 250 * time.Millisecond
+	// A helper may delay its first reply by the hedge delay divided by flushDivisor, to collect more parts.
+	flushDivisor = 2
 )
 
-// group is the sends of one request that go through one node.
+// group is the sends of one request that are delegated to one node.
 type group struct {
 	helper peer.Target
-	// apart is set when each part comes with its own records, and not merged.
-	apart bool
-	// heard is set once the helper has replied.
-	heard  atomic.Bool
-	ticket peer.Ticket
+	// separate is set if each part is returned with its own records instead of merged ones.
+	separate bool
+	// replied is set once the helper has replied.
+	replied atomic.Bool
+	ticket  peer.Ticket
 
 	mutex sync.Mutex
 	// members are the sends that have not ended, by id.
 	members map[uint32]*exchange
-	// batches are the replies, in their order.
+	// batches are the merged replies, in the order of their arrival.
 	batches []*batch
 }
 
-// end takes a send out of the group; nil is one that has ended before.
-func (g *group) end(id uint32) *exchange {
+// remove removes a send from the group and returns it, or nil if it has ended before.
+func (g *group) remove(id uint32) *exchange {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	one := g.members[id]
@@ -61,39 +60,39 @@
 	return one
 }
 
-// endAll takes out the sends that have not ended.
-func (g *group) endAll() []*exchange {
+// removeAll removes and returns the sends that have not ended.
+func (g *group) removeAll() []*exchange {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	left := slices.Collect(maps.Values(g.members))
+	remaining := slices.Collect(maps.Values(g.members))
 	clear(g.members)
-	return left
+	return remaining
 }
 
-// received are the replies whose ends the request has taken, in their order: each leaves out
-// what the former ones outdo.
-func (g *group) received() []*batch {
+// handledBatches returns the leading batches whose ends the request has handled. The order matters: each
+// batch omits the records that earlier ones outrank.
+func (g *group) handledBatches() []*batch {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for i, one := range g.batches {
-		if !one.members[0].over {
+		if !one.members[0].handled {
 			return slices.Clone(g.batches[:i])
 		}
 	}
 	return slices.Clone(g.batches)
 }
 
-// batch is the records of parts that came merged. They count together or not at all.
+// batch holds the records of parts that were merged. They count together or not at all.
 type batch struct {
 	excerpt topk.Excerpt
 	members []*exchange
 }
 
-// helpers remembers which nodes were not heard lately.
+// helpers chooses helpers in turn and leaves out those that did not reply recently.
 type helpers struct {
 	mutex   sync.Mutex
 	avoided map[core.NodeID]core.Time
-	turn    uint64
+	next    uint64
 }
 
 func (h *helpers) avoid(node core.NodeID, now core.Time) {
@@ -102,16 +101,16 @@
 	if h.avoided == nil {
 		h.avoided = map[core.NodeID]core.Time{}
 	}
-	h.avoided[node] = now + helperAvoid
+	h.avoided[node] = now + helperAvoidTime
 }
 
-// choose takes the nodes of a list in turn, leaving out those to avoid.
+// choose returns the next node of a list that is not avoided.
 func (h *helpers) choose(nodes []peer.Target, now core.Time) (peer.Target, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.turn++
+	h.next++
 	for i := range nodes {
-		one := nodes[(h.turn+uint64(i))%uint64(len(nodes))]
+		one := nodes[(h.next+uint64(i))%uint64(len(nodes))]
 		if now >= h.avoided[one.Node] {
 			return one, true
 		}
@@ -119,10 +118,10 @@
 	return peer.Target{}, false
 }
 
-// helper chooses a node of a data centre to delegate to.
-func (n *Node) helper(dataCentre string) (peer.Target, bool) {
+// chooseHelper chooses a node of a data centre to delegate to.
+func (n *Node) chooseHelper(dataCentre string) (peer.Target, bool) {
 	var nodes []peer.Target
-	for _, one := range n.chosen() {
+	for _, one := range n.currentEntries() {
 		if one.DataCentre == dataCentre && one.ID != n.identity.Node {
 			nodes = append(nodes, peer.Target{Node: one.ID, Address: one.PeerAddress})
 		}
@@ -130,51 +129,53 @@
 	return n.helpers.choose(nodes, n.now())
 }
 
-// delegate hands sends to other data centres to nodes there and returns the exchanges that are left.
+// delegate hands the sends to other data centres to helpers there and returns the exchanges that remain to be
+// sent directly.
 //
-// Hedges go the same way: several of one question become due together, the nodes next to the replicas
-// hold open connections to them, and a part then costs a fifth of the bytes between data centres of an
-// exchange over HTTP. Their parts come apart: of two merged replies that hold parts of one shard
-// none could be used. Retries are single and go at once.
+// Hedges are delegated as well: several hedges of one query become due together, the helpers hold open
+// connections to the replicas, and a part then costs a fifth of the bytes between data centres of an exchange
+// over HTTP. Their parts are returned separately: of two merged replies that contain parts of the same shard,
+// neither could be used. Retries occur one at a time and are sent directly.
 func (q *request) delegate(started []*exchange) []*exchange {
-	if q.route.Gather == nil || len(q.template.Body) > maxDelegatedBody {
+	if q.route.Gather == nil || len(q.template.Body) > maxDelegatedBodyBytes {
 		return started
 	}
 	var direct []*exchange
-	ways := map[way][]*exchange{}
+	groups := map[groupKey][]*exchange{}
 	for _, one := range started {
 		if !one.send.Remote || one.send.Cause == scatter.Retry || one.send.ShardAlone {
 			direct = append(direct, one)
 			continue
 		}
-		along := way{dataCentre: one.send.Replica.DataCentre, apart: one.send.Cause == scatter.Hedge}
-		ways[along] = append(ways[along], one)
+		key := groupKey{dataCentre: one.send.Replica.DataCentre, separate: one.send.Cause == scatter.Hedge}
+		groups[key] = append(groups[key], one)
 	}
-	for along, members := range ways {
-		helper, ok := q.node.helper(along.dataCentre)
+	for key, members := range groups {
+		helper, ok := q.node.chooseHelper(key.dataCentre)
 		if !ok {
 			direct = append(direct, members...)
 			continue
 		}
-		q.ask(helper, members, along.apart)
+		q.delegateTo(helper, members, key.separate)
 	}
 	return direct
 }
 
-// way is how sends go to a data centre: their parts come merged or apart.
-type way struct {
+// groupKey tells apart the groups of a request: by data centre, and by whether the parts are returned merged
+// or separately.
+type groupKey struct {
 	dataCentre string
-	apart      bool
+	separate   bool
 }
 
-// ask sends a group to a helper, whose parts are to come merged or apart.
-func (q *request) ask(helper peer.Target, members []*exchange, apart bool) {
-	g := &group{helper: helper, apart: apart, members: map[uint32]*exchange{}}
+// delegateTo sends a group to a helper.
+func (q *request) delegateTo(helper peer.Target, members []*exchange, separate bool) {
+	g := &group{helper: helper, separate: separate, members: map[uint32]*exchange{}}
 	message := &peerpb.DelegateRequest{
 		Method: q.template.Method, Target: q.template.Target, Host: q.template.Host, Body: q.template.Body,
 		RequestId: q.id, TimeLeftUs: uint64(max(q.plan.Deadline-q.node.now(), 0).Microseconds()),
-		FlushUs: uint64((q.plan.HedgeAfter / flushShare).Microseconds()), TopK: uint32(q.route.Gather.TopK),
-		Parts: uint32(q.node.beliefs.excerptParts(q.route)), Apart: apart,
+		FlushUs: uint64((q.plan.HedgeAfter / flushDivisor).Microseconds()), TopK: uint32(q.route.Gather.TopK),
+		Parts: uint32(q.node.state.excerptParts(q.route)), Apart: separate,
 	}
 	for name, values := range q.template.Header {
 		for _, value := range values {
@@ -188,90 +189,90 @@
 		message.Sends = append(message.Sends, &peerpb.DelegatedSend{Id: uint32(one.send.ID), Service: to.Service, Replica: to.ID, Address: to.Address, Born: to.Born})
 	}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_DelegateRequest{DelegateRequest: message}}
-	g.ticket = q.node.pool.Ask(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
-		q.helperReplied(g, reply, failure)
+	g.ticket = q.node.peerPool.Ask(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+		q.handleHelperReply(g, reply, failure)
 	})
-	go q.endGroup(g)
+	go q.closeGroup(g)
 }
 
-// endGroup withdraws what is left of a group some time after the request's end.
-func (q *request) endGroup(g *group) {
-	<-q.over
-	if !q.left.Load() {
-		time.Sleep(delegateLinger)
+// closeGroup cancels the remaining sends of a group some time after the end of the request.
+func (q *request) closeGroup(g *group) {
+	<-q.done
+	if !q.callerLeft.Load() {
+		time.Sleep(lateReplyTime)
 	}
 	g.ticket.Cancel()
-	q.forget(g.endAll())
+	q.releaseSends(g.removeAll())
 }
 
-// forget notes that sends no longer run whose ends nobody will tell.
-func (q *request) forget(sends []*exchange) {
-	q.node.beliefs.note(func(book *replica.Table, _ core.Time) {
+// releaseSends no longer counts sends as in flight whose ends will not be reported.
+func (q *request) releaseSends(sends []*exchange) {
+	q.node.state.withReplicas(func(table *replica.Table, _ core.Time) {
 		for _, one := range sends {
-			book.Ended(one.send.Replica.Incarnation())
+			table.Ended(one.send.Replica.Incarnation())
 		}
 	})
 }
 
-// helperReplied takes a reply; it runs on the link's goroutine, one reply at a time.
-func (q *request) helperReplied(g *group, reply *peerpb.Envelope, failure *peer.LinkError) {
+// handleHelperReply processes a reply. It runs on the link's goroutine, one reply at a time.
+func (q *request) handleHelperReply(g *group, reply *peerpb.Envelope, failure *peer.LinkError) {
 	parts := reply.GetDelegateReply()
 	switch {
 	case failure != nil && failure.Outcome != core.NotRun:
 		q.node.helpers.avoid(g.helper.Node, q.node.now())
 		ends := g.fail(failure)
-		q.forget(ends)
-		q.tellEnds(ends)
+		q.releaseSends(ends)
+		q.deliverEnds(ends)
 		return
 	case failure != nil || parts == nil:
-		// Nothing was sent on: this node does it itself.
+		// The helper sent nothing, so this node sends to the replicas itself.
 		q.node.helpers.avoid(g.helper.Node, q.node.now())
-		q.sendGroup(g)
+		q.sendGroupDirect(g)
 		return
 	}
-	g.heard.Store(true)
-	ends := g.take(parts)
+	g.replied.Store(true)
+	ends := g.applyReply(parts)
 	if len(ends) == 0 {
 		return
 	}
 	for _, one := range ends {
-		q.learnDelegated(one)
+		q.recordDelegatedEnd(one)
 	}
-	q.tellEnds(ends)
+	q.deliverEnds(ends)
 }
 
-// sendGroup sends a group from this node, unless the request is over.
-func (q *request) sendGroup(g *group) {
+// sendGroupDirect sends a group from this node unless the request has ended.
+func (q *request) sendGroupDirect(g *group) {
 	select {
-	case <-q.over:
+	case <-q.done:
 		return
 	default:
 	}
-	for _, one := range g.endAll() {
-		go q.direct(one)
+	for _, one := range g.removeAll() {
+		go q.sendDirect(one)
 	}
 }
 
-// fail ends what is open of a group: it may have run.
+// fail ends the remaining sends of a group as failed: they may have run.
 func (g *group) fail(cause error) []*exchange {
-	ends := g.endAll()
+	ends := g.removeAll()
 	for _, one := range ends {
 		one.err, one.verdict = cause, scatter.Failed
 	}
 	return ends
 }
 
-// take reads the ends of sends out of a reply.
-func (g *group) take(reply *peerpb.DelegateReply) []*exchange {
+// applyReply records the ends of sends that a reply reports and returns their exchanges.
+func (g *group) applyReply(reply *peerpb.DelegateReply) []*exchange {
 	merged := &batch{excerpt: topk.Excerpt{Records: reply.GetRecords(), Truncated: reply.GetCut()}}
 	var ends []*exchange
 	for _, part := range reply.GetParts() {
-		one := g.end(part.GetId())
+		one := g.remove(part.GetId())
 		if one == nil {
 			continue
 		}
 		one.verdict, one.broken = scatter.Verdict(part.GetVerdict()), part.GetBroken()
-		one.took = time.Duration(part.GetTookUs()) * time.Microsecond
+		one.latency = time.Duration(part.GetTookUs()) * time.Microsecond
 		one.pauseEnded = time.Duration(part.GetPauseEndedMs()) * time.Millisecond
 		if part.GetStatus() != 0 {
 			one.response = &replicaconn.Response{Status: int(part.GetStatus()), Header: http.Header{}}
@@ -279,15 +280,15 @@
 		switch {
 		case one.verdict != scatter.Succeeded || one.response == nil:
 			if one.verdict == scatter.Succeeded {
-				// A part without a status cannot be counted as one.
+				// A part without a status does not count as an answer.
 				one.verdict = scatter.Failed
 			}
 			one.err = &replicaconn.Error{Step: "delegated send", Sent: one.verdict != scatter.Unreached, Cause: delegatedError(part.GetCause())}
-		case g.apart && !reply.GetApart():
-			// A node of an older version merged them. Taken for parts without records, they
-			// would be named in an answer that lacks what they hold.
-			one.verdict, one.err = scatter.Failed, delegatedError("the node does not send parts apart")
-		case g.apart:
+		case g.separate && !reply.GetApart():
+			// A helper of an older version merged the parts. Treated as parts without records, they would be
+			// named in an answer that lacks their records.
+			one.verdict, one.err = scatter.Failed, delegatedError("the helper merged parts that were requested separately")
+		case g.separate:
 			platform.SetStamp(one.response.Header, part.GetStamp())
 			one.response.Body = part.GetRecords()
 		default:
@@ -305,7 +306,7 @@
 	return ends
 }
 
-// delegatedError is what another node says of a failed send.
+// delegatedError is the cause that a helper reports for a failed send.
 type delegatedError string
 
 // Error implements error.
--- a/internal/edge/delegated.go
+++ b/internal/edge/delegated.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// maxDelegated bounds the delegated groups in work here; further ones are
-	// refused and their entries send by themselves.
-	maxDelegated = 512
-	// flushPause is the least time between two replies to one group, so that parts
-	// that come close together travel together.
-	flushPause = 3 * time.Millisecond
+	// maxDelegatedGroups bounds the groups that this node processes for other nodes. Further ones are
+	// refused, and their entry nodes send to the replicas themselves.
+	maxDelegatedGroups = 512
+	// minFlushInterval is the minimum time between two replies to one group, so that parts that arrive within
+	// it share a reply.
+	minFlushInterval = 3 * time.Millisecond
 )
 
-// handleDelegate takes the sends of another node.
+// handleDelegate processes a group of sends for another node.
 func (n *Node) handleDelegate(inbound *peer.Inbound) {
-	if n.delegated.Add(1) > maxDelegated {
-		n.delegated.Add(-1)
+	if n.delegatedGroups.Add(1) > maxDelegatedGroups {
+		n.delegatedGroups.Add(-1)
 		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
 		return
 	}
 	go func() {
-		defer n.delegated.Add(-1)
+		defer n.delegatedGroups.Add(-1)
 		n.serveDelegate(inbound)
 	}()
 }
 
-// serveDelegate carries the sends out and replies as they end.
+// serveDelegate carries out the sends and replies as they end.
 func (n *Node) serveDelegate(inbound *peer.Inbound) {
 	message := inbound.Envelope.GetDelegateRequest()
 	q := n.delegatedRequest(message)
@@ -49,19 +49,18 @@
 	ctx, cancel := context.WithDeadline(inbound.Context, time.Now().Add(q.plan.Deadline-n.now()))
 	defer cancel()
 	q.ended = make(chan []*exchange, len(message.GetSends()))
-	q.over = make(chan struct{})
-	defer close(q.over)
+	q.done = make(chan struct{})
+	defer close(q.done)
 	for _, send := range message.GetSends() {
 		n.startDelegated(ctx, q, send)
 	}
-	replies := &replies{inbound: inbound, pauseAge: n.beliefs.pauseAge, apart: message.GetApart(), sender: topk.NewExcerptBuilder(int(message.GetTopK()), int(message.GetParts()))}
+	replies := &delegateReplies{inbound: inbound, pauseAge: n.state.pauseAge, separate: message.GetApart(), excerpts: topk.NewExcerptBuilder(int(message.GetTopK()), int(message.GetParts()))}
 	replies.run(ctx, q, time.Duration(message.GetFlushUs())*time.Microsecond, len(message.GetSends()))
 }
 
-// delegatedRequest makes the request that the sends belong to, or nil when this node
-// has no such route.
+// delegatedRequest returns the request that the sends belong to, or nil if this node has no such route.
 func (n *Node) delegatedRequest(message *peerpb.DelegateRequest) *request {
-	config := n.beliefs.config.Load()
+	config := n.state.config.Load()
 	if config == nil {
 		return nil
 	}
@@ -77,13 +76,12 @@
 	}
 	q.template.Method, q.template.Target, q.template.Host = message.GetMethod(), message.GetTarget(), message.GetHost()
 	q.template.Header, q.template.Body, q.template.ID = header, message.GetBody(), q.id
-	q.names = sync.OnceValue(func() quarantine.Names { return q.identity().Names() })
+	q.quarantineNames = sync.OnceValue(func() quarantine.Names { return q.identity().Names() })
 	return q
 }
 
-// startDelegated sends to one replica. One that is known here to leave, or whose id a later
-// incarnation has taken, is not sent to:
-// the other node may not have heard of it yet.
+// startDelegated sends to one replica. A replica that this node knows to be leaving or evacuated, or whose id
+// belongs to a later incarnation, gets no send: the entry node may not have received that update yet.
 func (n *Node) startDelegated(ctx context.Context, q *request, send *peerpb.DelegatedSend) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	one := &exchange{ctx: ctx, cancel: cancel, startAt: n.now()}
@@ -92,44 +90,44 @@
 		ID: send.GetReplica(), Born: send.GetBorn(), Service: send.GetService(), Address: send.GetAddress(),
 		DataCentre: n.settings.Load().DataCentre,
 	}
-	var unwanted bool
-	n.beliefs.note(func(book *replica.Table, _ core.Time) { unwanted = book.KnownUnusable(one.send.Replica) })
-	if unwanted {
-		one.verdict, one.err = scatter.Unreached, delegatedError("the replica is leaving, evacuated or has started again")
+	var unusable bool
+	n.state.withReplicas(func(table *replica.Table, _ core.Time) { unusable = table.KnownUnusable(one.send.Replica) })
+	if unusable {
+		one.verdict, one.err = scatter.Unreached, delegatedError("the replica is leaving, evacuated or was replaced by a later incarnation")
 		cancel(nil)
 		q.ended <- []*exchange{one}
 		return
 	}
-	n.beliefs.note(func(book *replica.Table, now core.Time) { book.Sent(one.send.Replica.Incarnation(), now) })
-	go q.direct(one)
+	n.state.withReplicas(func(table *replica.Table, now core.Time) { table.Sent(one.send.Replica.Incarnation(), now) })
+	go q.sendDirect(one)
 }
 
-// replies sends what has ended back to the entry.
-type replies struct {
-	inbound *peer.Inbound
-	sender  *topk.ExcerptBuilder
-	// pauseAge tells how long ago a pause of a replica ended.
-	pauseAge func(life replica.Incarnation) (time.Duration, bool)
-	// apart is set when each part is to have its own records.
-	apart   bool
-	pending []*exchange
-	// told is set once there was a reply.
-	told bool
+// delegateReplies reports ended sends to the entry node.
+type delegateReplies struct {
+	inbound  *peer.Inbound
+	excerpts *topk.ExcerptBuilder
+	// pauseAge returns the time since the last known pause of a replica ended.
+	pauseAge func(incarnation replica.Incarnation) (time.Duration, bool)
+	// separate is set if each part is returned with its own records.
+	separate bool
+	pending  []*exchange
+	// replied is set once a reply was sent.
+	replied bool
 }
 
-// run collects ends until all are there. The first reply waits a while for most of the
-// parts; later ones are stragglers and go soon.
-func (r *replies) run(ctx context.Context, q *request, first time.Duration, left int) {
-	timer := time.NewTimer(first)
+// run collects ends until all sends have ended. The first reply is delayed so that it holds most of the
+// parts; later ones hold stragglers and are sent soon.
+func (r *delegateReplies) run(ctx context.Context, q *request, firstWait time.Duration, remaining int) {
+	timer := time.NewTimer(firstWait)
 	defer timer.Stop()
 	waiting := true
-	for left > 0 {
+	for remaining > 0 {
 		select {
 		case ends := <-q.ended:
-			left -= len(ends)
+			remaining -= len(ends)
 			r.pending = append(r.pending, ends...)
-			if left > 0 && !waiting {
-				timer.Reset(flushPause)
+			if remaining > 0 && !waiting {
+				timer.Reset(minFlushInterval)
 				waiting = true
 			}
 		case <-timer.C:
@@ -142,22 +140,22 @@
 	r.flush(true)
 }
 
-// flush replies what has ended, and once that nothing has ended yet. Without that one a node that sends
-// to one slow replica looks silent itself, and its entry turns to the replicas themselves, at the cost of a request between data
-// centres for each part.
-func (r *replies) flush(last bool) {
-	if len(r.pending) == 0 && (r.told || last) {
+// flush reports the ends since the last reply. The first reply is sent even if nothing has ended: without it,
+// a helper whose only replica is slow would itself appear silent, and the entry node would send to the
+// replicas directly, at the cost of one request between data centres for each part.
+func (r *delegateReplies) flush(last bool) {
+	if len(r.pending) == 0 && (r.replied || last) {
 		return
 	}
-	reply := &peerpb.DelegateReply{Apart: r.apart}
+	reply := &peerpb.DelegateReply{Apart: r.separate}
 	var parts [][]byte
 	for _, one := range r.pending {
-		part := &peerpb.DelegatedPart{Id: uint32(one.send.ID), Verdict: uint32(one.verdict), TookUs: uint64(one.took.Microseconds()), PauseEndedMs: r.pauseEnded(one), Broken: one.broken}
+		part := &peerpb.DelegatedPart{Id: uint32(one.send.ID), Verdict: uint32(one.verdict), TookUs: uint64(one.latency.Microseconds()), PauseEndedMs: r.pauseEndedMs(one), Broken: one.broken}
 		switch {
 		case one.verdict == scatter.Succeeded:
 			part.Status, part.Stamp = uint32(one.response.Status), platform.Stamp(one.response.Header)
-			if r.apart {
-				part.Records = r.sender.Top(one.response.Body)
+			if r.separate {
+				part.Records = r.excerpts.Top(one.response.Body)
 			} else {
 				parts = append(parts, one.response.Body)
 			}
@@ -168,16 +166,16 @@
 		}
 		reply.Parts = append(reply.Parts, part)
 	}
-	excerpt := r.sender.Build(parts)
+	excerpt := r.excerpts.Build(parts)
 	reply.Records, reply.Cut = excerpt.Records, excerpt.Truncated
 	r.pending = nil
-	r.told = true
+	r.replied = true
 	r.inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_DelegateReply{DelegateReply: reply}}, last)
 }
 
-// pauseEnded is what is told of the pauses of a replica. Nodes next to it see them more often than
-// each of those that send through them.
-func (r *replies) pauseEnded(one *exchange) uint32 {
+// pauseEndedMs returns the age of the replica's last pause in milliseconds plus one; 0 means none. Nodes near
+// a replica see its pauses more often than the nodes that send through them.
+func (r *delegateReplies) pauseEndedMs(one *exchange) uint32 {
 	age, known := r.pauseAge(one.send.Replica.Incarnation())
 	if !known || age > maxPauseAge {
 		return 0
@@ -185,5 +183,5 @@
 	return uint32(age.Milliseconds()) + 1
 }
 
-// maxPauseAge bounds the ages of pauses that are told: older ones say nothing of the next.
+// maxPauseAge bounds the ages of reported pauses: older ones do not help to predict the next.
 const maxPauseAge = time.Minute
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -13,12 +13,12 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// keepSeconds is how long callers keep an address answer. Some keep it three times
-// as long, and a node that stops serves on for all of that.
-const keepSeconds = 1
+// addressTTLSeconds is how long callers are asked to cache a list of addresses. Some cache it three times as
+// long, and a stopping node keeps serving for that time.
+const addressTTLSeconds = 1
 
-// directory answers callers that ask where to connect.
-func (n *Node) directory() http.Handler {
+// directoryHandler returns the addresses that callers connect to.
+func (n *Node) directoryHandler() http.Handler {
 	router := newRouter()
 	router.GET(platform.PathResolve, func(c *gin.Context) {
 		addresses := n.addresses(platform.Asker(c.Query))
@@ -26,13 +26,13 @@
 			c.Status(http.StatusServiceUnavailable)
 			return
 		}
-		c.JSON(http.StatusOK, platform.Addresses{Addresses: addresses, KeepSeconds: keepSeconds})
+		c.JSON(http.StatusOK, platform.Addresses{Addresses: addresses, KeepSeconds: addressTTLSeconds})
 	})
 	return router
 }
 
-// readiness answers whether this node takes callers.
-func (n *Node) readiness() http.Handler {
+// readinessHandler reports whether this node accepts callers.
+func (n *Node) readinessHandler() http.Handler {
 	router := newRouter()
 	router.GET(platform.PathReady, func(c *gin.Context) {
 		if !n.AcceptsCallers() {
@@ -44,17 +44,17 @@
 	return router
 }
 
-// AcceptsCallers reports whether callers are to use this node: it knows a configuration and
-// is not about to stop.
-func (n *Node) AcceptsCallers() bool { return !n.stopping.Load() && n.beliefs.config.Load() != nil }
+// AcceptsCallers reports whether callers should use this node: it has a configuration and is not about to
+// stop.
+func (n *Node) AcceptsCallers() bool { return !n.stopping.Load() && n.state.config.Load() != nil }
 
-// operator serves the metrics and the state dump.
-func (n *Node) operator() http.Handler {
+// operatorHandler serves the metrics and the state dump.
+func (n *Node) operatorHandler() http.Handler {
 	router := newRouter()
 	router.GET("/metrics", func(c *gin.Context) {
 		c.Header("Content-Type", "text/plain; version=0.0.4")
-		n.readBudgets()
-		observe.WriteText(c.Writer, n.metrics.registry)
+		n.updateBudgetGauges()
+		observe.WriteText(c.Writer, n.metrics.reg)
 	})
 	router.GET("/dump", func(c *gin.Context) { c.JSON(http.StatusOK, n.dump()) })
 	return router
@@ -65,23 +65,23 @@
 	return gin.New()
 }
 
-// maxAddresses bounds an address answer.
+// maxAddresses bounds the addresses in one answer.
 const maxAddresses = 64
 
-// addresses lists the nodes that callers of a data centre are to use: those there, else
-// those of its region, else all. The answer is kept for a second, so that a caller whose
-// only node is lost soon learns of the others.
+// addresses lists the nodes that callers of a data centre should use: those in the data centre, else those in
+// its region, else all. Callers cache the list for a second, so that a caller whose only node fails soon gets
+// the others.
 func (n *Node) addresses(dataCentre string) []string {
-	nodes := n.chosen()
+	entries := n.currentEntries()
 	regions := n.settings.Load().Regions
-	for _, near := range []func(route.Node) bool{
+	for _, matches := range []func(route.Node) bool{
 		func(one route.Node) bool { return one.DataCentre == dataCentre },
 		func(one route.Node) bool { return regions[one.DataCentre] == regions[dataCentre] },
 		func(route.Node) bool { return true },
 	} {
 		var addresses []string
-		for _, one := range nodes {
-			if near(one) {
+		for _, one := range entries {
+			if matches(one) {
 				addresses = append(addresses, one.CallerAddress)
 			}
 		}
@@ -92,80 +92,79 @@
 	return nil
 }
 
-// preferred lists the nodes that callers are sent to. Few strong nodes are better than
-// many weak ones: each keeps its connections to replicas warm and knows from its own
-// requests how the replicas do. Data centres without replicas of shards are left out.
-func (n *Node) preferred() []route.Node {
-	nodes := n.placed()
-	counts := n.shardReplicas()
-	most := 0
+// selectEntries selects the nodes that callers are sent to. A few strong nodes are better than many weak
+// ones: each keeps its connections to replicas warm and learns the state of replicas from its own requests.
+// Data centres with less than half as many replicas of shards as the largest one are left out.
+func (n *Node) selectEntries() []route.Node {
+	nodes := n.nodesWithAddress()
+	counts := n.countShardReplicas()
+	maxCount := 0
 	for _, count := range counts {
-		most = max(most, count)
+		maxCount = max(maxCount, count)
 	}
-	var near []route.Node
+	var candidates []route.Node
 	for _, node := range nodes {
-		if 2*counts[node.DataCentre] >= most {
-			near = append(near, node)
+		if 2*counts[node.DataCentre] >= maxCount {
+			candidates = append(candidates, node)
 		}
 	}
-	if most == 0 || len(near) == 0 {
-		near = nodes
+	if maxCount == 0 || len(candidates) == 0 {
+		candidates = nodes
 	}
-	return strongest(near)
+	return selectStrong(candidates)
 }
 
 const (
-	// strongShare is the weight, as a share of the greatest, from which on a node
-	// counts as strong.
-	strongShare = 0.5
-	// leastShare is the share of the weight of all nodes that those chosen have at
-	// least, so that the loss of strong nodes does not overload the last of them.
-	leastShare = 0.15
+	// strongWeightShare is the share of the greatest weight from which a node counts as strong.
+	strongWeightShare = 0.5
+	// minWeightShare is the minimum share of the total weight that the selected nodes have, so that the loss
+	// of strong nodes does not overload the remaining ones.
+	minWeightShare = 0.15
 )
 
-// strongest takes the strong nodes, and further ones in the order of their weight and
-// id while the chosen are too weak for the whole.
-func strongest(nodes []route.Node) []route.Node {
+// selectStrong selects the strong nodes, and further ones in the order of their weight while the selected
+// weight is too small.
+func selectStrong(nodes []route.Node) []route.Node {
 	sorted := slices.Clone(nodes)
 	slices.SortStableFunc(sorted, func(a, b route.Node) int { return cmp.Compare(b.Weight, a.Weight) })
-	total := 0.0
+	totalWeight := 0.0
 	for _, node := range sorted {
-		total += float64(node.Weight)
+		totalWeight += float64(node.Weight)
 	}
-	chosen := 0.0
+	selectedWeight := 0.0
 	for i, node := range sorted {
-		strong := float64(node.Weight) >= strongShare*float64(sorted[0].Weight)
-		if !strong && chosen >= leastShare*total {
+		strong := float64(node.Weight) >= strongWeightShare*float64(sorted[0].Weight)
+		if !strong && selectedWeight >= minWeightShare*totalWeight {
 			return sorted[:i]
 		}
-		chosen += float64(node.Weight)
+		selectedWeight += float64(node.Weight)
 	}
 	return sorted
 }
 
-// placed lists the live nodes whose addresses are known: a seed is known by its peer
-// address alone until it has answered.
-func (n *Node) placed() []route.Node {
-	var placed []route.Node
+// nodesWithAddress lists the live nodes whose caller addresses are known. Only the peer address of a seed is
+// known until it has answered.
+func (n *Node) nodesWithAddress() []route.Node {
+	var nodes []route.Node
 	for _, node := range n.view().Nodes() {
 		if node.CallerAddress != "" {
-			placed = append(placed, node)
+			nodes = append(nodes, node)
 		}
 	}
-	return placed
+	return nodes
 }
 
-// shardReplicas counts the replicas of gathered services in each data centre.
-func (n *Node) shardReplicas() map[string]int {
-	config := n.beliefs.config.Load()
+// countShardReplicas counts the replicas of gathered services by data centre.
+func (n *Node) countShardReplicas() map[string]int {
+	config := n.state.config.Load()
 	if config == nil {
 		return nil
 	}
 	gathered := config.GatheredServices()
 	counts := map[string]int{}
-	n.beliefs.mutex.Lock()
-	defer n.beliefs.mutex.Unlock()
-	n.beliefs.outlook.Replicas.Each(func(one replica.Replica) {
+	n.state.mutex.Lock()
+	defer n.state.mutex.Unlock()
+	n.state.outlook.Replicas.Each(func(one replica.Replica) {
 		if gathered[one.Service] && !one.Draining {
 			counts[one.DataCentre]++
 		}
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -12,17 +12,18 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-// askAll asks a node so many questions over all shards, which must be whole but for missing parts.
-func (w *world) askAll(one *node, id string, count int, missing string) {
-	w.t.Helper()
+// requestAll sends queries over all shards to a node, which must be answered with the given number of missing
+// parts.
+func (h *harness) requestAll(one *node, id string, count int, missing string) {
+	h.t.Helper()
 	for i := range count {
-		response, _ := w.ask(one, http.MethodGet, "/all/x", fmt.Sprint(id, i), "")
-		require.Equal(w.t, http.StatusOK, response.StatusCode)
-		require.Equal(w.t, missing, response.Header.Get("Pistachiopier-Missing-Parts"))
+		response, _ := h.mustRequest(one, http.MethodGet, "/all/x", fmt.Sprint(id, i), "")
+		require.Equal(h.t, http.StatusOK, response.StatusCode)
+		require.Equal(h.t, missing, response.Header.Get("Pistachiopier-Missing-Parts"))
 	}
 }
 
-// arrivals counts what replicas got.
+// arrivals counts the requests that replicas received.
 func arrivals(replicas ...*platformtest.Replica) int {
 	count := 0
 	for _, one := range replicas {
@@ -31,115 +32,115 @@
 	return count
 }
 
-// The operators empty a data centre before they switch it off. Requests that still go there, from nodes
-// next to its replicas or from others through these, are lost with it. Once they take it back its
-// replicas are to be used again.
+// The operators evacuate a data centre before they switch it off. Requests that still go there, from nodes
+// near its replicas or through them from others, would be lost. After the end of the evacuation its replicas
+// are used again.
 func TestAnEvacuatedDataCentreGetsNothing(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	var east []*platformtest.Replica
 	for _, service := range []string{"s1", "s2", "s3"} {
-		east = append(east, w.replica(service, "east", "a"))
-		w.replica(service, "west", "a")
+		east = append(east, h.replica(service, "east", "a"))
+		h.replica(service, "west", "a")
 	}
-	w.serve("east", "west")
-	w.askAll(w.nodes[0], "before", 3, "0")
+	h.serve("east", "west")
+	h.requestAll(h.nodes[0], "before", 3, "0")
 	require.NotZero(t, arrivals(east...))
 
-	w.store.Evacuate("east")
-	for _, one := range w.nodes {
-		w.line(one, "evacuation_in_force")
+	h.store.Evacuate("east")
+	for _, one := range h.nodes {
+		h.waitForEvent(one, "evacuation_in_force")
 	}
 	before := arrivals(east...)
-	for i, one := range w.nodes {
-		_, page := w.get("http://"+one.Settings.MetricsAddress+"/metrics", nil)
+	for i, one := range h.nodes {
+		_, page := h.get("http://"+one.Settings.MetricsAddress+"/metrics", nil)
 		require.Contains(t, page, "\npistachiopier_data_centres_evacuated 1\n")
-		w.askAll(one, fmt.Sprint("during", i), 10, "0")
+		h.requestAll(one, fmt.Sprint("during", i), 10, "0")
 	}
 	require.Equal(t, before, arrivals(east...))
 
-	w.store.EndEvacuation("east")
-	w.line(w.nodes[0], "evacuation_ended")
-	w.askAll(w.nodes[0], "after", 3, "0")
+	h.store.EndEvacuation("east")
+	h.waitForEvent(h.nodes[0], "evacuation_ended")
+	h.requestAll(h.nodes[0], "after", 3, "0")
 	require.Greater(t, arrivals(east...), before)
 }
 
-// All replicas of one shard are in an evacuated data centre. The wish binds: the answer says that it
-// lacks the part, and a lookup that only these could serve is told at once that it has not run.
+// All replicas of one shard are in an evacuated data centre. The evacuation applies: the answer reports the
+// missing part, and a lookup that only these replicas could serve is refused at once as not run.
 func TestAShardThatIsAllEvacuatedIsLeftOutTruthfully(t *testing.T) {
-	w := newWorld(t)
-	w.replica("s1", "east", "a")
-	w.replica("s2", "west", "b")
-	w.replica("s3", "west", "c")
-	notes := w.replica("notes", "east", "a note")
-	w.serve("west")
-	w.store.Evacuate("east")
-	w.line(w.nodes[0], "evacuation_in_force")
-	w.askAll(w.nodes[0], "r", 3, "1")
-	response, _ := w.ask(w.nodes[0], http.MethodGet, "/plain/x", "lookup", "")
+	h := newHarness(t)
+	h.replica("s1", "east", "a")
+	h.replica("s2", "west", "b")
+	h.replica("s3", "west", "c")
+	notes := h.replica("notes", "east", "a note")
+	h.serve("west")
+	h.store.Evacuate("east")
+	h.waitForEvent(h.nodes[0], "evacuation_in_force")
+	h.requestAll(h.nodes[0], "r", 3, "1")
+	response, _ := h.mustRequest(h.nodes[0], http.MethodGet, "/plain/x", "lookup", "")
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 	require.Zero(t, notes.Runs("lookup"))
 }
 
-// A node that starts during an evacuation, and one that the store turns away, must not be the ones that go on
-// sending: the first reads the wish with all else, the second has it from the others. What the store says
-// after it has dropped its history holds as well.
+// Neither a node that starts during an evacuation nor one that the store refuses may keep sending: the first
+// reads the evacuation with the rest of the store, the second gets it from other nodes. This also holds after
+// the store has dropped its history.
 func TestAnEvacuationReachesNodesThatTheStoreTurnsAway(t *testing.T) {
-	w := newWorld(t)
-	east := w.replica("notes", "east", "a note")
-	w.replica("notes", "west", "a note")
-	w.configure(1)
-	w.start("east", "west")
-	store, _ := w.cutOff("east")
-	w.ready()
+	h := newHarness(t)
+	east := h.replica("notes", "east", "a note")
+	h.replica("notes", "west", "a note")
+	h.configure(1)
+	h.start("east", "west")
+	store, _ := h.startBehindProxies("east")
+	h.waitReady()
 	store.SetBoth(faultproxy.Faults{Cut: true})
-	w.store.Evacuate("east")
-	w.startOne("east", nil)
-	for _, one := range w.nodes[2:] {
-		w.line(one, "evacuation_in_force")
+	h.store.Evacuate("east")
+	h.startOne("east", nil)
+	for _, one := range h.nodes[2:] {
+		h.waitForEvent(one, "evacuation_in_force")
 	}
 	before := arrivals(east)
-	for i, one := range w.nodes[2:] {
+	for i, one := range h.nodes[2:] {
 		for j := range 5 {
-			response, _ := w.ask(one, http.MethodGet, "/plain/x", fmt.Sprint("r", i, j), "")
+			response, _ := h.mustRequest(one, http.MethodGet, "/plain/x", fmt.Sprint("r", i, j), "")
 			require.Equal(t, http.StatusOK, response.StatusCode)
 		}
 	}
 	require.Equal(t, before, arrivals(east))
-	w.store.EndEvacuation("east")
-	w.store.Forget()
-	for _, one := range w.nodes[2:] {
-		w.line(one, "evacuation_ended")
+	h.store.EndEvacuation("east")
+	h.store.Forget()
+	for _, one := range h.nodes[2:] {
+		h.waitForEvent(one, "evacuation_ended")
 	}
 }
 
-// Replicas come back cold and crash under the load that they bear when warm. While one of two is cold, the
-// other one has nearly all requests; where the cold one is the only one, what it cannot bear is told
-// at once that it has not run. Kept back, it would wait for nothing.
+// Cold replicas crash under the load that warm ones bear. While one of two replicas is cold, the other one
+// gets nearly all requests. If the only replica is cold, requests beyond its limit are refused at once as not
+// run; queueing them would achieve nothing.
 func TestAColdReplicaGetsWhatItsServiceStates(t *testing.T) {
-	const perSecond, asked = 4, 30
-	w := newWorld(t)
-	cold := w.replica("notes", "east", "a note")
-	warm := w.replica("notes", "east", "a note")
-	only := w.replica("invoices", "east", "done")
+	const perSecond, requests = 4, 30
+	h := newHarness(t)
+	cold := h.replica("notes", "east", "a note")
+	warm := h.replica("notes", "east", "a note")
+	only := h.replica("invoices", "east", "done")
 	for _, one := range []*platformtest.Replica{cold, only} {
 		entry := one.Entry("east", platformtest.StateReady)
 		entry["warmupLeftMs"] = time.Hour.Milliseconds()
-		w.store.Put(one.Key(), entry)
+		h.store.Put(one.Key(), entry)
 	}
-	config := w.config(1)
+	config := h.config(1)
 	for i := range config.Services {
 		config.Services[i].WarmupS, config.Services[i].WarmupPerS = 3, perSecond
 	}
-	w.store.Publish(config)
-	w.start("east")
-	w.ready()
+	h.store.Publish(config)
+	h.start("east")
+	h.waitReady()
 	began := time.Now()
 	refused := 0
-	for i := range asked {
-		response, _ := w.ask(w.nodes[0], http.MethodGet, "/plain/x", fmt.Sprint("r", i), "")
+	for i := range requests {
+		response, _ := h.mustRequest(h.nodes[0], http.MethodGet, "/plain/x", fmt.Sprint("r", i), "")
 		require.Equal(t, http.StatusOK, response.StatusCode)
-		response, _ = w.ask(w.nodes[0], http.MethodPost, "/once/x", fmt.Sprint("o", i), "")
+		response, _ = h.mustRequest(h.nodes[0], http.MethodPost, "/once/x", fmt.Sprint("o", i), "")
 		if response.StatusCode != http.StatusOK {
 			require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 			require.NotEmpty(t, response.Header.Get("Retry-After"))
@@ -150,6 +151,6 @@
 	seconds := int(time.Since(began)/time.Second) + 1
 	require.LessOrEqual(t, len(cold.Arrivals()), perSecond*seconds)
 	require.LessOrEqual(t, len(only.Arrivals()), perSecond*seconds)
-	require.Equal(t, asked, len(cold.Arrivals())+len(warm.Arrivals()))
-	require.Equal(t, asked, refused+len(only.Arrivals()))
+	require.Equal(t, requests, len(cold.Arrivals())+len(warm.Arrivals()))
+	require.Equal(t, requests, refused+len(only.Arrivals()))
 }
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -16,10 +16,10 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-const patience = 20 * time.Second
+const waitLimit = 20 * time.Second
 
-// world is a platform with nodes and replicas in this process.
-type world struct {
+// harness runs a platform, nodes and replicas in this process.
+type harness struct {
 	t        testing.TB
 	fleet    *edgefleet.Fleet
 	store    *platformtest.Store
@@ -27,83 +27,83 @@
 	nodes    []*node
 }
 
-// node is a node and what it wrote.
+// node is a node and its log.
 type node struct {
 	*edgefleet.Node
 	log *logs.Buffer
 }
 
-func newWorld(t testing.TB) *world {
+func newHarness(t testing.TB) *harness {
 	t.Helper()
 	fleet, err := edgefleet.Start()
 	require.NoError(t, err)
-	w := &world{t: t, fleet: fleet, store: fleet.Store}
-	t.Cleanup(w.close)
-	return w
+	h := &harness{t: t, fleet: fleet, store: fleet.Store}
+	t.Cleanup(h.close)
+	return h
 }
 
-func (w *world) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (h *harness) close() {
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	require.NoError(w.t, w.fleet.Close(ctx))
+	require.NoError(h.t, h.fleet.Close(ctx))
 }
 
-func (w *world) stop(one *node) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (h *harness) stop(one *node) {
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	require.NoError(w.t, one.Stop(ctx))
+	require.NoError(h.t, one.Stop(ctx))
 }
 
-// replica starts a replica and lists it. Its answer holds the records of its service.
-func (w *world) replica(service, dataCentre string, records ...string) *platformtest.Replica {
-	w.t.Helper()
-	one, err := w.fleet.AddReplica(service, dataCentre, records...)
-	require.NoError(w.t, err)
-	w.replicas = w.fleet.Replicas
+// replica starts a replica and lists it in the store. Its answers hold the given records.
+func (h *harness) replica(service, dataCentre string, records ...string) *platformtest.Replica {
+	h.t.Helper()
+	one, err := h.fleet.AddReplica(service, dataCentre, records...)
+	require.NoError(h.t, err)
+	h.replicas = h.fleet.Replicas
 	return one
 }
 
 // start starts nodes in data centres; the first one is the seed of all.
-func (w *world) start(dataCentres ...string) {
-	w.t.Helper()
+func (h *harness) start(dataCentres ...string) {
+	h.t.Helper()
 	for _, dataCentre := range dataCentres {
-		w.startOne(dataCentre, nil)
+		h.startOne(dataCentre, nil)
 	}
 }
 
-// startOne starts a node whose settings are changed first.
-func (w *world) startOne(dataCentre string, change func(*settings.Edge)) {
-	w.t.Helper()
+// startOne starts a node after change has modified its settings.
+func (h *harness) startOne(dataCentre string, change func(*settings.Edge)) {
+	h.t.Helper()
 	log := &logs.Buffer{}
-	one, err := w.fleet.AddNode(dataCentre, log, change)
-	require.NoError(w.t, err)
-	w.nodes = append(w.nodes, &node{Node: one, log: log})
+	one, err := h.fleet.AddNode(dataCentre, log, change)
+	require.NoError(h.t, err)
+	h.nodes = append(h.nodes, &node{Node: one, log: log})
 }
 
-// serve publishes a configuration, starts nodes and waits until they take callers.
-func (w *world) serve(dataCentres ...string) {
-	w.t.Helper()
-	w.configure(1)
-	w.start(dataCentres...)
-	w.ready()
+// serve publishes a configuration, starts nodes and waits until they accept callers.
+func (h *harness) serve(dataCentres ...string) {
+	h.t.Helper()
+	h.configure(1)
+	h.start(dataCentres...)
+	h.waitReady()
 }
 
-// ready waits until all nodes take callers and know each other.
-func (w *world) ready() {
-	w.t.Helper()
-	ctx, cancel := context.WithTimeout(w.t.Context(), patience)
+// waitReady waits until all nodes accept callers and know each other.
+func (h *harness) waitReady() {
+	h.t.Helper()
+	ctx, cancel := context.WithTimeout(h.t.Context(), waitLimit)
 	defer cancel()
-	require.NoError(w.t, w.fleet.AwaitReady(ctx))
+	require.NoError(h.t, h.fleet.AwaitReady(ctx))
 }
 
-func (w *world) resolve(one *node, dataCentre string) string {
-	_, body := w.get("http://"+one.Settings.DirectoryAddress+"/pistachiopier/resolve?name=search.example&zone="+dataCentre, nil)
+func (h *harness) resolve(one *node, dataCentre string) string {
+	_, body := h.get("http://"+one.Settings.DirectoryAddress+"/pistachiopier/resolve?name=search.example&zone="+dataCentre, nil)
 	return body
 }
 
-func (w *world) get(url string, header http.Header) (int, string) {
-	request, err := http.NewRequestWithContext(w.t.Context(), http.MethodGet, url, nil)
-	require.NoError(w.t, err)
+func (h *harness) get(url string, header http.Header) (int, string) {
+	request, err := http.NewRequestWithContext(h.t.Context(), http.MethodGet, url, nil)
+	require.NoError(h.t, err)
 	for name, values := range header {
 		request.Header[name] = values
 	}
@@ -116,20 +116,19 @@
 	return response.StatusCode, string(body)
 }
 
-// ask sends a request for the search host to a node and returns the answer with its
-// whole body.
-func (w *world) ask(one *node, method, target, id, body string) (*http.Response, string) {
-	w.t.Helper()
-	response, read, err := w.try(one, method, target, id, body)
-	require.NoError(w.t, err)
+// mustRequest sends a request for the search host to a node and returns the answer with its whole body.
+func (h *harness) mustRequest(one *node, method, target, id, body string) (*http.Response, string) {
+	h.t.Helper()
+	response, read, err := h.request(one, method, target, id, body)
+	require.NoError(h.t, err)
 	return response, read
 }
 
-// try is ask for a request that may get no whole answer.
-func (w *world) try(one *node, method, target, id, body string) (*http.Response, string, error) {
-	w.t.Helper()
-	request, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+one.Settings.CallerAddress+target, strings.NewReader(body))
-	require.NoError(w.t, err)
+// request is like mustRequest for a request that may get no complete answer.
+func (h *harness) request(one *node, method, target, id, body string) (*http.Response, string, error) {
+	h.t.Helper()
+	request, err := http.NewRequestWithContext(h.t.Context(), method, "http://"+one.Settings.CallerAddress+target, strings.NewReader(body))
+	require.NoError(h.t, err)
 	request.Host = "search.example"
 	request.Header.Set("Pistachiopier-Request-Id", id)
 	request.Header.Set("Pistachiopier-Deadline-Ms", "2000")
@@ -142,11 +141,11 @@
 	return response, string(read), err
 }
 
-// line waits for the first line of a node's log with an event.
-func (w *world) line(one *node, event string) string {
-	w.t.Helper()
+// waitForEvent waits for an event in a node's log and returns its first line.
+func (h *harness) waitForEvent(one *node, event string) string {
+	h.t.Helper()
 	found := ""
-	require.Eventually(w.t, func() bool {
+	require.Eventually(h.t, func() bool {
 		for line := range strings.Lines(one.log.String()) {
 			if strings.Contains(line, `"event":"`+event+`"`) {
 				found = line
@@ -154,11 +153,11 @@
 			}
 		}
 		return false
-	}, patience, time.Millisecond, event)
+	}, waitLimit, time.Millisecond, event)
 	return found
 }
 
-// route makes a route of the search host to what change says, under a prefix of its name.
+// route returns a route of the search host with its name as prefix, modified by change.
 func route(name, kind string, change func(*platformtest.Route)) platformtest.Route {
 	r := platformtest.Route{Name: name, Host: "search.example", Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 1500, TargetLatencyMs: 300, Priority: 1, MaxAttempts: 2}
 	change(&r)
@@ -169,18 +168,18 @@
 	return func(r *platformtest.Route) { r.Service = service }
 }
 
-func gather(topK int, least float64, shards ...string) func(*platformtest.Route) {
-	return func(r *platformtest.Route) { r.Gather, r.TopK, r.MinCoverage = shards, topK, least }
+func gather(topK int, minCoverage float64, shards ...string) func(*platformtest.Route) {
+	return func(r *platformtest.Route) { r.Gather, r.TopK, r.MinCoverage = shards, topK, minCoverage }
 }
 
-// configure publishes a configuration with a plain route, one that must not be
-// repeated, and one over three shards.
-func (w *world) configure(version uint64, more ...platformtest.Route) {
-	w.store.Publish(w.config(version, more...))
+// configure publishes a configuration with a plain route, one that must not be repeated, and one over three
+// shards.
+func (h *harness) configure(version uint64, more ...platformtest.Route) {
+	h.store.Publish(h.config(version, more...))
 }
 
-// config is the configuration that configure publishes.
-func (w *world) config(version uint64, more ...platformtest.Route) platformtest.Config {
+// config returns the configuration that configure publishes.
+func (h *harness) config(version uint64, more ...platformtest.Route) platformtest.Config {
 	config := platformtest.Config{Version: version, Limits: platformtest.DefaultLimits(), Routes: append([]platformtest.Route{
 		route("plain", platformtest.KindIdempotent, to("notes")),
 		route("once", platformtest.KindOnce, to("invoices")),
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -13,18 +13,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// Limits towards callers before a configuration is known.
+// Limits for callers before a configuration is known.
 const (
-	firstHeaderTimeout = 3 * time.Second
-	firstIdleTimeout   = 60 * time.Second
-	firstHeaderBytes   = 16 << 10
+	initialHeaderTimeout = 3 * time.Second
+	initialIdleTimeout   = 60 * time.Second
+	initialHeaderBytes   = 16 << 10
 )
 
-// callerServer takes callers' connections. net/http fixes its limits when a server
-// starts, while ours come with each configuration: connections are handed to a
-// server made for the limits in force, and those of a former one go on under its
-// limits until they end. With its last connection a former server ends too: limits that
-// change many times a day would otherwise leave as many servers behind.
+// callerServer accepts callers' connections. net/http fixes its limits when a server starts, whereas these
+// limits change with the configuration: a new connection is given to a server with the current limits, and
+// existing connections keep the limits of their server until they end. A former server is closed with its
+// last connection; otherwise limits that change many times a day would leave as many servers behind.
 type callerServer struct {
 	handler  http.Handler
 	listener net.Listener
@@ -36,13 +35,13 @@
 	done     sync.WaitGroup
 }
 
-// limitedServer serves the connections that came while its limits were in force.
+// limitedServer serves the connections that were accepted while its limits were in force.
 type limitedServer struct {
 	*http.Server
-	conns *handover
-	// open counts the connections, also those on their way to the server; it is guarded
-	// by the callerServer's mutex.
-	open int
+	conns *connListener
+	// openConns counts the connections, including those not yet delivered to the server; guarded by the
+	// callerServer's mutex.
+	openConns int
 }
 
 func listenCallers(address string, handler http.Handler) (*callerServer, error) {
@@ -51,7 +50,7 @@
 		return nil, fault.Address(address, err)
 	}
 	s := &callerServer{handler: handler, listener: listener, servers: map[*limitedServer]bool{}}
-	s.setLimits(policy.Limits{MaxHeaderBytes: firstHeaderBytes, HeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout})
+	s.setLimits(policy.Limits{MaxHeaderBytes: initialHeaderBytes, HeaderTimeout: initialHeaderTimeout, IdleTimeout: initialIdleTimeout})
 	s.done.Add(1)
 	go func() {
 		defer s.done.Done()
@@ -60,7 +59,7 @@
 	return s, nil
 }
 
-// setLimits makes the limits of the connections that come from now on.
+// setLimits sets the limits of future connections.
 func (s *callerServer) setLimits(limits policy.Limits) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -69,14 +68,14 @@
 	}
 	former := s.current
 	s.limits = limits
-	s.current = s.serveWith(limits)
+	s.current = s.startServer(limits)
 	s.servers[s.current] = true
-	s.endUnused(former)
+	s.closeIfUnused(former)
 }
 
-// serveWith starts a server with limits.
-func (s *callerServer) serveWith(limits policy.Limits) *limitedServer {
-	server := &limitedServer{conns: &handover{address: s.listener.Addr(), conns: make(chan net.Conn), closed: make(chan struct{})}}
+// startServer starts a server with the given limits.
+func (s *callerServer) startServer(limits policy.Limits) *limitedServer {
+	server := &limitedServer{conns: &connListener{address: s.listener.Addr(), conns: make(chan net.Conn), closed: make(chan struct{})}}
 	server.Server = &http.Server{
 		Handler:           s.handler,
 		MaxHeaderBytes:    limits.MaxHeaderBytes,
@@ -85,7 +84,7 @@
 		ConnContext:       func(ctx context.Context, _ net.Conn) context.Context { return withCallerConn(ctx) },
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateClosed {
-				s.closed(server)
+				s.connClosed(server)
 			}
 		},
 	}
@@ -97,18 +96,17 @@
 	return server
 }
 
-// closed notes the end of a connection.
-func (s *callerServer) closed(server *limitedServer) {
+// connClosed records the end of a connection.
+func (s *callerServer) connClosed(server *limitedServer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	server.open--
-	s.endUnused(server)
+	server.openConns--
+	s.closeIfUnused(server)
 }
 
-// endUnused ends a server whose limits are not in force any more and that has no
-// connection left. The mutex must be held.
-func (s *callerServer) endUnused(server *limitedServer) {
-	if server == nil || server == s.current || server.open > 0 {
+// closeIfUnused closes a server that is not the current one and has no connections. The mutex must be held.
+func (s *callerServer) closeIfUnused(server *limitedServer) {
+	if server == nil || server == s.current || server.openConns > 0 {
 		return
 	}
 	delete(s.servers, server)
@@ -122,27 +120,27 @@
 			return
 		}
 		if err != nil {
-			// Out of descriptors, or a caller that left at once.
-			time.Sleep(acceptPause)
+			// The process is out of file descriptors, or the caller disconnected at once.
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.mutex.Lock()
 		current := s.current
-		current.open++
+		current.openConns++
 		s.mutex.Unlock()
-		if !current.conns.give(conn) {
-			s.closed(current)
+		if !current.conns.deliver(conn) {
+			s.connClosed(current)
 		}
 	}
 }
 
-// acceptPause follows an accept that failed for want of descriptors.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 5 * time.Millisecond
 
-// stopAccepting takes no further connections; open ones go on.
+// stopAccepting closes the listener; open connections remain.
 func (s *callerServer) stopAccepting() { _ = s.listener.Close() }
 
-// shutdown ends idle connections and waits for the requests in work.
+// shutdown closes idle connections and waits for the requests in flight.
 func (s *callerServer) shutdown(ctx context.Context) error {
 	s.stopAccepting()
 	s.mutex.Lock()
@@ -156,57 +154,58 @@
 	return errors.Join(failures...)
 }
 
-// handover is a listener that gets its connections from another one.
-type handover struct {
+// connListener is a listener for connections that another listener has accepted.
+type connListener struct {
 	address net.Addr
 	conns   chan net.Conn
 	once    sync.Once
 	closed  chan struct{}
 }
 
-// give hands a connection to the server, or closes it and reports false when that ended.
-func (h *handover) give(conn net.Conn) bool {
+// deliver hands a connection to the server. If the server is closed, it closes the connection and returns
+// false.
+func (l *connListener) deliver(conn net.Conn) bool {
 	select {
-	case h.conns <- conn:
+	case l.conns <- conn:
 		return true
-	case <-h.closed:
+	case <-l.closed:
 		_ = conn.Close()
 		return false
 	}
 }
 
 // Accept implements net.Listener.
-func (h *handover) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-h.conns:
+	case conn := <-l.conns:
 		return conn, nil
-	case <-h.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (h *handover) Close() error {
-	h.once.Do(func() { close(h.closed) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handover) Addr() net.Addr { return h.address }
+func (l *connListener) Addr() net.Addr { return l.address }
 
-// connKey marks a caller's connection in its requests' contexts.
-type connKey struct{}
+// callerConnKey is the context key of a caller's connection.
+type callerConnKey struct{}
 
-// callerConn counts the requests of one caller's connection.
+// callerConn counts the requests on one caller's connection.
 type callerConn struct{ requests int }
 
 func withCallerConn(ctx context.Context) context.Context {
-	return context.WithValue(ctx, connKey{}, &callerConn{})
+	return context.WithValue(ctx, callerConnKey{}, &callerConn{})
 }
 
-// firstOnConnection reports whether a request is the first on its connection.
-func firstOnConnection(ctx context.Context) bool {
-	conn, ok := ctx.Value(connKey{}).(*callerConn)
+// isFirstOnConnection counts a request on its connection and reports whether it is the first one.
+func isFirstOnConnection(ctx context.Context) bool {
+	conn, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	if !ok {
 		return false
 	}
--- a/internal/edge/merge.go
+++ b/internal/edge/merge.go
@@ -10,8 +10,8 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// answerGathered merges the parts and answers with them. It reports false when they are too few,
-// which the result then says.
+// answerGathered merges the parts and answers with them. It returns false, with the result updated, if there
+// are too few parts.
 func (q *request) answerGathered(w http.ResponseWriter, result *scatter.Result) bool {
 	body, stamps, taken := q.merge(*result)
 	result.Received = len(stamps)
@@ -20,12 +20,12 @@
 	outcome := outcomeWhole
 	if missing > 0 && !result.Rejected {
 		outcome = outcomePartial
-		q.noteMissing(taken)
+		q.addMissingSteps(taken)
 	}
 	if !result.Enough {
 		return false
 	}
-	q.tell(outcome, http.StatusOK, *result)
+	q.recordOutcome(outcome, http.StatusOK, *result)
 	platform.SetCoverage(w.Header(), stamps, missing)
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -34,16 +34,16 @@
 	return true
 }
 
-// merge makes the answer of what came. The records of a batch cannot be told apart any more, so
-// that each counts as a whole, and a part of the same shard that came by itself, from a hedge,
-// does not. The batches of a node whose excerpts turn out not to be enough are left out.
+// merge merges the received parts. The records of a batch cannot be told apart, so a batch counts as a whole,
+// and a single part of the same shard, from a hedge, is ignored. The batches of a helper whose excerpts prove
+// insufficient are left out.
 //
-// It returns the records, the signatures of their parts, and which services have a part.
+// It returns the records, the signatures of their parts, and for each service whether it has a part.
 func (q *request) merge(result scatter.Result) (body []byte, stamps []string, taken []bool) {
-	replies, excerpts := q.received()
+	replies, excerpts := q.receivedBatches()
 	for {
 		var singles [][]byte
-		stamps, taken = q.batched(replies)
+		stamps, taken = q.batchedParts(replies)
 		for i, send := range result.Parts {
 			if taken[i] || send < 0 || q.sends[send].batch != nil {
 				continue
@@ -58,32 +58,33 @@
 		if !slices.Contains(used, false) {
 			return body, stamps, taken
 		}
-		// A part that came by itself may now take the place of one in a batch.
-		q.noteSkewed()
-		replies, excerpts = only(replies, used), only(excerpts, used)
+		// A single part may now replace one of a batch that was left out.
+		q.recordUnusedExcerpt()
+		replies, excerpts = filterUsed(replies, used), filterUsed(excerpts, used)
 	}
 }
 
-// received lists the merged replies of each node that was asked, and their excerpts.
-func (q *request) received() (replies [][]*batch, excerpts [][]topk.Excerpt) {
+// receivedBatches lists the merged replies of each helper, and their excerpts.
+func (q *request) receivedBatches() (replies [][]*batch, excerpts [][]topk.Excerpt) {
 	seen := map[*group]bool{}
 	for _, one := range q.sends {
 		if one.group == nil || seen[one.group] {
 			continue
 		}
 		seen[one.group] = true
-		theirs := one.group.received()
-		var theirExcerpts []topk.Excerpt
-		for _, reply := range theirs {
-			theirExcerpts = append(theirExcerpts, reply.excerpt)
+		batches := one.group.handledBatches()
+		var batchExcerpts []topk.Excerpt
+		for _, reply := range batches {
+			batchExcerpts = append(batchExcerpts, reply.excerpt)
 		}
-		replies, excerpts = append(replies, theirs), append(excerpts, theirExcerpts)
+		replies, excerpts = append(replies, batches), append(excerpts, batchExcerpts)
 	}
 	return replies, excerpts
 }
 
-// batched lists the signatures of the parts of merged replies, and their services.
-func (q *request) batched(replies [][]*batch) (stamps []string, taken []bool) {
+// batchedParts returns the signatures of the parts in merged replies, and for each service whether it has a
+// part.
+func (q *request) batchedParts(replies [][]*batch) (stamps []string, taken []bool) {
 	taken = make([]bool, len(q.services))
 	for _, reply := range slices.Concat(replies...) {
 		for _, member := range reply.members {
@@ -94,8 +95,8 @@
 	return stamps, taken
 }
 
-// only keeps those of a list that are used.
-func only[T any](list []T, used []bool) []T {
+// filterUsed returns the elements of a list that are marked as used.
+func filterUsed[T any](list []T, used []bool) []T {
 	var kept []T
 	for i, one := range list {
 		if used[i] {
@@ -105,9 +106,9 @@
 	return kept
 }
 
-// noteSkewed notes that excerpts were left out which are too short for the answer.
-func (q *request) noteSkewed() {
-	q.node.beliefs.skewed(q.route)
-	q.node.metrics.excerptUnused()
-	q.note(step{Event: "excerpt_unused", Cause: "records were left out that the answer may hold"})
+// recordUnusedExcerpt records that excerpts were left out because they are too short for the answer.
+func (q *request) recordUnusedExcerpt() {
+	q.node.state.recordSkew(q.route)
+	q.node.metrics.countUnusedExcerpt()
+	q.addStep(step{Event: "excerpt_unused", Cause: "the excerpt omits records that may belong to the answer"})
 }
--- a/internal/edge/merge_test.go
+++ b/internal/edge/merge_test.go
@@ -17,7 +17,7 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// sixtyRecords all begin with a prefix.
+// sixtyRecords returns records that all begin with a prefix.
 func sixtyRecords(prefix string) []byte {
 	var body strings.Builder
 	for i := range 60 {
@@ -26,41 +26,41 @@
 	return []byte(body.String())
 }
 
-// ended is a send whose whole answer has come.
-func ended(id, service int, body []byte) *exchange {
-	one := &exchange{over: true, verdict: scatter.Succeeded, response: &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}}
+// endedSend returns an exchange with a whole answer.
+func endedSend(id, service int, body []byte) *exchange {
+	one := &exchange{handled: true, verdict: scatter.Succeeded, response: &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}}
 	one.send.ID, one.send.Service = id, service
 	platform.SetStamp(one.response.Header, fmt.Sprint("stamp-", service))
 	return one
 }
 
-// merged is a request of three shards, of which another node sent the second on by a sender.
-func merged(n *Node, route *policy.Route, sender *topk.ExcerptBuilder) *request {
+// gatherRequest returns a request of three shards, the second of which was delegated and returned as an
+// excerpt.
+func gatherRequest(n *Node, route *policy.Route, excerpts *topk.ExcerptBuilder) *request {
 	q := &request{node: n, route: route, services: route.Gather.Shards}
-	q.sends = []*exchange{ended(0, 0, sixtyRecords("a")), ended(1, 1, nil), ended(2, 2, sixtyRecords("b"))}
-	far := q.sends[1]
-	far.batch = &batch{excerpt: sender.Build([][]byte{sixtyRecords("z")}), members: []*exchange{far}}
-	far.group = &group{batches: []*batch{far.batch}}
+	q.sends = []*exchange{endedSend(0, 0, sixtyRecords("a")), endedSend(1, 1, nil), endedSend(2, 2, sixtyRecords("b"))}
+	remote := q.sends[1]
+	remote.batch = &batch{excerpt: excerpts.Build([][]byte{sixtyRecords("z")}), members: []*exchange{remote}}
+	remote.group = &group{batches: []*batch{remote.batch}}
 	return q
 }
 
-// One shard, in the other data centre, holds all of the greatest records. The node there sends an
-// excerpt that is shorter than it should be: the answer must not pass for one that holds the part,
-// and the next ones ask for it in full.
+// One shard, in the other data centre, holds all of the greatest records, so the excerpt of the helper there
+// is too short. The answer must not name the part as included, and the next requests must ask for it in full.
 func TestAMergeLeavesOutAnExcerptThatIsTooShort(t *testing.T) {
 	n := newNode(&settings.Edge{DataCentre: "east"}, io.Discard)
 	route := &policy.Route{Name: "deep", Gather: &policy.Gather{Shards: []string{"s1", "s2", "s3"}, TopK: 50, MinCoverage: 0.6}}
 	result := scatter.Result{Parts: []int{0, 1, 2}, Received: 3, Enough: true}
 
-	q := merged(n, route, topk.NewExcerptBuilder(50, n.beliefs.excerptParts(route)))
+	q := gatherRequest(n, route, topk.NewExcerptBuilder(50, n.state.excerptParts(route)))
 	body, stamps, taken := q.merge(result)
 	require.Equal(t, []bool{true, false, true}, taken)
 	require.ElementsMatch(t, []string{"stamp-0", "stamp-2"}, stamps)
 	require.Len(t, strings.Fields(string(body)), 50)
 	require.Equal(t, "b059", strings.Fields(string(body))[0])
-	require.Equal(t, "excerpt_unused", q.trail[0].Event)
+	require.Equal(t, "excerpt_unused", q.steps[0].Event)
 
-	q = merged(n, route, topk.NewExcerptBuilder(50, n.beliefs.excerptParts(route)))
+	q = gatherRequest(n, route, topk.NewExcerptBuilder(50, n.state.excerptParts(route)))
 	body, stamps, taken = q.merge(result)
 	require.Equal(t, []bool{true, true, true}, taken)
 	require.Len(t, stamps, 3)
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -14,26 +14,26 @@
 	"github.com/pistachiopier/pistachiopier/internal/observe"
 )
 
-// nodeMetrics counts what a node does. Labels are never a route's, host's or caller's name,
-// which grow without bound; services have a bound of their own.
+// nodeMetrics holds the metrics of a node. Labels are never names of routes, hosts or callers, whose number
+// is unbounded; the number of services with metrics is bounded by maxServices.
 type nodeMetrics struct {
-	registry observe.Registry
+	reg      observe.Registry
 	mutex    sync.RWMutex
 	requests map[requestKind]requestMetrics
 	services map[string]*serviceMetrics
-	// budgets are the names of the gauges that the last reading of the budgets made.
-	budgets []string
+	// budgetGauges are the names of the gauges that the last update of the budgets registered.
+	budgetGauges []string
 }
 
 const (
-	// sampleSize and sampleDecay are those of an exponentially decaying sample that
-	// favours the last five minutes, as the library proposes.
+	// sampleSize and sampleDecay are the metrics library's recommended parameters of an exponentially
+	// decaying sample that favours the last five minutes.
 	sampleSize  = 1028
 	sampleDecay = 0.015
-	// serviceSampleSize is that of a service: 1 KB each, so that 1,000 shards take 1 MB. Its
-	// p90 rests on 13 values, its p99 on one.
+	// serviceSampleSize is the sample size of a service: 1 KB each, 1 MB for 1,000 shards. Its p90 rests on
+	// 13 values, its p99 on one.
 	serviceSampleSize = 128
-	// maxServices bounds the services with metrics of their own; those beyond count as
+	// maxServices bounds the services with metrics of their own. Further services are counted under
 	// otherServices.
 	maxServices   = 1024
 	otherServices = "other"
@@ -49,125 +49,125 @@
 )
 
 func newNodeMetrics() *nodeMetrics {
-	return &nodeMetrics{registry: observe.NewRegistry(), requests: map[requestKind]requestMetrics{}, services: map[string]*serviceMetrics{}}
+	return &nodeMetrics{reg: observe.NewRegistry(), requests: map[requestKind]requestMetrics{}, services: map[string]*serviceMetrics{}}
 }
 
-// requestKind is what requests are told apart by.
+// requestKind is the key of the metrics of requests.
 type requestKind struct {
 	gathered, idempotent bool
 	outcome              string
 }
 
-// requestMetrics are kept by reference, as those of services are.
+// requestMetrics are kept by reference, like those of services.
 type requestMetrics struct {
-	count metrics.Counter
-	took  metrics.Histogram
+	count   metrics.Counter
+	latency metrics.Histogram
 }
 
-// request counts a request by shape, kind and outcome, with its time in microseconds.
-func (m *nodeMetrics) request(route *policy.Route, outcome string, took time.Duration) {
-	one := m.requestsOf(requestKind{gathered: route.Gather != nil, idempotent: route.Idempotent, outcome: outcome})
+// countRequest counts a request by shape, kind and outcome, and records its latency in microseconds.
+func (m *nodeMetrics) countRequest(route *policy.Route, outcome string, latency time.Duration) {
+	one := m.metricsForKind(requestKind{gathered: route.Gather != nil, idempotent: route.Idempotent, outcome: outcome})
 	one.count.Inc(1)
-	one.took.Update(took.Microseconds())
+	one.latency.Update(latency.Microseconds())
 }
 
-func (m *nodeMetrics) requestsOf(of requestKind) requestMetrics {
+func (m *nodeMetrics) metricsForKind(key requestKind) requestMetrics {
 	m.mutex.RLock()
-	one, made := m.requests[of]
+	one, exists := m.requests[key]
 	m.mutex.RUnlock()
-	if made {
+	if exists {
 		return one
 	}
 	shape, kind := "forward", "once"
-	if of.gathered {
+	if key.gathered {
 		shape = "gather"
 	}
-	if of.idempotent {
+	if key.idempotent {
 		kind = "idempotent"
 	}
-	labels := []string{labelShape, shape, labelKind, kind, labelOutcome, of.outcome}
-	// Whoever comes first registers them; another at the same time gets the same ones.
+	labels := []string{labelShape, shape, labelKind, kind, labelOutcome, key.outcome}
+	// The registry returns the same metrics to concurrent callers.
 	one = requestMetrics{
-		count: observe.Counter(m.registry, observe.Labelled("requests_total", labels...)),
-		took:  m.histogram(observe.Labelled("request_us", labels...), sampleSize),
+		count:   observe.Counter(m.reg, observe.Labelled("requests_total", labels...)),
+		latency: m.histogram(observe.Labelled("request_us", labels...), sampleSize),
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.requests[of] = one
+	m.requests[key] = one
 	return one
 }
 
-// refused counts a request that was refused before anything was planned.
-func (m *nodeMetrics) refused() { observe.Counter(m.registry, "requests_refused_at_once_total").Inc(1) }
+// countRefused counts a request that was refused before any send.
+func (m *nodeMetrics) countRefused() { observe.Counter(m.reg, "requests_refused_at_once_total").Inc(1) }
 
-// entryRefused counts a registry entry that names no replica.
-func (m *nodeMetrics) entryRefused() { observe.Counter(m.registry, "entries_refused_total").Inc(1) }
+// countRefusedEntry counts a registry entry that names no replica.
+func (m *nodeMetrics) countRefusedEntry() { observe.Counter(m.reg, "entries_refused_total").Inc(1) }
 
-// configOutdated counts a configuration that was offered and is older than the one in force.
-func (m *nodeMetrics) configOutdated() { observe.Counter(m.registry, "configs_outdated_total").Inc(1) }
+// countOutdatedConfig counts an offered configuration that is older than the one in force.
+func (m *nodeMetrics) countOutdatedConfig() { observe.Counter(m.reg, "configs_outdated_total").Inc(1) }
 
-// rejectedEarly counts a request of which too few answers were expected in time.
-func (m *nodeMetrics) rejectedEarly() {
-	observe.Counter(m.registry, "requests_rejected_early_total").Inc(1)
+// countEarlyRejection counts a request that was rejected because too few answers were expected in time.
+func (m *nodeMetrics) countEarlyRejection() {
+	observe.Counter(m.reg, "requests_rejected_early_total").Inc(1)
 }
 
-// withheld counts a hedge or retry that was not made.
-func (m *nodeMetrics) withheld(why scatter.Reason) {
-	observe.Counter(m.registry, observe.Labelled("sends_withheld_total", labelCause, string(why))).Inc(1)
+// countWithheld counts a hedge or retry that was not sent.
+func (m *nodeMetrics) countWithheld(reason scatter.Reason) {
+	observe.Counter(m.reg, observe.Labelled("sends_withheld_total", labelCause, string(reason))).Inc(1)
 }
 
-// excerptUnused counts an excerpt that turned out too short for its answer.
-func (m *nodeMetrics) excerptUnused() { observe.Counter(m.registry, "excerpts_unused_total").Inc(1) }
+// countUnusedExcerpt counts an excerpt that was too short for its answer.
+func (m *nodeMetrics) countUnusedExcerpt() { observe.Counter(m.reg, "excerpts_unused_total").Inc(1) }
 
-// replicaEnded counts a replica that ended while requests were in work there.
-func (m *nodeMetrics) replicaEnded() {
-	observe.Counter(m.registry, "replicas_ended_in_work_total").Inc(1)
+// countReplicaEnded counts a replica that ended with requests in flight.
+func (m *nodeMetrics) countReplicaEnded() {
+	observe.Counter(m.reg, "replicas_ended_in_work_total").Inc(1)
 }
 
-// setAside counts a request that is rejected from now on.
-func (m *nodeMetrics) setAside() { observe.Counter(m.registry, "requests_set_aside_total").Inc(1) }
+// countSetAside counts a request that was set aside.
+func (m *nodeMetrics) countSetAside() { observe.Counter(m.reg, "requests_set_aside_total").Inc(1) }
 
-// restarted counts a replica that started again under its id.
-func (m *nodeMetrics) restarted() { observe.Counter(m.registry, "replicas_restarted_total").Inc(1) }
+// countRestart counts a replica that restarted under its id.
+func (m *nodeMetrics) countRestart() { observe.Counter(m.reg, "replicas_restarted_total").Inc(1) }
 
-// extra counts a send beyond the first.
-func (m *nodeMetrics) extra(cause scatter.Cause) {
-	observe.Counter(m.registry, observe.Labelled("sends_extra_total", labelCause, string(cause))).Inc(1)
+// countExtra counts a hedge or retry.
+func (m *nodeMetrics) countExtra(cause scatter.Cause) {
+	observe.Counter(m.reg, observe.Labelled("sends_extra_total", labelCause, string(cause))).Inc(1)
 }
 
 func (m *nodeMetrics) histogram(name string, size int) metrics.Histogram {
-	made := m.registry.GetOrRegister(name, func() metrics.Histogram {
+	metric := m.reg.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(size, sampleDecay))
 	})
-	if histogram, ok := made.(metrics.Histogram); ok {
+	if histogram, ok := metric.(metrics.Histogram); ok {
 		return histogram
 	}
 	return metrics.NilHistogram{}
 }
 
-// serviceMetrics are kept by reference: a name is not put together for each send.
+// serviceMetrics are kept by reference, so that no metric name is built for each send.
 type serviceMetrics struct {
-	sends map[scatter.Verdict]metrics.Counter
-	took  metrics.Histogram
+	sends   map[scatter.Verdict]metrics.Counter
+	latency metrics.Histogram
 }
 
-// verdictNames are the outcomes of sends.
-var verdictNames = map[scatter.Verdict]string{
+// verdictOutcomes are the outcome labels of verdicts.
+var verdictOutcomes = map[scatter.Verdict]string{
 	scatter.Succeeded: outcomeWhole, scatter.Failed: outcomeFailed, scatter.Refused: outcomeRefused, scatter.Unreached: "unreached",
 }
 
-// send counts the end of a send to a service, and how long a whole answer took.
-func (m *nodeMetrics) send(service string, verdict scatter.Verdict, took time.Duration) {
-	one := m.service(service)
+// countSend counts the end of a send to a service, and records the latency of a whole answer.
+func (m *nodeMetrics) countSend(service string, verdict scatter.Verdict, latency time.Duration) {
+	one := m.metricsForService(service)
 	if counter := one.sends[verdict]; counter != nil {
 		counter.Inc(1)
 	}
 	if verdict == scatter.Succeeded {
-		one.took.Update(took.Microseconds())
+		one.latency.Update(latency.Microseconds())
 	}
 }
 
-func (m *nodeMetrics) service(name string) *serviceMetrics {
+func (m *nodeMetrics) metricsForService(name string) *serviceMetrics {
 	m.mutex.RLock()
 	one := m.services[name]
 	m.mutex.RUnlock()
@@ -182,54 +182,54 @@
 	if one := m.services[name]; one != nil {
 		return one
 	}
-	one = &serviceMetrics{sends: map[scatter.Verdict]metrics.Counter{}, took: m.histogram(observe.Labelled("service_send_us", labelService, name), serviceSampleSize)}
-	for verdict, outcome := range verdictNames {
-		one.sends[verdict] = observe.Counter(m.registry, observe.Labelled("service_sends_total", labelService, name, labelOutcome, outcome))
+	one = &serviceMetrics{sends: map[scatter.Verdict]metrics.Counter{}, latency: m.histogram(observe.Labelled("service_send_us", labelService, name), serviceSampleSize)}
+	for verdict, outcome := range verdictOutcomes {
+		one.sends[verdict] = observe.Counter(m.reg, observe.Labelled("service_sends_total", labelService, name, labelOutcome, outcome))
 	}
 	m.services[name] = one
 	return one
 }
 
-// forget drops the metrics of services that are not configured any more.
-func (m *nodeMetrics) forget(wanted func(service string) bool) {
+// removeServices removes the metrics of services that are no longer configured.
+func (m *nodeMetrics) removeServices(isConfigured func(service string) bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for name := range m.services {
-		if wanted(name) || name == otherServices {
+		if isConfigured(name) || name == otherServices {
 			continue
 		}
 		delete(m.services, name)
-		m.registry.Unregister(observe.Labelled("service_send_us", labelService, name))
-		for _, outcome := range verdictNames {
-			m.registry.Unregister(observe.Labelled("service_sends_total", labelService, name, labelOutcome, outcome))
+		m.reg.Unregister(observe.Labelled("service_send_us", labelService, name))
+		for _, outcome := range verdictOutcomes {
+			m.reg.Unregister(observe.Labelled("service_sends_total", labelService, name, labelOutcome, outcome))
 		}
 	}
 }
 
-// unknownAge is the age of beliefs that never were confirmed.
-const unknownAge = -1
+// unknownValue is reported while no configuration is known or the copy of the store was never confirmed.
+const unknownValue = -1
 
-// watchMetrics adds the metrics that are read when they are asked for.
-func (n *Node) watchMetrics() {
-	watch := func(name string, read func() int64) { observe.Watch(n.metrics.registry, name, read) }
+// registerGauges registers the metrics that are computed when they are read.
+func (n *Node) registerGauges() {
+	watch := func(name string, read func() int64) { observe.Watch(n.metrics.reg, name, read) }
 	watch("requests_in_flight", n.inFlight.Load)
-	watch("delegated_groups_running", n.delegated.Load)
+	watch("delegated_groups_running", n.delegatedGroups.Load)
 	watch("replica_connections", func() int64 { return int64(n.replicas.Open()) })
 	watch("replica_connections_opened_total", n.replicas.Opened)
 	watch("replica_connection_waiters", func() int64 { return int64(n.replicas.Waiting()) })
 	watch("log_lines_dropped_total", n.log.Dropped)
-	watch("peer_links", func() int64 { return int64(n.pool.Links()) })
-	watch("peer_links_inbound", n.server.Links)
+	watch("peer_links", func() int64 { return int64(n.peerPool.Links()) })
+	watch("peer_links_inbound", n.peerServer.Links)
 	watch("nodes_live", func() int64 { return int64(len(n.view().Nodes())) })
 	watch("data_centres_evacuated", func() (count int64) {
-		n.beliefs.note(func(book *replica.Table, _ core.Time) { count = int64(len(book.Evacuated())) })
+		n.state.withReplicas(func(table *replica.Table, _ core.Time) { count = int64(len(table.Evacuated())) })
 		return count
 	})
 	watch("requests_suspected", func() int64 { return n.quarantine.Count(quarantine.Suspect) })
 	watch("requests_set_aside", func() int64 { return n.quarantine.Count(quarantine.SetAside) })
 	watch("pause_interval_ms", func() (ms int64) {
-		n.beliefs.note(func(book *replica.Table, _ core.Time) {
-			every, _ := book.Pauses.Interval()
+		n.state.withReplicas(func(table *replica.Table, _ core.Time) {
+			every, _ := table.Pauses.Interval()
 			ms = every.Milliseconds()
 		})
 		return ms
@@ -238,47 +238,47 @@
 	watch("store_calls_failed_total", func() int64 { return n.follower.Counts().StoreFailures })
 	watch("copy_reads_from_nodes_total", func() int64 { return n.follower.Counts().PeerReads })
 	watch("readings_not_taken_total", func() int64 { return n.follower.Counts().NotTaken })
-	watch("store_era", func() int64 { return int64(n.copied.Reached().Era) })
+	watch("store_era", func() int64 { return int64(n.storeCopy.Reached().Era) })
 	watch("store_era_changes_total", func() int64 { return n.follower.Counts().EraChanges })
 	watch("copy_lag_ms", func() int64 { return n.follower.Counts().Lag.Milliseconds() })
 	watch("beliefs_age_ms", func() int64 {
 		if age, known := n.follower.Age(); known {
 			return age.Milliseconds()
 		}
-		return unknownAge
+		return unknownValue
 	})
-	watch("store_revision", func() int64 { return int64(n.copied.UpTo()) })
+	watch("store_revision", func() int64 { return int64(n.storeCopy.UpTo()) })
 	watch("config_version", func() int64 {
-		if config := n.beliefs.config.Load(); config != nil {
+		if config := n.state.config.Load(); config != nil {
 			return int64(config.Version)
 		}
-		return unknownAge
+		return unknownValue
 	})
 	watch("sends_running", func() (running int64) {
-		n.beliefs.note(func(book *replica.Table, _ core.Time) { running = int64(book.InFlight()) })
+		n.state.withReplicas(func(table *replica.Table, _ core.Time) { running = int64(table.InFlight()) })
 		return running
 	})
 }
 
-// readBudgets writes down what each service's bound on extra arrivals has left.
-func (n *Node) readBudgets() {
-	n.beliefs.mutex.Lock()
-	left := map[string]float64{}
-	n.beliefs.outlook.Budget.Remaining(func(service string, extras float64) { left[service] = extras }, n.beliefs.now())
-	n.beliefs.mutex.Unlock()
-	n.metrics.setBudgets(left)
+// updateBudgetGauges sets the gauges of each service's remaining budget for extra arrivals.
+func (n *Node) updateBudgetGauges() {
+	n.state.mutex.Lock()
+	remaining := map[string]float64{}
+	n.state.outlook.Budget.Remaining(func(service string, extras float64) { remaining[service] = extras }, n.state.now())
+	n.state.mutex.Unlock()
+	n.metrics.setBudgetGauges(remaining)
 }
 
-func (m *nodeMetrics) setBudgets(left map[string]float64) {
+func (m *nodeMetrics) setBudgetGauges(remaining map[string]float64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for _, name := range m.budgets {
-		m.registry.Unregister(name)
+	for _, name := range m.budgetGauges {
+		m.reg.Unregister(name)
 	}
-	m.budgets = m.budgets[:0]
-	for service, extras := range left {
+	m.budgetGauges = m.budgetGauges[:0]
+	for service, extras := range remaining {
 		name := observe.Labelled("extra_left", labelService, service)
-		metrics.GetOrRegisterGaugeFloat64(name, m.registry).Update(extras)
-		m.budgets = append(m.budgets, name)
+		metrics.GetOrRegisterGaugeFloat64(name, m.reg).Update(extras)
+		m.budgetGauges = append(m.budgetGauges, name)
 	}
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -1,6 +1,6 @@
-// Package edge is a node of the forwarding tier: it takes callers' requests, sends
-// each to one replica of a service or of every shard, and answers. All nodes are
-// alike; none writes anything anywhere.
+// Package edge implements a node of the forwarding tier: it accepts callers' requests, sends each to one
+// replica of a service or of every shard, and returns the answer. All nodes are equal, and none writes
+// persistent data.
 package edge
 
 import (
@@ -39,63 +39,62 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// storeDialTimeout bounds the opening of a connection to the store, which answers
-// in milliseconds.
+// storeDialTimeout bounds the opening of a connection to the store, which normally takes milliseconds.
 const storeDialTimeout = 500 * time.Millisecond
 
-// milli is the number of thousandths of a core in one.
-const milli = 1000
+// weightPerCore is the weight of a node for each of its CPU cores.
+const weightPerCore = 1000
 
-// idleLink is how long a link to another node without requests is kept. Links that are in use
-// carry heartbeats, polls or sends each second; the others are left from the start, when every
-// node turns to the seeds: a seed would hold one from each node of the fleet, at about 90 KB each.
-const idleLink = 15 * time.Second
+// idleLinkTimeout is how long a link to another node without requests is kept. Links in use carry heartbeats,
+// polls or sends every second. The others remain from start-up, when every node connects to the seeds: a seed
+// would otherwise hold a link from each node of the fleet, at about 90 KB each.
+const idleLinkTimeout = 15 * time.Second
 
-// logCloseLimit bounds the wait for the log's reader at the stop.
-const logCloseLimit = 200 * time.Millisecond
+// logCloseTimeout bounds the wait for the log's reader at the stop.
+const logCloseTimeout = 200 * time.Millisecond
 
 // Node is a running node.
 type Node struct {
-	settings atomic.Pointer[settings.Edge]
-	started  time.Time
-	identity peer.Identity
-	log      *decisionlog.Log
-	metrics  *nodeMetrics
-	traffic  *traffic.Account
-	beliefs  *beliefs
-	registry *registry
-	views    *belief.Store
-	replicas *replicaconn.Client
-	copied   *mirror.Copy
-	mirror   *mirror.Server
-	follower *mirror.Follower
-	pool     *peer.Pool
-	server   *peer.Server
-	members  *membership.Duty
-	seeds    *membership.Seeds
-	callers  *callerServer
-	others   []*http.Server
-	stopping atomic.Bool
-	// lastCall is closed when the time for a planned stop is nearly over.
-	lastCall chan struct{}
-	inFlight atomic.Int64
-	helpers  helpers
-	// allowancePart is this node's part of the allowance for extra arrivals, guarded by beliefs.mutex.
+	settings   atomic.Pointer[settings.Edge]
+	started    time.Time
+	identity   peer.Identity
+	log        *decisionlog.Log
+	metrics    *nodeMetrics
+	traffic    *traffic.Account
+	state      *sharedState
+	registry   *registry
+	views      *belief.Store
+	replicas   *replicaconn.Client
+	storeCopy  *mirror.Copy
+	mirror     *mirror.Server
+	follower   *mirror.Follower
+	peerPool   *peer.Pool
+	peerServer *peer.Server
+	members    *membership.Duty
+	seeds      *membership.Seeds
+	callers    *callerServer
+	auxiliary  []*http.Server
+	stopping   atomic.Bool
+	// stopExpiring is closed shortly before the time for a planned stop has passed.
+	stopExpiring chan struct{}
+	inFlight     atomic.Int64
+	helpers      helpers
+	// allowancePart is this node's part of the allowance for extra arrivals, guarded by state.mutex.
 	allowancePart extra.AllowancePart
-	// quarantine knows the requests that may end the replicas that run them.
+	// quarantine tracks the requests that may end the replicas that run them.
 	quarantine *quarantine.Duty
-	// delegated counts the groups of sends in work for other nodes.
-	delegated atomic.Int64
-	ready     atomic.Bool
-	// entries are the nodes that callers are sent to. The housekeeping renews them:
-	// to choose them for each request would cost a walk over all replicas.
+	// delegatedGroups counts the groups of sends in progress for other nodes.
+	delegatedGroups atomic.Int64
+	ready           atomic.Bool
+	// entries are the nodes that callers are sent to. They are updated periodically, because selecting them
+	// requires a pass over all replicas.
 	entries atomic.Pointer[[]route.Node]
 	ctx     context.Context
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 }
 
-// New describes a node as an fx application; Start it and Stop it.
+// New returns a node as an fx application, which starts and stops it.
 func New(s *settings.Edge, out io.Writer) (*fx.App, *Node) {
 	n := newNode(s, out)
 	app := fx.New(
@@ -111,25 +110,25 @@
 func newNode(s *settings.Edge, out io.Writer) *Node {
 	started := time.Now()
 	n := &Node{
-		started:  started,
-		identity: peer.Identity{Node: core.NodeID(s.PeerAddress), Incarnation: uint64(started.UnixNano())},
-		log:      decisionlog.New(out, decisionlog.Fields{"node": s.Node}),
-		metrics:  newNodeMetrics(),
-		views:    belief.NewStore(),
-		replicas: replicaconn.NewClient(platform.Wire{}),
-		copied:   mirror.NewCopy(),
-		lastCall: make(chan struct{}),
+		started:      started,
+		identity:     peer.Identity{Node: core.NodeID(s.PeerAddress), Incarnation: uint64(started.UnixNano())},
+		log:          decisionlog.New(out, decisionlog.Fields{"node": s.Node}),
+		metrics:      newNodeMetrics(),
+		views:        belief.NewStore(),
+		replicas:     replicaconn.NewClient(platform.Wire{}),
+		storeCopy:    mirror.NewCopy(),
+		stopExpiring: make(chan struct{}),
 	}
-	n.traffic = traffic.New(n.metrics.registry)
+	n.traffic = traffic.New(n.metrics.reg)
 	n.settings.Store(s)
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.replicas.OnEnded(n.replicaEnded)
 	n.quarantine = quarantine.New(quarantine.Options{
-		Now: n.now, Changed: n.standingChanged,
+		Now: n.now, Changed: n.logStandingChange,
 		Self: n.identity.Node, Nodes: func() []route.Node { return n.view().Nodes() },
 	})
-	n.beliefs = newBeliefs(s.DataCentre, s.Regions, extra.Bound{}, n.now)
-	n.registry = &registry{beliefs: n.beliefs, log: n.log, metrics: n.metrics, heartbeat: func() time.Duration { return n.settings.Load().HeartbeatInterval }, onConfig: n.configInForce, onRestart: n.replicas.End, onEvacuation: n.leaveUnwanted}
+	n.state = newSharedState(s.DataCentre, s.Regions, extra.Bound{}, n.now)
+	n.registry = &registry{state: n.state, log: n.log, metrics: n.metrics, heartbeatInterval: func() time.Duration { return n.settings.Load().HeartbeatInterval }, onConfig: n.applyConfig, onRestart: n.replicas.End, onEvacuation: n.closeUnusable}
 	return n
 }
 
@@ -142,20 +141,20 @@
 	n.log.Life("node_started", decisionlog.Fields{"data_centre": s.DataCentre, "callers": s.CallerAddress, "peers": s.PeerAddress, "seeds": s.Seeds, "stop_wait_ms": s.StopWait.Milliseconds()})
 	tlsConfig, err := keys.Ephemeral(s.PeerAddress, time.Now())
 	if err != nil {
-		return fault.Step("make the node's key", err)
+		return fault.Step("create the node's key", err)
 	}
 	if err := n.startPeers(s, tlsConfig); err != nil {
 		return err
 	}
-	n.setBound()
+	n.updateExtraBound()
 	store := platform.NewStore(s.StoreAddress, storeDialTimeout)
-	n.follower = mirror.NewFollower(mirror.DefaultConfig(), n.copied, store, copies{node: n, turn: &atomic.Uint64{}, Links: mirror.Links{Asker: n.pool}}, n.registry, n.now)
-	n.mirror = mirror.NewServer(n.copied, n.follower.Age)
-	n.watchMetrics()
+	n.follower = mirror.NewFollower(mirror.DefaultConfig(), n.storeCopy, store, copySources{node: n, rotation: &atomic.Uint64{}, Links: mirror.Links{Asker: n.peerPool}}, n.registry, n.now)
+	n.mirror = mirror.NewServer(n.storeCopy, n.follower.Age)
+	n.registerGauges()
 	if n.callers, err = listenCallers(s.CallerAddress, n); err != nil {
 		return err
 	}
-	if err := n.startOthers(s); err != nil {
+	if err := n.startAuxiliary(s); err != nil {
 		return err
 	}
 	n.follower.Start()
@@ -170,18 +169,18 @@
 
 func (n *Node) startPeers(s *settings.Edge, tlsConfig *tls.Config) error {
 	var err error
-	// An address that cannot be taken apart leaves the choice to the kernel, and fails below.
+	// If the address does not parse, the kernel chooses one here, and listening on the address fails below.
 	host, _, _ := net.SplitHostPort(s.PeerAddress)
-	if n.pool, err = peer.NewPoolFrom(tlsConfig, n.identity, n, net.ParseIP(host)); err != nil {
+	if n.peerPool, err = peer.NewPoolFrom(tlsConfig, n.identity, n, net.ParseIP(host)); err != nil {
 		return fault.Step("open peer pool", err)
 	}
-	n.pool.KeepIdle(idleLink)
-	n.pool.OnBytes(n.sentToNode)
-	if n.server, err = peer.Listen(s.PeerListen, tlsConfig, n.identity, n); err != nil {
+	n.peerPool.KeepIdle(idleLinkTimeout)
+	n.peerPool.OnBytes(n.countPeerBytes)
+	if n.peerServer, err = peer.Listen(s.PeerListen, tlsConfig, n.identity, n); err != nil {
 		return fault.Step("listen for peers", err)
 	}
-	n.server.OnBytes(n.sentToNode)
-	self := route.Node{ID: n.identity.Node, DataCentre: s.DataCentre, PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress, OperatorAddress: s.OperatorAddress, Weight: uint32(s.Cores * milli)}
+	n.peerServer.OnBytes(n.countPeerBytes)
+	self := route.Node{ID: n.identity.Node, DataCentre: s.DataCentre, PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress, OperatorAddress: s.OperatorAddress, Weight: uint32(s.Cores * weightPerCore)}
 	n.views.SetSelf(self)
 	n.seeds = membership.NewSeeds(s.PeerAddress, s.Seeds)
 	n.members = membership.Start(membership.Options{
@@ -189,35 +188,35 @@
 		Incarnation: n.identity.Incarnation,
 		List:        n.seeds,
 		Belief:      n.views,
-		Peers:       n.pool,
+		Peers:       n.peerPool,
 		Now:         n.now,
 		Log:         n.log.Logger(),
 		Problems:    observe.NewProblems(n.now),
 		InForce:     func() (uint64, uint64) { return n.configVersion(), 0 },
-		Heard:       n.heardVersion,
+		Heard:       n.handleAnnouncedVersion,
 
 		Quarantine:      n.quarantine.Digest,
-		HeardQuarantine: n.heardQuarantine,
+		HeardQuarantine: n.handleQuarantineDigest,
 	})
-	n.quarantine.Start(n.pool)
-	n.pool.OnLink(n.linkNews)
+	n.quarantine.Start(n.peerPool)
+	n.peerPool.OnLink(n.handleLinkState)
 	return nil
 }
 
-// configVersion is that of the configuration in force; 0 is none.
+// configVersion returns the version of the configuration in force, or 0 if there is none.
 func (n *Node) configVersion() uint64 {
-	if config := n.beliefs.config.Load(); config != nil {
+	if config := n.state.config.Load(); config != nil {
 		return config.Version
 	}
 	return 0
 }
 
-// heardVersion takes the version that another node has in force.
+// handleAnnouncedVersion handles the configuration version that another node has in force.
 //
-// The failure: a store that came back from a copy shows an older configuration for a while, and a node that
-// starts then and reads the store itself asks no other node. Its callers would be sent back
-// to what they have seen replaced.
-func (n *Node) heardVersion(from core.NodeID, version, _ uint64) {
+// It guards against this failure: a store restored from a backup returns an older configuration for a while,
+// and a node that starts then and reads the store itself asks no other node. Its callers would get the
+// configuration that they have already seen replaced.
+func (n *Node) handleAnnouncedVersion(from core.NodeID, version, _ uint64) {
 	if version <= n.configVersion() {
 		return
 	}
@@ -226,38 +225,39 @@
 	}
 }
 
-// heardQuarantine takes what another node knows of requests that are set aside.
-func (n *Node) heardQuarantine(from core.NodeID, digest uint64) {
+// handleQuarantineDigest handles the quarantine digest that another node announces.
+func (n *Node) handleQuarantineDigest(from core.NodeID, digest uint64) {
 	if known, ok := n.view().Node(from); ok && n.ready.Load() {
 		n.quarantine.Heard(peer.Target{Node: known.ID, Address: known.PeerAddress}, digest)
 	}
 }
 
-// linkNews takes the evidence of data traffic about the node behind a link.
-func (n *Node) linkNews(news peer.LinkNews) {
-	if news.State == peer.LinkAnswers {
-		n.members.Answered(news.Peer.Node)
+// handleLinkState passes evidence from data traffic about the node at the other end of a link to the
+// membership.
+func (n *Node) handleLinkState(change peer.LinkNews) {
+	if change.State == peer.LinkAnswers {
+		n.members.Answered(change.Peer.Node)
 		return
 	}
-	n.members.Lost(news.Peer.Node)
+	n.members.Lost(change.Peer.Node)
 }
 
-// startOthers opens the addresses besides the callers'. Metrics are no condition of
-// serving: a node goes on where their port is taken.
-func (n *Node) startOthers(s *settings.Edge) error {
-	if err := n.serveOther(s.DirectoryAddress, n.directory()); err != nil {
+// startAuxiliary starts the servers other than the callers'. The metrics are optional: the node starts even
+// if their port is taken.
+func (n *Node) startAuxiliary(s *settings.Edge) error {
+	if err := n.serveAuxiliary(s.DirectoryAddress, n.directoryHandler()); err != nil {
 		return err
 	}
-	if err := n.serveOther(s.ReadyAddress, n.readiness()); err != nil {
+	if err := n.serveAuxiliary(s.ReadyAddress, n.readinessHandler()); err != nil {
 		return err
 	}
-	if err := n.serveOther(s.MetricsAddress, n.operator()); err != nil {
+	if err := n.serveAuxiliary(s.MetricsAddress, n.operatorHandler()); err != nil {
 		n.log.Life("metrics_unavailable", decisionlog.Fields{"error": err.Error()})
 	}
 	return nil
 }
 
-func (n *Node) serveOther(address string, handler http.Handler) error {
+func (n *Node) serveAuxiliary(address string, handler http.Handler) error {
 	if address == "" {
 		return nil
 	}
@@ -265,8 +265,8 @@
 	if err != nil {
 		return fault.Address(address, err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout}
-	n.others = append(n.others, server)
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: initialHeaderTimeout, IdleTimeout: initialIdleTimeout}
+	n.auxiliary = append(n.auxiliary, server)
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
@@ -289,26 +289,26 @@
 	}
 }
 
-// configInForce adapts what depends on the configuration.
-func (n *Node) configInForce() {
-	config := n.beliefs.config.Load()
+// applyConfig applies a new configuration to the limits, metrics and budgets that depend on it.
+func (n *Node) applyConfig() {
+	config := n.state.config.Load()
 	n.callers.setLimits(config.Limits)
-	n.metrics.forget(func(service string) bool { _, configured := config.Services[service]; return configured })
+	n.metrics.removeServices(func(service string) bool { _, configured := config.Services[service]; return configured })
 	bounds := map[string]coldstart.Bound{}
 	for name, service := range config.Services {
 		bounds[name] = service.Cold
 	}
-	n.beliefs.mutex.Lock()
-	defer n.beliefs.mutex.Unlock()
-	n.beliefs.outlook.Replicas.SetColdBounds(bounds)
-	n.beliefs.outlook.Budget.RemoveUnused(func(service string) bool { return n.beliefs.outlook.Replicas.CountUsable(service) > 0 }, n.now())
+	n.state.mutex.Lock()
+	defer n.state.mutex.Unlock()
+	n.state.outlook.Replicas.SetColdBounds(bounds)
+	n.state.outlook.Budget.RemoveUnused(func(service string) bool { return n.state.outlook.Replicas.CountUsable(service) > 0 }, n.now())
 }
 
-// housekeeping is how often beliefs that age are looked at.
-const housekeeping = 200 * time.Millisecond
+// housekeepingInterval is the interval between checks for expired state.
+const housekeepingInterval = 200 * time.Millisecond
 
 func (n *Node) housekeep() {
-	ticker, summary := time.NewTicker(housekeeping), time.NewTicker(tellTrafficEvery)
+	ticker, summary := time.NewTicker(housekeepingInterval), time.NewTicker(trafficLogInterval)
 	defer ticker.Stop()
 	defer summary.Stop()
 	for {
@@ -316,30 +316,30 @@
 		case <-n.ctx.Done():
 			return
 		case <-summary.C:
-			n.tellTraffic()
+			n.logTraffic()
 			continue
 		case <-ticker.C:
 		}
 		n.registry.expire()
-		n.renewEntries()
-		n.setBound()
-		n.leaveUnwanted()
+		n.updateEntries()
+		n.updateExtraBound()
+		n.closeUnusable()
 	}
 }
 
-// leaveUnwanted closes the connections to replicas that are to get nothing more.
-func (n *Node) leaveUnwanted() {
-	n.replicas.Forget(func(life replica.Incarnation) bool {
-		n.beliefs.mutex.Lock()
-		defer n.beliefs.mutex.Unlock()
-		return n.beliefs.outlook.Replicas.IsUsable(life)
+// closeUnusable closes the connections to replicas that get no further requests.
+func (n *Node) closeUnusable() {
+	n.replicas.Forget(func(incarnation replica.Incarnation) bool {
+		n.state.mutex.Lock()
+		defer n.state.mutex.Unlock()
+		return n.state.outlook.Replicas.IsUsable(incarnation)
 	})
 }
 
-// renewEntries chooses anew which nodes callers are sent to.
-func (n *Node) renewEntries() {
+// updateEntries selects the nodes that callers are sent to.
+func (n *Node) updateEntries() {
 	former := n.entries.Load()
-	chosen := n.preferred()
+	chosen := n.selectEntries()
 	if former != nil && slices.Equal(*former, chosen) {
 		return
 	}
@@ -350,55 +350,55 @@
 		addresses = append(addresses, one.CallerAddress)
 		senders = append(senders, one.ID)
 	}
-	n.beliefs.note(func(book *replica.Table, _ core.Time) { book.SetSenders(n.identity.Node, senders) })
+	n.state.withReplicas(func(table *replica.Table, _ core.Time) { table.SetSenders(n.identity.Node, senders) })
 	n.log.Life("entries_changed", decisionlog.Fields{"entries": addresses, "live": len(n.view().Nodes())})
 }
 
-// chosen lists the nodes that callers are sent to.
-func (n *Node) chosen() []route.Node {
+// currentEntries returns the nodes that callers are sent to.
+func (n *Node) currentEntries() []route.Node {
 	if entries := n.entries.Load(); entries != nil {
 		return *entries
 	}
 	return nil
 }
 
-// Reload takes settings that were read anew. No connection ends by it: what cannot change in a running
-// process stays, and the log names it.
-func (n *Node) Reload(read *settings.Edge) {
-	taken := *read
-	s := &taken
+// Reload applies reloaded settings. No connection is closed: settings that cannot change in a running process
+// keep their values, and the log names them.
+func (n *Node) Reload(loaded *settings.Edge) {
+	updated := *loaded
+	s := &updated
 	kept := s.RestoreFixed(n.settings.Load())
 	changed := !reflect.DeepEqual(n.settings.Swap(s), s)
 	n.seeds.Replace(s.Seeds)
-	n.setBound()
+	n.updateExtraBound()
 	n.log.Life("settings_reloaded", decisionlog.Fields{"changed": changed, "seeds": s.Seeds, "stop_wait_ms": s.StopWait.Milliseconds(), "needs_restart": kept})
 }
 
-// dump is the node's state for operators.
+// dump returns the node's state for operators.
 func (n *Node) dump() any {
 	s := n.settings.Load()
-	state := map[string]any{
+	fields := map[string]any{
 		"node": s.Node, "data_centre": s.DataCentre, "stopping": n.stopping.Load(), "in_flight": n.inFlight.Load(),
-		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Reached().Era, "connections": n.replicas.Open(),
+		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.storeCopy.UpTo(), "store_era": n.storeCopy.Reached().Era, "connections": n.replicas.Open(),
 	}
-	if config := n.beliefs.config.Load(); config != nil {
-		state["config_version"] = config.Version
+	if config := n.state.config.Load(); config != nil {
+		fields["config_version"] = config.Version
 	}
 	var replicas []replica.Replica
-	n.beliefs.note(func(book *replica.Table, _ core.Time) {
-		book.Each(func(one replica.Replica) { replicas = append(replicas, one) })
-		state["sends_running"] = book.InFlight()
-		state["evacuated"] = book.Evacuated()
+	n.state.withReplicas(func(table *replica.Table, _ core.Time) {
+		table.Each(func(one replica.Replica) { replicas = append(replicas, one) })
+		fields["sends_running"] = table.InFlight()
+		fields["evacuated"] = table.Evacuated()
 	})
-	state["replicas"] = replicas
-	state["quarantine"] = n.quarantine.Requests()
-	return state
+	fields["replicas"] = replicas
+	fields["quarantine"] = n.quarantine.Requests()
+	return fields
 }
 
-// LibraryLogWriter takes what libraries write of themselves into the node's log.
+// LibraryLogWriter returns a writer that takes the log output of libraries into the node's log.
 func (n *Node) LibraryLogWriter() io.Writer { return n.log.Libraries() }
 
-// LogRefusedSettings notes new settings that cannot be used; the former stay in force.
+// LogRefusedSettings logs that reloaded settings are invalid; the previous ones stay in force.
 func (n *Node) LogRefusedSettings(cause error) {
-	n.log.Life("settings_refused", decisionlog.Fields{"error": cause.Error(), "outcome": "the former stay in force"})
+	n.log.Life("settings_refused", decisionlog.Fields{"error": cause.Error(), "outcome": "the previous settings stay in force"})
 }
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -14,27 +14,27 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// inWork is a send that the connections to replicas hold for its request.
-type inWork struct {
+// inFlightSend is attached to each request in flight to a replica and identifies its send.
+type inFlightSend struct {
 	request *request
 	send    *exchange
 }
 
-// identity is what makes the request the same over all its tries.
+// identity returns the properties that identify the request over all its attempts.
 func (q *request) identity() quarantine.Identity {
 	path, query, _ := strings.Cut(q.template.Target, "?")
 	return quarantine.Identity{Method: q.template.Method, Host: q.template.Host, Path: path, Query: query, Caller: platform.CallerLines(q.template.Header), Body: q.template.Body}
 }
 
-// maxDescribed bounds the path in a description, in bytes.
-const maxDescribed = 100
+// maxDescribedPathBytes bounds the path in a description.
+const maxDescribedPathBytes = 100
 
-// describe names the request to operators.
+// describe returns a description of the request for operators.
 func (q *request) describe() string {
-	return q.template.Method + " " + q.template.Host + q.template.Target[:min(len(q.template.Target), maxDescribed)] + " (" + q.route.Name + ")" + q.origin()
+	return q.template.Method + " " + q.template.Host + q.template.Target[:min(len(q.template.Target), maxDescribedPathBytes)] + " (" + q.route.Name + ")" + q.origin()
 }
 
-// origin ends a description with the caller's address, where that is known.
+// origin returns the end of a description with the caller's address, if that is known.
 func (q *request) origin() string {
 	if caller := q.caller(); caller != "" {
 		return " from " + caller
@@ -42,17 +42,17 @@
 	return ""
 }
 
-// caller is the address that the request came from, without its port; empty where it is not known.
+// caller returns the address that the request came from, without its port, or "" if it is unknown.
 func (q *request) caller() string {
-	read, err := netip.ParseAddrPort(q.remote)
+	address, err := netip.ParseAddrPort(q.remote)
 	if err != nil {
 		return ""
 	}
-	return read.Addr().Unmap().String()
+	return address.Addr().Unmap().String()
 }
 
-// assess applies the standings of the request, as a whole and at each shard, to its plan.
-func (q *request) assess() {
+// applyStandings applies the standings of the request, as a whole and at each shard, to its plan.
+func (q *request) applyStandings() {
 	assessment := q.node.quarantine.Assess(q.identity, q.services)
 	q.standing = assessment.Request
 	q.plan.Suspect = q.standing == quarantine.Suspect
@@ -60,15 +60,17 @@
 	q.plan.SetAsideShards = assessment.ShardsWith(quarantine.SetAside)
 }
 
-// setAside reports whether the request is set aside as a whole, or at so many shards that too few remain to answer it.
-func (q *request) setAside() bool {
+// isSetAside reports whether the request is set aside as a whole, or at so many shards that too few remain to
+// answer it.
+func (q *request) isSetAside() bool {
 	return q.standing == quarantine.SetAside || len(q.plan.SetAsideShards) > 0 && len(q.services)-len(q.plan.SetAsideShards) < max(q.plan.MinParts, 1)
 }
 
-// noteAnswered records that a replica of a shard has answered the request, which clears it as a whole and at that shard.
-func (q *request) noteAnswered(shard string) {
+// recordAnswered records that a replica of a shard has answered the request, which clears it as a whole and
+// at that shard.
+func (q *request) recordAnswered(shard string) {
 	q.answered.Store(true)
-	q.node.quarantine.Answered(q.names, shard)
+	q.node.quarantine.Answered(q.quarantineNames, shard)
 }
 
 // trialMarks returns the trial marks for a send that was not answered.
@@ -83,10 +85,10 @@
 	return marks
 }
 
-// noteTrial records a failed send that was the only one of a suspected request in flight, or the only one at its shard. No
-// node may see the replica end, so a trial without an answer counts by itself. A replica that answers with a failure has not
-// ended, and may not have run the request.
-func (q *request) noteTrial(one *exchange) {
+// recordTrial records a failed send that was the only one of a suspected request in flight, or the only one
+// at its shard. The end of the replica may go unseen by every node, so a trial without an answer counts by
+// itself. A replica that answers with a failure has not ended, and may not have run the request.
+func (q *request) recordTrial(one *exchange) {
 	if marks := trialMarks(one.send); marks != 0 && one.verdict == scatter.Failed && one.response == nil {
 		q.node.quarantine.Seen(q.identity(), q.describe(), one.send.Replica.Service, one.send.Replica.Incarnation(), marks|q.clearedMark())
 	}
@@ -100,11 +102,11 @@
 	return 0
 }
 
-// maxEndedRequests bounds the requests that the line on an ended replica names: a replica that runs more
-// has very many slots.
+// maxEndedRequests bounds the requests named in the log line of an ended replica. Only replicas with very
+// many slots run more.
 const maxEndedRequests = 16
 
-// endedRequest is a request that was in work at a replica that ended, as the log names it.
+// endedRequest is the log entry of a request that was in flight at a replica that ended.
 type endedRequest struct {
 	ID     string `json:"id"`
 	Key    string `json:"key"`
@@ -112,38 +114,38 @@
 	Route  string `json:"route"`
 }
 
-// replicaEnded takes that a replica has ended, with the sends that were in work there. A request that another
+// replicaEnded handles the end of a replica, with the sends that were in flight there. A request that another
 // replica has answered in the meantime is suspected only at the shard of the ended replica.
-func (n *Node) replicaEnded(life replica.Incarnation, requests []*replicaconn.Request) {
+func (n *Node) replicaEnded(incarnation replica.Incarnation, requests []*replicaconn.Request) {
 	var named []endedRequest
-	fields := decisionlog.Fields{"replica": life.ID, "born": life.Born, "in_work": len(requests)}
+	fields := decisionlog.Fields{"replica": incarnation.ID, "born": incarnation.Born, "in_work": len(requests)}
 	for _, one := range requests {
-		work, ok := one.Work.(inWork)
+		inFlight, ok := one.Work.(inFlightSend)
 		if !ok {
 			continue
 		}
-		q := work.request
+		q := inFlight.request
 		identity := q.identity()
-		fields["service"] = work.send.send.Replica.Service
+		fields["service"] = inFlight.send.send.Replica.Service
 		if len(named) < maxEndedRequests {
 			named = append(named, endedRequest{ID: q.id, Key: identity.Names().Exact.String(), Caller: q.caller(), Route: q.route.Name})
 		}
-		marks := quarantine.Ended | trialMarks(work.send.send) | q.clearedMark()
-		n.quarantine.Seen(identity, q.describe(), work.send.send.Replica.Service, life, marks)
+		marks := quarantine.Ended | trialMarks(inFlight.send.send) | q.clearedMark()
+		n.quarantine.Seen(identity, q.describe(), inFlight.send.send.Replica.Service, incarnation, marks)
 	}
 	fields["requests"] = named
-	n.metrics.replicaEnded()
+	n.metrics.countReplicaEnded()
 	n.log.Life("replica_ended", fields)
 }
 
-// standingEvents are the log's names for what a request becomes.
+// standingEvents are the log events for changes of a request's standing.
 var standingEvents = map[quarantine.Standing]string{
 	quarantine.Trusted: "request_cleared", quarantine.Suspect: "request_suspected", quarantine.SetAside: "request_set_aside",
 }
 
-// standingChanged tells what a request has become, and by whom that is known. Requests that are set aside are told
-// whatever else is in the log: operators have to find them at once.
-func (n *Node) standingChanged(change quarantine.Change, from core.NodeID) {
+// logStandingChange logs the new standing of a request and the node that it was received from. Requests that
+// are set aside are logged regardless of the log's rate limit, so that operators find them at once.
+func (n *Node) logStandingChange(change quarantine.Change, from core.NodeID) {
 	record := change.Record
 	severity := record.Severity()
 	if severity == change.Former {
@@ -152,16 +154,16 @@
 	fields := decisionlog.Fields{"key": record.Key.String(), "what": record.What, "former": change.Former.String(), "replicas_ended": record.Ended(), "from": from, "shards_set_aside": record.SetAsideShards()}
 	event := standingEvents[severity]
 	if severity == quarantine.SetAside {
-		n.metrics.setAside()
+		n.metrics.countSetAside()
 		n.log.Life(event, fields)
 		return
 	}
 	n.log.Decision(event, fields)
 }
 
-// rejectSetAside answers a request under which replicas ended. It has not run.
+// rejectSetAside answers that a request has not run because it is set aside.
 func (n *Node) rejectSetAside(w http.ResponseWriter, q *request) {
-	n.metrics.refused()
+	n.metrics.countRefused()
 	n.log.Decision("request_refused", decisionlog.Fields{"request": q.id, "cause": "replicas ended under it each time it ran", "key": q.identity().Names().Exact.String(), "retry_after_ms": quarantine.RetryAfter.Milliseconds()})
-	writeRefusalFor(w, "not run: replicas ended under this request each time it ran", quarantine.RetryAfter)
+	writeRefusalReason(w, "not run: replicas ended under this request each time it ran", quarantine.RetryAfter)
 }
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -13,61 +13,60 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// lapseWait is how long a replica whose entry the store lost during an outage goes
-// on getting requests: entries of live replicas are back within about two seconds.
-const lapseWait = 2300 * time.Millisecond
+// lapseTimeout is how long a replica whose entry the store lost during an outage still gets requests. Entries
+// of live replicas are back within about two seconds.
+const lapseTimeout = 2300 * time.Millisecond
 
 const (
-	// silentHeartbeats is the number of heartbeats without a report after which the store removes an entry.
-	silentHeartbeats = 3
-	// usualHeartbeat is the pause between two reports where the settings do not tell it.
-	usualHeartbeat = 1200 * time.Millisecond
-	// removalSlack is how much longer the store may take to remove an entry.
-	removalSlack = time.Second
+	// missedHeartbeats is the number of heartbeats without a report after which the store removes an entry.
+	missedHeartbeats = 3
+	// defaultHeartbeatInterval is the time between two reports if the settings do not state it.
+	defaultHeartbeatInterval = 1200 * time.Millisecond
+	// removalMargin is the additional time that the store may take to remove an entry.
+	removalMargin = time.Second
 )
 
-// doubtWait is how long the entry of a replica that has left may stay in a store that came back from a copy:
-// nobody renews it.
-func (r *registry) doubtWait() time.Duration {
-	heartbeat := r.heartbeat()
-	if heartbeat <= 0 {
-		heartbeat = usualHeartbeat
+// suspicionTimeout returns how long the entry of a replica that has left may stay in a store restored from a
+// backup: nothing renews it.
+func (r *registry) suspicionTimeout() time.Duration {
+	interval := r.heartbeatInterval()
+	if interval <= 0 {
+		interval = defaultHeartbeatInterval
 	}
-	return silentHeartbeats*heartbeat + removalSlack
+	return missedHeartbeats*interval + removalMargin
 }
 
-// registry takes the changes of the store's copy into the node's beliefs. It
-// implements mirror.Listener.
+// registry applies changes of the store's copy to the node's state. It implements mirror.Listener.
 type registry struct {
-	beliefs *beliefs
+	state   *sharedState
 	log     *decisionlog.Log
 	metrics *nodeMetrics
-	// heartbeat is the pause between two reports of a replica; 0 is not known.
-	heartbeat func() time.Duration
-	// onConfig is told each configuration that is put in force.
+	// heartbeatInterval returns the time between two reports of a replica; 0 means unknown.
+	heartbeatInterval func() time.Duration
+	// onConfig is called after a configuration was put in force.
 	onConfig func()
-	// onEvacuation is told that other data centres are evacuated than before.
+	// onEvacuation is called after the set of evacuated data centres changed.
 	onEvacuation func()
-	// onRestart is told an incarnation whose replica has started again under its id.
+	// onRestart is called with the former incarnation of a replica that restarted under its id.
 	onRestart func(former replica.Incarnation)
 
 	mutex sync.Mutex
-	// refused holds why the entries that name no replica do not, by id.
+	// refused holds, by id, why entries do not name a replica.
 	refused map[string]refusedEntry
 }
 
-// refusedEntry is why an entry names no replica, and the revision that says so.
+// refusedEntry is the reason why an entry names no replica, and the revision of the entry.
 type refusedEntry struct {
 	Revision uint64 `json:"revision"`
 	Reason   string `json:"reason"`
 }
 
-// errNoStart is an entry that does not say when its replica started, though former ones did.
-var errNoStart = errors.New("it does not say when the replica started, as former entries did")
+// errNoStartTime is returned for an entry without a start time if earlier entries of the replica had one.
+var errNoStartTime = errors.New("the entry lacks the start time that earlier entries of the replica had")
 
-// maxRefused bounds the entries that are remembered as refused. Further ones are refused too,
-// logged and counted, but not shown in the dump.
-const maxRefused = 256
+// maxRefusedEntries bounds the refused entries that the dump lists. Further ones are also refused, logged and
+// counted.
+const maxRefusedEntries = 256
 
 // Changed implements mirror.Listener.
 func (r *registry) Changed(change mirror.Change) {
@@ -89,54 +88,55 @@
 	}
 }
 
-// configOutdated tells a configuration that is older than the one in force. A store that came back from a
-// copy offers one until the operator's is written again; taken, it would send callers back to
-// what they have seen replaced.
+// configOutdated logs a configuration that is older than the one in force. A store restored from a backup
+// offers one until the operators write the current one again; if it were applied, callers would get the
+// configuration that they have already seen replaced.
 func (r *registry) configOutdated(item mirror.Item, era uint64) {
-	fields := decisionlog.Fields{"offered_version": item.Rank, "revision": item.Revision, "era": era, "outcome": "the newer one stays in force"}
-	if config := r.beliefs.config.Load(); config != nil {
+	fields := decisionlog.Fields{"offered_version": item.Rank, "revision": item.Revision, "era": era, "outcome": "the newer configuration stays in force"}
+	if config := r.state.config.Load(); config != nil {
 		fields["version"] = config.Version
 	}
-	r.metrics.configOutdated()
+	r.metrics.countOutdatedConfig()
 	r.log.Life("config_outdated", fields)
 }
 
-// configChanged puts a configuration in force. Versions only rise.
+// configChanged puts a configuration in force unless its version is lower than the current one.
 func (r *registry) configChanged(item mirror.Item, era uint64) {
 	if item.Removed {
-		r.log.Life("config_removed", decisionlog.Fields{"revision": item.Revision, "outcome": "the former stays in force"})
+		r.log.Life("config_removed", decisionlog.Fields{"revision": item.Revision, "outcome": "the previous configuration stays in force"})
 		return
 	}
 	config, err := platform.DecodeConfig(item.Value)
 	if err != nil {
-		r.log.Life("config_refused", decisionlog.Fields{"revision": item.Revision, "error": err.Error(), "outcome": "the former stays in force"})
+		r.log.Life("config_refused", decisionlog.Fields{"revision": item.Revision, "error": err.Error(), "outcome": "the previous configuration stays in force"})
 		return
 	}
-	if former := r.beliefs.config.Load(); former != nil && config.Version < former.Version {
+	if former := r.state.config.Load(); former != nil && config.Version < former.Version {
 		r.configOutdated(item, era)
 		return
 	}
-	r.beliefs.config.Store(config)
+	r.state.config.Store(config)
 	r.log.Life("config_in_force", decisionlog.Fields{"version": config.Version, "revision": item.Revision, "era": era, "routes": len(config.Routes), "unreadable": config.Unreadable})
 	if r.onConfig != nil {
 		r.onConfig()
 	}
 }
 
-// evacuationChanged takes the operators' wish that the replicas of a data centre get nothing, or
-// its end. A removal that a reading after an outage tells of is the operators' own: unlike entries of
-// replicas, wishes do not lapse. But a store that came back from a copy lacks the wishes since,
-// which are written again: the data centre gets nothing until there was time for that. A wish that had
-// ended and is back binds until it is taken back again: to send nothing there is the lesser harm.
+// evacuationChanged applies the start or end of an evacuation, during which the replicas of a data centre get
+// no requests. A removal found after an outage counts as made by the operators: evacuations, unlike replica
+// entries, do not lapse. A store restored from a backup, however, lacks the evacuations started since, which
+// are written again: the data centre gets no requests until there was time for that. An evacuation that had
+// ended and is present again applies until it is ended again, because sending nothing there is the lesser
+// harm.
 func (r *registry) evacuationChanged(dataCentre string, item mirror.Item, newEra bool) {
 	if item.Removed && newEra {
-		r.beliefs.note(func(book *replica.Table, now core.Time) { book.LapseEvacuation(dataCentre, now) })
+		r.state.withReplicas(func(table *replica.Table, now core.Time) { table.LapseEvacuation(dataCentre, now) })
 		r.log.Life("evacuation_lapsed", decisionlog.Fields{"data_centre": dataCentre, "revision": item.Revision})
 		return
 	}
 	changed := false
-	r.beliefs.note(func(book *replica.Table, now core.Time) {
-		changed = book.SetEvacuated(dataCentre, !item.Removed, now)
+	r.state.withReplicas(func(table *replica.Table, now core.Time) {
+		changed = table.SetEvacuated(dataCentre, !item.Removed, now)
 	})
 	if !changed {
 		return
@@ -160,38 +160,38 @@
 		return
 	}
 	var known replica.Replica
-	var listing replica.PutResult
-	r.beliefs.note(func(book *replica.Table, now core.Time) {
-		known, _ = book.Get(id)
-		left := change.NewEra && book.PredatesRemoval(listed)
+	var result replica.PutResult
+	r.state.withReplicas(func(table *replica.Table, now core.Time) {
+		known, _ = table.Get(id)
+		removedBefore := change.NewEra && table.PredatesRemoval(listed)
 		if listed.Born > 0 || known.Born == 0 {
-			listing = book.Put(listed)
+			result = table.Put(listed)
 		}
-		if left && listing == replica.Added {
-			listing = replica.Suspected
-			book.Suspect(listed.Incarnation(), now)
+		if removedBefore && result == replica.Added {
+			result = replica.Suspected
+			table.Suspect(listed.Incarnation(), now)
 		}
-		if listing != replica.Outdated {
-			book.SetColdUntil(listed.Incarnation(), now+listed.ColdFor)
+		if result != replica.Outdated {
+			table.SetColdUntil(listed.Incarnation(), now+listed.ColdFor)
 		}
 	})
 	if listed.Born == 0 && known.Born > 0 {
-		r.replicaRefused(id, item.Revision, errNoStart)
+		r.replicaRefused(id, item.Revision, errNoStartTime)
 		return
 	}
-	r.accepted(id)
+	r.clearRefused(id)
 	fields := decisionlog.Fields{"replica": id, "service": listed.Service, "address": listed.Address, "data_centre": listed.DataCentre, "revision": item.Revision}
 	switch {
-	case listing == replica.Added:
+	case result == replica.Added:
 		r.log.Decision("replica_listed", fields)
-	case listing == replica.Suspected:
+	case result == replica.Suspected:
 		r.log.Decision("replica_doubted", fields)
-	case listing == replica.Restarted && listed.Incarnation() != known.Incarnation():
+	case result == replica.Restarted && listed.Incarnation() != known.Incarnation():
 		fields["born"], fields["former_born"] = listed.Born, known.Born
 		r.log.Decision("replica_restarted", fields)
-		r.metrics.restarted()
+		r.metrics.countRestart()
 		r.onRestart(known.Incarnation())
-	case listing == replica.Outdated:
+	case result == replica.Outdated:
 		fields["born"], fields["known_born"], fields["sequence"], fields["known_sequence"] = listed.Born, known.Born, listed.Sequence, known.Sequence
 		r.log.Decision("replica_report_outdated", fields)
 	case listed.Draining && !known.Draining:
@@ -199,30 +199,31 @@
 	}
 }
 
-// replicaRefused takes an entry that names no replica: another program may have written it. The
-// replica that stood there before is not used either, as its own entry is gone; others hold.
+// replicaRefused handles an entry that names no replica, possibly written by another program. The replica
+// that the entry named before is not used either, because its own entry is gone; other replicas are not
+// affected.
 func (r *registry) replicaRefused(id string, revision uint64, cause error) {
-	r.metrics.entryRefused()
-	r.beliefs.note(func(book *replica.Table, _ core.Time) { book.Remove(id) })
+	r.metrics.countRefusedEntry()
+	r.state.withReplicas(func(table *replica.Table, _ core.Time) { table.Remove(id) })
 	r.mutex.Lock()
 	if r.refused == nil {
 		r.refused = map[string]refusedEntry{}
 	}
-	if len(r.refused) < maxRefused {
+	if len(r.refused) < maxRefusedEntries {
 		r.refused[id] = refusedEntry{Revision: revision, Reason: cause.Error()}
 	}
 	r.mutex.Unlock()
-	r.log.Life("replica_refused", decisionlog.Fields{"replica": id, "revision": revision, "error": cause.Error(), "outcome": "the entry names no replica to use"})
+	r.log.Life("replica_refused", decisionlog.Fields{"replica": id, "revision": revision, "error": cause.Error(), "outcome": "the replica is not used until its entry is valid"})
 }
 
-// accepted forgets that an entry was refused.
-func (r *registry) accepted(id string) {
+// clearRefused removes an entry from the refused ones.
+func (r *registry) clearRefused(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.refused, id)
 }
 
-// refusedEntries copies the entries that name no replica.
+// refusedEntries returns a copy of the entries that name no replica.
 func (r *registry) refusedEntries() map[string]refusedEntry {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -230,13 +231,13 @@
 }
 
 func (r *registry) replicaRemoved(id string, revision uint64, afterOutage bool) {
-	r.accepted(id)
-	r.beliefs.note(func(book *replica.Table, now core.Time) {
+	r.clearRefused(id)
+	r.state.withReplicas(func(table *replica.Table, now core.Time) {
 		if afterOutage {
-			book.Lapse(id, now)
+			table.Lapse(id, now)
 			return
 		}
-		book.Remove(id)
+		table.Remove(id)
 	})
 	event := "replica_gone"
 	if afterOutage {
@@ -245,23 +246,23 @@
 	r.log.Decision(event, decisionlog.Fields{"replica": id, "revision": revision})
 }
 
-// expire ends what was not written again after the store was away or came back from a copy, and the
-// doubts in replicas whose entries have outlasted them.
+// expire ends lapsed entries and evacuations that were not written again after an outage or restore of the
+// store, and suspicions of replicas whose entries have outlasted the timeout.
 func (r *registry) expire() {
 	var gone, trusted, ended []string
-	r.beliefs.note(func(book *replica.Table, now core.Time) {
-		gone = book.Expire(lapseWait, now)
-		trusted = book.ExpireSuspicions(r.doubtWait(), now)
-		ended = book.ExpireEvacuations(lapseWait, now)
+	r.state.withReplicas(func(table *replica.Table, now core.Time) {
+		gone = table.Expire(lapseTimeout, now)
+		trusted = table.ExpireSuspicions(r.suspicionTimeout(), now)
+		ended = table.ExpireEvacuations(lapseTimeout, now)
 	})
 	for _, id := range gone {
-		r.log.Decision("replica_gone", decisionlog.Fields{"replica": id, "outcome": "its entry did not come back"})
+		r.log.Decision("replica_gone", decisionlog.Fields{"replica": id, "outcome": "its entry was not written again"})
 	}
 	for _, id := range trusted {
-		r.log.Decision("replica_trusted", decisionlog.Fields{"replica": id, "outcome": "its entry has outlasted the doubt"})
+		r.log.Decision("replica_trusted", decisionlog.Fields{"replica": id, "outcome": "its entry outlasted the suspicion timeout"})
 	}
 	for _, dataCentre := range ended {
-		r.log.Life("evacuation_ended", decisionlog.Fields{"data_centre": dataCentre, "outcome": "the wish was not written again"})
+		r.log.Life("evacuation_ended", decisionlog.Fields{"data_centre": dataCentre, "outcome": "the evacuation was not written again"})
 	}
 	if len(ended) > 0 {
 		r.onEvacuation()
@@ -283,12 +284,12 @@
 
 // EraUntold implements mirror.Listener.
 func (r *registry) EraUntold(known uint64) {
-	r.log.Life("store_era_untold", decisionlog.Fields{"known_era": known, "outcome": "answers count as of the known era: they take nothing back"})
+	r.log.Life("store_era_untold", decisionlog.Fields{"known_era": known, "outcome": "answers are treated as of the known era and undo nothing"})
 }
 
 // NotTaken implements mirror.Listener.
 func (r *registry) NotTaken(one mirror.NotTaken) {
-	r.log.Life("reading_not_taken", decisionlog.Fields{"dependency": one.Source, "era": one.Era, "revision": one.Revision, "reached_era": one.Reached.Era, "reached_revision": one.Reached.Revision, "outcome": "what was read before stays in force"})
+	r.log.Life("reading_not_taken", decisionlog.Fields{"dependency": one.Source, "era": one.Era, "revision": one.Revision, "reached_era": one.Reached.Era, "reached_revision": one.Reached.Revision, "outcome": "the previous reading stays in force"})
 }
 
 // SourceBack implements mirror.Listener.
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -18,93 +18,95 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// errAnswered ends the sends that are still running when a request is answered.
+// errAnswered cancels the sends in flight when a request has been answered.
 var errAnswered = errors.New("the request was answered without this send")
 
-// request is one caller's request on its way through the node.
+// request is a caller's request while the node processes it.
 type request struct {
 	node   *Node
 	route  *policy.Route
 	config *policy.Config
 	id     string
-	// remote is the address and port that the request came from; it is empty for another node's request.
+	// remote is the address and port that the request came from; empty for another node's request.
 	remote   string
 	template replicaconn.Request
 	services []string
 	plan     scatter.Plan
 	arrived  core.Time
-	// sends are the exchanges by their id; ended brings their ends.
+	// sends are the exchanges by their id; ended receives those that have ended.
 	sends []*exchange
 	ended chan []*exchange
-	// over is closed when nobody waits for the ends of sends any more.
-	over chan struct{}
-	// left is set when the caller went away.
-	left atomic.Bool
-	// standing is that of the request as a whole on arrival; answered is set once a replica has answered it.
+	// done is closed once nothing receives from ended any more.
+	done chan struct{}
+	// callerLeft is set if the caller disconnected.
+	callerLeft atomic.Bool
+	// standing is the standing of the whole request on arrival; answered is set once a replica has answered
+	// it.
 	standing quarantine.Standing
 	answered atomic.Bool
-	// names returns the names of the request in the quarantine, computed on first use.
-	names func() quarantine.Names
-	trail []step
+	// quarantineNames returns the names of the request in the quarantine, computed on first use.
+	quarantineNames func() quarantine.Names
+	steps           []step
 }
 
-// exchange is one send and how it ended.
+// exchange is a send and its result.
 type exchange struct {
 	send    scatter.Send
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 	startAt core.Time
-	// group is set when another node sends on this one's behalf.
+	// group is set if a helper makes the send.
 	group *group
-	// batch is set when the part came merged with others.
+	// batch is set if the part was merged with others.
 	batch    *batch
 	response *replicaconn.Response
 	err      error
 	verdict  scatter.Verdict
-	// broken is set when the replica ended the connection in place of an answer.
+	// broken is set if the replica closed the connection instead of answering.
 	broken bool
-	// took is how long the replica took, without the way through another node.
-	took time.Duration
-	// pauseEnded is how long ago, by another node, a pause of the replica ended; 0 where it knows none.
+	// latency is that of the replica, without the transit through a helper.
+	latency time.Duration
+	// pauseEnded is how long ago a pause of the replica ended, as reported by a helper; 0 means none is
+	// known.
 	pauseEnded time.Duration
-	over       bool
-	// late is set once the replica was noted as late.
-	late bool
+	handled    bool
+	// overdueNoted is set once a step was added for an overdue replica.
+	overdueNoted bool
 }
 
-// run carries out the machine's actions until it finishes or the caller leaves. The
-// second result is false when the caller left.
+// run carries out the machine's actions until it finishes or the caller disconnects. In the latter case it
+// returns false.
 func (q *request) run(ctx context.Context) (scatter.Result, bool) {
-	machine := scatter.New(q.plan, q.node.beliefs.chooser(q.route))
+	machine := scatter.New(q.plan, q.node.state.chooser(q.route))
 	q.ended = make(chan []*exchange, len(q.services))
-	q.over = make(chan struct{})
-	defer close(q.over)
+	q.done = make(chan struct{})
+	defer close(q.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	result := q.perform(ctx, machine.Step(q.node.now(), scatter.Begin{}), timer)
 	for result == nil {
 		select {
 		case ends := <-q.ended:
-			result = q.takeEnds(ctx, machine, ends, timer)
+			result = q.handleEnds(ctx, machine, ends, timer)
 		case <-timer.C:
 			result = q.perform(ctx, machine.Step(q.node.now(), scatter.Tick{}), timer)
-		case <-q.node.lastCall:
+		case <-q.node.stopExpiring:
 			result = q.perform(ctx, machine.Step(q.node.now(), scatter.GiveUp{}), timer)
 		case <-ctx.Done():
-			q.left.Store(true)
-			q.withdraw(context.Cause(ctx))
+			q.callerLeft.Store(true)
+			q.cancelSends(context.Cause(ctx))
 			return scatter.Result{MayHaveRun: true}, false
 		}
 	}
 	return *result, true
 }
 
-// takeEnds tells the machine of ends that came together. All are noted first: the
+// handleEnds passes ends that arrived together to the machine. All are marked as handled first, because the
 // machine may finish at the first of them.
-func (q *request) takeEnds(ctx context.Context, machine *scatter.Machine, ends []*exchange, timer *time.Timer) *scatter.Result {
+func (q *request) handleEnds(ctx context.Context, machine *scatter.Machine, ends []*exchange, timer *time.Timer) *scatter.Result {
 	for _, one := range ends {
-		one.over = true
-		q.noteEnd(one)
+		one.handled = true
+		q.addFailureStep(one)
 	}
 	for _, one := range ends {
 		result := q.perform(ctx, machine.Step(q.node.now(), scatter.SendEnded{Send: one.send.ID, Verdict: one.verdict, Broken: one.broken}), timer)
@@ -115,27 +117,27 @@
 	return nil
 }
 
-func (q *request) withdraw(cause error) {
+func (q *request) cancelSends(cause error) {
 	for _, one := range q.sends {
 		one.cancel(cause)
 	}
 }
 
-// perform carries out actions and returns the result once there is one.
+// perform carries out actions and returns the result if there is one.
 func (q *request) perform(ctx context.Context, actions []scatter.Action, timer *time.Timer) *scatter.Result {
 	var started []*exchange
 	for _, action := range actions {
 		switch a := action.(type) {
 		case scatter.Send:
-			started = append(started, q.prepare(ctx, a))
+			started = append(started, q.newExchange(ctx, a))
 		case scatter.CancelSend:
 			q.sends[a.ID].cancel(errAnswered)
 		case scatter.SendOverdue:
-			q.late(a.Send)
+			q.markOverdue(a.Send)
 		case scatter.Withheld:
-			q.withheld(a)
+			q.addWithheldStep(a)
 		case scatter.ServiceTooLate:
-			q.short(a)
+			q.addTooLateStep(a)
 		case scatter.Wake:
 			timer.Reset(max(a.At-q.node.now(), 0))
 		case scatter.Finish:
@@ -146,124 +148,121 @@
 	return nil
 }
 
-// late marks what keeps the request waiting: the replica, and the node that sends to
-// it on this one's behalf when that has not been heard at all.
-func (q *request) late(send int) {
+// markOverdue marks a replica as overdue, and a helper that has not replied at all as one to avoid.
+func (q *request) markOverdue(send int) {
 	one := q.sends[send]
-	q.node.beliefs.note(func(book *replica.Table, now core.Time) { book.Overdue(one.send.Replica.Incarnation(), now) })
-	if !one.late {
-		one.late = true
-		q.note(step{Event: "replica_late", Replica: one.send.Replica.ID, Service: one.send.Replica.Service})
+	q.node.state.withReplicas(func(table *replica.Table, now core.Time) { table.Overdue(one.send.Replica.Incarnation(), now) })
+	if !one.overdueNoted {
+		one.overdueNoted = true
+		q.addStep(step{Event: "replica_late", Replica: one.send.Replica.ID, Service: one.send.Replica.Service})
 	}
-	if one.group != nil && !one.group.heard.Load() {
+	if one.group != nil && !one.group.replied.Load() {
 		q.node.helpers.avoid(one.group.helper.Node, q.node.now())
 	}
 }
 
-// short notes a service that an early rejection rests on.
-func (q *request) short(a scatter.ServiceTooLate) {
+// addTooLateStep adds a step for a service that caused an early rejection.
+func (q *request) addTooLateStep(a scatter.ServiceTooLate) {
 	s := step{Event: "part_short", Service: q.services[a.Service], Replica: a.Replica.ID, ExpectMs: a.ExpectedLatency.Milliseconds(), Cause: "it is expected too late"}
 	if a.Unreachable {
 		s.Cause = "no connection a moment ago"
 	}
-	q.note(s)
+	q.addStep(s)
 }
 
-// withheld notes once a service and reason that a further send is not made.
-func (q *request) withheld(a scatter.Withheld) {
-	for _, s := range q.trail {
+// addWithheldStep adds a step for a send that was not made, once for each service and reason.
+func (q *request) addWithheldStep(a scatter.Withheld) {
+	for _, s := range q.steps {
 		if s.Event == "send_withheld" && s.Service == q.services[a.Service] && s.Why == string(a.Why) {
 			return
 		}
 	}
-	q.node.metrics.withheld(a.Why)
-	q.note(step{Event: "send_withheld", Service: q.services[a.Service], Cause: string(a.Cause), Why: string(a.Why)})
+	q.node.metrics.countWithheld(a.Why)
+	q.addStep(step{Event: "send_withheld", Service: q.services[a.Service], Cause: string(a.Cause), Why: string(a.Why)})
 }
 
-// prepare makes the exchange of a send. It may outlive the request for a moment when
-// its answer is no longer wanted: its end is still to be learnt from, and its
-// connection to be kept.
-func (q *request) prepare(ctx context.Context, a scatter.Send) *exchange {
+// newExchange creates the exchange of a send. It may briefly outlive the request if its answer is no longer
+// needed: its result is still recorded, and its connection is kept.
+func (q *request) newExchange(ctx context.Context, a scatter.Send) *exchange {
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	one := &exchange{send: a, ctx: ctx, cancel: cancel, startAt: q.node.now()}
 	q.sends = append(q.sends, one)
 	if a.Cause != scatter.First {
-		q.node.metrics.extra(a.Cause)
+		q.node.metrics.countExtra(a.Cause)
 	}
 	if a.Cause != scatter.First || q.route.Gather == nil {
-		q.note(step{Event: "sent", Cause: string(a.Cause), Replica: a.Replica.ID, Service: a.Replica.Service})
+		q.addStep(step{Event: "sent", Cause: string(a.Cause), Replica: a.Replica.ID, Service: a.Replica.Service})
 	}
 	return one
 }
 
-// dispatch sends the exchanges: those to another data centre together, through a node
-// there, the others directly.
+// dispatch starts the exchanges: those to another data centre in groups through helpers, the others directly.
 func (q *request) dispatch(started []*exchange) {
-	q.node.beliefs.note(func(book *replica.Table, now core.Time) {
+	q.node.state.withReplicas(func(table *replica.Table, now core.Time) {
 		for _, one := range started {
-			book.Sent(one.send.Replica.Incarnation(), now)
+			table.Sent(one.send.Replica.Incarnation(), now)
 		}
 	})
 	for _, one := range q.delegate(started) {
-		go q.direct(one)
+		go q.sendDirect(one)
 	}
 }
 
-// direct sends an exchange from this node.
-func (q *request) direct(one *exchange) {
+// sendDirect makes a send from this node.
+func (q *request) sendDirect(one *exchange) {
 	defer one.cancel(nil)
-	q.exchange(one.ctx, one)
-	q.tellEnds([]*exchange{one})
+	q.runExchange(one.ctx, one)
+	q.deliverEnds([]*exchange{one})
 }
 
-// tellEnds hands ends to the request unless that is over.
-func (q *request) tellEnds(ends []*exchange) {
+// deliverEnds hands ended exchanges to the request, or releases their bodies if the request has ended.
+func (q *request) deliverEnds(ends []*exchange) {
 	select {
 	case q.ended <- ends:
-	case <-q.over:
+	case <-q.done:
 		for _, one := range ends {
-			one.closeRest()
+			one.closeUnreadBody()
 		}
 	}
 }
 
-// closeRests gives up what was not read of long answers that came to this request. One that
-// comes just as the request ends is given up by its own time limit.
-func (q *request) closeRests() {
+// closeUnreadBodies closes the unread bodies of streamed answers to this request. A body that arrives just as
+// the request ends is closed by its own time limit.
+func (q *request) closeUnreadBodies() {
 	for _, one := range q.sends {
-		if one.over {
-			one.closeRest()
+		if one.handled {
+			one.closeUnreadBody()
 		}
 	}
 }
 
-func (one *exchange) closeRest() {
+func (one *exchange) closeUnreadBody() {
 	if one.response != nil && one.response.Rest != nil {
 		_ = one.response.Rest.Close()
 	}
 }
 
-func (q *request) exchange(ctx context.Context, one *exchange) {
-	left := q.plan.Deadline - q.node.now()
-	ctx, cancel := context.WithTimeout(ctx, max(left, time.Millisecond))
+func (q *request) runExchange(ctx context.Context, one *exchange) {
+	remaining := q.plan.Deadline - q.node.now()
+	ctx, cancel := context.WithTimeout(ctx, max(remaining, time.Millisecond))
 	defer cancel()
 	wire := q.template
 	wire.Replica = one.send.Replica.Incarnation()
 	wire.Address = one.send.Replica.Address
 	wire.Bytes = q.node.traffic.Counter(traffic.Flow{Purpose: traffic.Replicas, To: one.send.Replica.DataCentre})
-	wire.Work = inWork{request: q, send: one}
-	wire.Late = func(response *replicaconn.Response) { q.lateAnswer(one, response) }
-	wire.MaxConnections = q.node.connectionShare(q.config, one.send.Replica)
+	wire.Work = inFlightSend{request: q, send: one}
+	wire.Late = func(response *replicaconn.Response) { q.recordLateAnswer(one, response) }
+	wire.MaxConnections = q.node.maxConnections(q.config, one.send.Replica)
 	one.response, one.err = q.node.replicas.Do(ctx, &wire)
-	one.verdict = q.judge(one)
-	one.broken = brokenByReplica(one.err)
-	q.noteTrial(one)
-	one.took = q.node.now() - one.startAt
-	q.learn(one)
+	one.verdict = q.classify(one)
+	one.broken = isBrokenByReplica(one.err)
+	q.recordTrial(one)
+	one.latency = q.node.now() - one.startAt
+	q.recordEnd(one)
 }
 
-// judge tells what an exchange's end is worth.
-func (q *request) judge(one *exchange) scatter.Verdict {
+// classify returns the verdict on the end of an exchange.
+func (q *request) classify(one *exchange) scatter.Verdict {
 	var failed *replicaconn.Error
 	switch {
 	case errors.As(one.err, &failed) && !failed.Sent:
@@ -273,84 +272,84 @@
 	case platform.Wire{}.NotRun(one.response.Status, one.response.Header):
 		return scatter.Refused
 	case platform.Stamp(one.response.Header) == "":
-		// Without the replica's signature it is not the replica's answer.
+		// An answer without the replica's signature is not the replica's own.
 		return scatter.Failed
-	case promises[one.response.Status]:
-		// The status promises "not run", which the replica has not proved.
+	case notRunStatuses[one.response.Status]:
+		// The status means "not run", but the replica has not proved it.
 		return scatter.Failed
-	case one.response.Status >= 500 || q.route.Gather != nil && !success(one.response.Status):
+	case one.response.Status >= 500 || q.route.Gather != nil && !isSuccess(one.response.Status):
 		return scatter.Failed
 	default:
 		return scatter.Succeeded
 	}
 }
 
-// brokenByReplica reports whether the replica ended the connection in place of an answer.
-func brokenByReplica(err error) bool {
+// isBrokenByReplica reports whether the replica closed the connection instead of answering.
+func isBrokenByReplica(err error) bool {
 	var failed *replicaconn.Error
 	return errors.As(err, &failed) && failed.Broken
 }
 
-func success(status int) bool { return status >= 200 && status < 300 }
+func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// learn takes the end of an exchange into the node's beliefs. A send that was given
-// up teaches nothing more than the lateness noted before.
-func (q *request) learn(one *exchange) {
-	life := one.send.Replica.Incarnation()
-	b := q.node.beliefs
-	b.note(func(book *replica.Table, _ core.Time) { book.Ended(life) })
+// recordEnd records the end of an exchange in the node's state. A cancelled send yields no information beyond
+// the lateness recorded before.
+func (q *request) recordEnd(one *exchange) {
+	incarnation := one.send.Replica.Incarnation()
+	state := q.node.state
+	state.withReplicas(func(table *replica.Table, _ core.Time) { table.Ended(incarnation) })
 	if errors.Is(one.err, errAnswered) || errors.Is(one.err, context.Canceled) {
 		return
 	}
-	q.node.metrics.send(one.send.Replica.Service, one.verdict, one.took)
+	q.node.metrics.countSend(one.send.Replica.Service, one.verdict, one.latency)
 	switch one.verdict {
 	case scatter.Succeeded:
-		q.noteAnswered(one.send.Replica.Service)
-		b.answered(q.route, life, one.took)
+		q.recordAnswered(one.send.Replica.Service)
+		state.recordAnswer(q.route, incarnation, one.latency)
 	case scatter.Failed:
-		b.note(func(book *replica.Table, now core.Time) { book.Failed(life, now) })
+		state.withReplicas(func(table *replica.Table, now core.Time) { table.Failed(incarnation, now) })
 	case scatter.Refused:
-		b.note(func(book *replica.Table, now core.Time) { book.Refused(life, now) })
+		state.withReplicas(func(table *replica.Table, now core.Time) { table.Refused(incarnation, now) })
 		if one.response != nil && one.response.Status == http.StatusMisdirectedRequest {
-			b.note(func(book *replica.Table, _ core.Time) { book.Misdirected(life) })
-			q.node.log.Decision("replica_misdirected", decisionlog.Fields{"replica": life.ID, "service": one.send.Replica.Service, "address": one.send.Replica.Address, "request": q.id})
+			state.withReplicas(func(table *replica.Table, _ core.Time) { table.Misdirected(incarnation) })
+			q.node.log.Decision("replica_misdirected", decisionlog.Fields{"replica": incarnation.ID, "service": one.send.Replica.Service, "address": one.send.Replica.Address, "request": q.id})
 		}
 	case scatter.Unreached:
-		b.note(func(book *replica.Table, now core.Time) { book.Unreached(life, now) })
+		state.withReplicas(func(table *replica.Table, now core.Time) { table.Unreached(incarnation, now) })
 	}
 }
 
-// learnDelegated takes the end of a delegated send into the beliefs. After the
-// request's end the answer was waited for no more.
-func (q *request) learnDelegated(one *exchange) {
+// recordDelegatedEnd records the end of a delegated send. After the end of the request, its answer counts as
+// late.
+func (q *request) recordDelegatedEnd(one *exchange) {
 	if one.pauseEnded > 0 {
-		q.node.beliefs.note(func(book *replica.Table, now core.Time) {
-			book.ReceivePause(one.send.Replica.Incarnation(), one.pauseEnded, now)
+		q.node.state.withReplicas(func(table *replica.Table, now core.Time) {
+			table.ReceivePause(one.send.Replica.Incarnation(), one.pauseEnded, now)
 		})
 	}
 	select {
-	case <-q.over:
-		q.node.beliefs.note(func(book *replica.Table, _ core.Time) { book.Ended(one.send.Replica.Incarnation()) })
+	case <-q.done:
+		q.node.state.withReplicas(func(table *replica.Table, _ core.Time) { table.Ended(one.send.Replica.Incarnation()) })
 		if one.verdict == scatter.Succeeded {
-			q.node.beliefs.answeredLate(q.route, one.send.Replica.Incarnation(), one.took)
+			q.node.state.recordLateAnswer(q.route, one.send.Replica.Incarnation(), one.latency)
 		}
 	default:
-		q.learn(one)
+		q.recordEnd(one)
 	}
 }
 
-// lateAnswer learns from an answer that came after another replica's. Without it a
-// replica that paused for a moment would count as overdue long after its pause.
-func (q *request) lateAnswer(one *exchange, response *replicaconn.Response) {
+// recordLateAnswer records an answer that arrived after another replica's. Without it, a replica that paused
+// briefly would count as overdue long after the pause.
+func (q *request) recordLateAnswer(one *exchange, response *replicaconn.Response) {
 	if platform.Stamp(response.Header) == "" || response.Status >= 500 {
 		return
 	}
-	q.noteAnswered(one.send.Replica.Service)
-	q.node.beliefs.answeredLate(q.route, one.send.Replica.Incarnation(), q.node.now()-one.startAt)
+	q.recordAnswered(one.send.Replica.Service)
+	q.node.state.recordLateAnswer(q.route, one.send.Replica.Incarnation(), q.node.now()-one.startAt)
 }
 
-// noteEnd keeps the ends that are no plain success for the request's story.
-func (q *request) noteEnd(one *exchange) {
+// addFailureStep adds a step for an exchange that did not succeed.
+func (q *request) addFailureStep(one *exchange) {
 	if one.verdict == scatter.Succeeded || errors.Is(one.err, errAnswered) {
 		return
 	}
@@ -360,5 +359,5 @@
 	} else {
 		s.Status = one.response.Status
 	}
-	q.note(s)
+	q.addStep(s)
 }
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -9,54 +9,53 @@
 )
 
 const (
-	// keepFactor is how many times longer than asked some callers keep an address
-	// answer.
-	keepFactor = 3
-	// leaveKnown is the time until the other nodes know that this one leaves.
-	leaveKnown = 400 * time.Millisecond
-	// lastPart is the share of the time for a stop, one in so many, that is left
-	// unused, so that the process ends by itself and is not killed.
-	lastPart = 12
-	// lastAnswers is the time for giving the requests that are still in work their final
-	// answers, before the connections close.
-	lastAnswers = 100 * time.Millisecond
+	// addressCacheFactor is how many times longer than asked some callers cache a list of addresses.
+	addressCacheFactor = 3
+	// leavePropagationTime is the time until the other nodes know that this node is leaving.
+	leavePropagationTime = 400 * time.Millisecond
+	// The stop time divided by stopReserveDivisor is left unused, so that the process exits by itself before
+	// it is killed.
+	stopReserveDivisor = 12
+	// finalAnswerTime is reserved for the final answers of requests still in flight, before the connections
+	// are closed.
+	finalAnswerTime = 100 * time.Millisecond
 )
 
-// stop is the planned stop. The node leaves the address answers and stops being
-// ready at once, but serves on for callers that keep old answers; each answer asks
-// them to close the connection. Then it takes no new connections, finishes the
-// requests in work and ends. What a replica has not answered by then ends as at its time
-// limit: a caller whose connection is cut could not tell whether its request was read.
+// stop performs a planned stop. The node leaves the address lists and reports that it is not ready at once,
+// but keeps serving callers with cached addresses; each answer asks them to close the connection. It then
+// accepts no new connections, finishes the requests in flight and stops. Requests still in flight near the
+// end of the stop time are answered as at their time limit: a caller whose connection is cut could not tell
+// whether its request was read.
 func (n *Node) stop(ctx context.Context) error {
 	s := n.settings.Load()
 	n.stopping.Store(true)
 	n.log.Life("node_stopping", decisionlog.Fields{"in_flight": n.inFlight.Load(), "stop_wait_ms": s.StopWait.Milliseconds()})
-	limit := s.StopWait - s.StopWait/lastPart
+	limit := s.StopWait - s.StopWait/stopReserveDivisor
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	calling := time.AfterFunc(limit-lastAnswers, func() { close(n.lastCall) })
-	defer calling.Stop()
+	expiry := time.AfterFunc(limit-finalAnswerTime, func() { close(n.stopExpiring) })
+	defer expiry.Stop()
 	if n.members != nil {
 		n.members.Leave()
 	}
 	if n.callers != nil {
-		wait.For(ctx, min(leaveKnown+keepFactor*keepSeconds*time.Second, 2*s.StopWait/keepFactor))
+		wait.For(ctx, min(leavePropagationTime+addressCacheFactor*addressTTLSeconds*time.Second, 2*s.StopWait/addressCacheFactor))
 		if err := n.callers.shutdown(ctx); err != nil {
 			n.log.Life("stop_cut_short", decisionlog.Fields{"in_flight": n.inFlight.Load()})
 		}
 	}
 	n.close()
-	n.tellTraffic()
+	n.logTraffic()
 	n.log.Life("node_stopped", decisionlog.Fields{"in_flight": n.inFlight.Load()})
-	n.log.Close(logCloseLimit)
+	n.log.Close(logCloseTimeout)
 	return nil
 }
 
-// close ends the duties, also after a start that failed half-way.
+// close stops all components, also after a start that failed part-way.
 func (n *Node) close() {
 	n.cancel()
 	n.done.Wait()
-	for _, server := range n.others {
+	for _, server := range n.auxiliary {
 		_ = server.Close()
 	}
 	if n.follower != nil {
@@ -66,11 +65,11 @@
 		n.members.Close()
 		n.quarantine.Close()
 	}
-	if n.server != nil {
-		_ = n.server.Close()
+	if n.peerServer != nil {
+		_ = n.peerServer.Close()
 	}
-	if n.pool != nil {
-		_ = n.pool.Close()
+	if n.peerPool != nil {
+		_ = n.peerPool.Close()
 	}
 	n.replicas.Close()
 }
--- a/internal/edge/stop_test.go
+++ b/internal/edge/stop_test.go
@@ -14,87 +14,86 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-// A node is told to stop while requests run on connections that callers keep open. Each of
-// them gets its whole answer, and the connection is closed with an answer, not under one.
+// A node is stopped while requests run on persistent connections. Each request gets its whole answer, and a
+// connection is closed with an answer, never during one.
 func TestAPlannedStopCutsNothing(t *testing.T) {
-	w := newWorld(t)
-	w.replica("notes", "east", "a note").SetWork(20 * time.Millisecond)
-	w.serve("east", "east")
-	leaving := w.nodes[1]
+	h := newHarness(t)
+	h.replica("notes", "east", "a note").SetWork(20 * time.Millisecond)
+	h.serve("east", "east")
+	leaving := h.nodes[1]
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		w.stop(leaving)
+		h.stop(leaving)
 	}()
 	closed := false
 	for i := 0; !closed; i++ {
-		response, body := w.ask(leaving, http.MethodGet, "/plain/x", fmt.Sprint("r", i), "")
+		response, body := h.mustRequest(leaving, http.MethodGet, "/plain/x", fmt.Sprint("r", i), "")
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		require.Len(t, body, 16)
 		closed = response.Close
 	}
-	require.Eventually(t, func() bool { return !strings.Contains(w.resolve(w.nodes[0], ""), leaving.Settings.CallerAddress) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !strings.Contains(h.resolve(h.nodes[0], ""), leaving.Settings.CallerAddress) }, waitLimit, time.Millisecond)
 	<-stopped
 	require.Contains(t, leaving.log.String(), "node_stopped")
 }
 
-// An operator sends the signal to reload without having changed the file, and later names
-// another seed in it. Both are answered with a line that says whether anything changed, and
-// the node finds the one that only the new seed names.
+// A reload without a change to the file, and one with another seed, each log a line that states whether
+// anything changed. The node then finds the node that only the new seed names.
 func TestAReloadIsLoggedAndTakesTheSeeds(t *testing.T) {
-	w := newWorld(t)
-	w.replica("notes", "east", "a note")
-	w.serve("east")
-	first := w.nodes[0]
+	h := newHarness(t)
+	h.replica("notes", "east", "a note")
+	h.serve("east")
+	first := h.nodes[0]
 	same := *first.Settings
 	first.Reload(&same)
-	require.Eventually(t, func() bool { return strings.Contains(first.log.String(), `"changed":false`) }, patience, time.Millisecond)
-	w.startOne("east", func(s *settings.Edge) { s.Seeds = []string{s.PeerAddress} })
-	second := w.nodes[1]
+	require.Eventually(t, func() bool { return strings.Contains(first.log.String(), `"changed":false`) }, waitLimit, time.Millisecond)
+	h.startOne("east", func(s *settings.Edge) { s.Seeds = []string{s.PeerAddress} })
+	second := h.nodes[1]
 	other := *first.Settings
 	other.Seeds = []string{second.Settings.PeerAddress}
 	first.Reload(&other)
-	require.Eventually(t, func() bool { return strings.Contains(first.log.String(), `"changed":true`) }, patience, time.Millisecond)
-	w.ready()
+	require.Eventually(t, func() bool { return strings.Contains(first.log.String(), `"changed":true`) }, waitLimit, time.Millisecond)
+	h.waitReady()
 }
 
-// A node is told to stop while a request waits for a replica that hangs, for longer than the
-// time for the stop. Cut off, its caller would not know whether the node or the way to it
-// failed, and could not tell this request from one that was never read.
+// A node is stopped while a request waits for a replica that hangs for longer than the stop takes. If its
+// connection were cut, the caller could not tell whether the node or the network failed, nor whether the
+// request was ever read.
 func TestARequestThatOutlastsAStopGetsItsFinalAnswer(t *testing.T) {
-	w := newWorld(t)
-	invoices := w.replica("invoices", "east", "done")
+	h := newHarness(t)
+	invoices := h.replica("invoices", "east", "done")
 	invoices.SetAct(always(platformtest.Hang))
-	w.serve("east")
-	leaving := w.nodes[0]
+	h.serve("east")
+	leaving := h.nodes[0]
 	answered := make(chan int, 1)
 	go func() {
-		response, _, err := w.try(leaving, http.MethodPost, "/once/x", "r1", "")
+		response, _, err := h.request(leaving, http.MethodPost, "/once/x", "r1", "")
 		if err != nil {
 			answered <- 0
 			return
 		}
 		answered <- response.StatusCode
 	}()
-	require.Eventually(t, func() bool { return len(invoices.Arrivals()) == 1 }, patience, time.Millisecond)
-	// The route's limit of 1.5 s and the stop's 1.5 s begin at nearly the same time: the stop
-	// has to end the request before its own limit would.
+	require.Eventually(t, func() bool { return len(invoices.Arrivals()) == 1 }, waitLimit, time.Millisecond)
+	// The route's time limit of 1.5 s and the stop time of 1.5 s begin at nearly the same time. With a
+	// shorter stop time, the stop ends the request first.
 	short := *leaving.Settings
 	short.StopWait = 600 * time.Millisecond
 	leaving.Reload(&short)
-	w.stop(leaving)
+	h.stop(leaving)
 	require.Equal(t, http.StatusGatewayTimeout, <-answered, "it may have run")
 	require.NotContains(t, leaving.log.String(), "stop_cut_short")
 }
 
-// A settings file that names another data centre and another address for callers is read while a lookup waits for
-// its replica, which answers after it. The caller must get its answer on its connection; what cannot change in
-// a running process stays and is named in the log, or the node would take near replicas for far ones.
+// Settings with another data centre and caller address are loaded while a lookup waits for its replica. The
+// caller must get its answer on its connection. Settings that cannot change in a running process are kept and
+// named in the log; otherwise the node would treat near replicas as remote.
 func TestAReloadEndsNoLookupAndNamesWhatStays(t *testing.T) {
-	w := newWorld(t)
-	notes := w.replica("notes", "east", "a note")
-	w.serve("east")
-	one := w.nodes[0]
+	h := newHarness(t)
+	notes := h.replica("notes", "east", "a note")
+	h.serve("east")
+	one := h.nodes[0]
 	arrived, answer := make(chan struct{}), make(chan struct{})
 	arrive := sync.OnceFunc(func() { close(arrived) })
 	notes.SetAct(func(platformtest.Seen) platformtest.Act {
@@ -104,7 +103,7 @@
 	})
 	ended := make(chan int, 1)
 	go func() {
-		response, _, err := w.try(one, http.MethodGet, "/plain/x", "r1", "")
+		response, _, err := h.request(one, http.MethodGet, "/plain/x", "r1", "")
 		if err != nil {
 			ended <- 0
 			return
@@ -117,9 +116,9 @@
 	one.Reload(&moved)
 	close(answer)
 	require.Equal(t, http.StatusOK, <-ended)
-	line := w.line(one, "settings_reloaded")
+	line := h.waitForEvent(one, "settings_reloaded")
 	require.Contains(t, line, `"changed":true`)
 	require.Contains(t, line, `"needs_restart":["data centre","callers' address"]`)
-	_, dump := w.get("http://"+one.Settings.MetricsAddress+"/dump", nil)
+	_, dump := h.get("http://"+one.Settings.MetricsAddress+"/dump", nil)
 	require.Contains(t, dump, `"data_centre":"east"`)
 }
--- a/internal/edge/trail.go
+++ b/internal/edge/trail.go
@@ -5,7 +5,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/decisionlog"
 )
 
-// step is one decision on a request, kept until its end.
+// step is one decision on a request, kept until the request ends.
 type step struct {
 	AtMs    int64
 	Event   string
@@ -14,39 +14,39 @@
 	Cause   string
 	Status  int
 	TookMs  int64
-	// Via is the node that sent on this one's behalf.
+	// Via is the helper that made the send.
 	Via string
-	// ExpectMs is how long an answer would probably have taken.
+	// ExpectMs is the expected latency of an answer.
 	ExpectMs int64
 	// Why is the reason for a send that was not made.
 	Why string
 }
 
-// maxTrail bounds the steps kept of one request, maxMissing the missing parts told beside
-// them. Together they are less than what the log writes of one story.
+// maxSteps bounds the steps kept of one request, maxMissingSteps those for missing parts, which come in
+// addition. The sum is below the log's limit for one request.
 const (
-	maxTrail   = 64
-	maxMissing = 20
+	maxSteps        = 64
+	maxMissingSteps = 20
 )
 
-func (q *request) note(s step) {
-	if len(q.trail) < maxTrail {
-		q.noteLast(s)
+func (q *request) addStep(s step) {
+	if len(q.steps) < maxSteps {
+		q.appendStep(s)
 	}
 }
 
-// noteLast notes a step that the story must not lack.
-func (q *request) noteLast(s step) {
+// appendStep adds a step regardless of maxSteps.
+func (q *request) appendStep(s step) {
 	s.AtMs = (q.node.now() - q.arrived).Milliseconds()
-	q.trail = append(q.trail, s)
+	q.steps = append(q.steps, s)
 }
 
-// tell writes the request's story, when it ended other than well, or counts it.
-func (q *request) tell(outcome string, status int, result scatter.Result) {
+// recordOutcome counts a request, and logs its steps if it was not whole or was late.
+func (q *request) recordOutcome(outcome string, status int, result scatter.Result) {
 	took := q.node.now() - q.arrived
-	q.node.metrics.request(q.route, outcome, took)
+	q.node.metrics.countRequest(q.route, outcome, took)
 	if result.Rejected {
-		q.node.metrics.rejectedEarly()
+		q.node.metrics.countEarlyRejection()
 	}
 	late := q.route.TargetLatency > 0 && took > q.route.TargetLatency
 	if outcome == outcomeWhole && !late {
@@ -54,7 +54,7 @@
 		return
 	}
 	var lines []decisionlog.Line
-	for _, s := range q.trail {
+	for _, s := range q.steps {
 		lines = append(lines, decisionlog.Line{Event: s.Event, Fields: decisionlog.Fields{
 			"request": q.id, "at_ms": s.AtMs, "replica": s.Replica, "service": s.Service, "cause": s.Cause, "status": s.Status, "took_ms": s.TookMs, "via": s.Via, "why": s.Why, "expect_ms": s.ExpectMs,
 		}})
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -23,26 +23,26 @@
 }
 
 var defects = []mutant{
-	{"parts of two sets of shards", "internal/edge/registry.go", "	r.beliefs.config.Store(config)\n", `	if former := r.beliefs.config.Load(); former != nil {
+	{"parts of two sets of shards", "internal/edge/registry.go", "	r.state.config.Store(config)\n", `	if former := r.state.config.Load(); former != nil {
 		for i, one := range config.Routes {
 			if one.Gather != nil {
 				one.Gather.Shards[0] = former.Routes[i].Gather.Shards[0]
 			}
 		}
 	}
-	r.beliefs.config.Store(config)
+	r.state.config.Store(config)
 `},
 	{"coverage always whole", "internal/edge/merge.go", "SetCoverage(w.Header(), stamps, missing)", "SetCoverage(w.Header(), stamps, missing*0)"},
 	{"cut answers are whole", "internal/replicaconn/conn.go", "		if err != nil {\n			return nil, false, err\n		}\n		c.noteIdleLimit", "		c.noteIdleLimit"},
 	{"answers of other requests", "internal/replicaconn/conn.go", `request.ID == "" || echoed == request.ID`, "true"},
 	{"answers without a signature", "internal/edge/request.go", `case platform.Stamp(one.response.Header) == "":`, `case platform.Stamp(one.response.Header) == "?":`},
 	{"not run is said of all failures", "internal/edge/answer.go", "if !result.MayHaveRun {", "if !result.MayHaveRun || true {"},
-	{"a promise without a proof is passed on", "internal/edge/request.go", "case promises[one.response.Status]:", "case promises[one.response.Status] && false:"},
+	{"a promise without a proof is passed on", "internal/edge/request.go", "case notRunStatuses[one.response.Status]:", "case notRunStatuses[one.response.Status] && false:"},
 	{"requests run twice", "internal/core/outlook/plan.go", "MinParts: 1, Idempotent: route.Idempotent", "MinParts: 1, Idempotent: true"},
-	{"drains are passed over", "internal/edge/registry.go", "		listing = book.Put(listed)\n", "		listed.Draining = false\n		listing = book.Put(listed)\n"},
-	{"evacuations are passed over", "internal/edge/registry.go", "book.SetEvacuated(dataCentre, !item.Removed, now)", "book.SetEvacuated(dataCentre, false, now)"},
+	{"drains are passed over", "internal/edge/registry.go", "		result = table.Put(listed)\n", "		listed.Draining = false\n		result = table.Put(listed)\n"},
+	{"evacuations are passed over", "internal/edge/registry.go", "table.SetEvacuated(dataCentre, !item.Removed, now)", "table.SetEvacuated(dataCentre, false, now)"},
 	{"helpers send into an evacuated data centre", "internal/core/replica/place.go", "s.suspectedAt == 0 && !t.isEvacuated(s.DataCentre)", "s.suspectedAt == 0 && (t.dataCentre == s.DataCentre || !t.isEvacuated(s.DataCentre))"},
-	{"the first configuration stays", "internal/edge/registry.go", "	r.beliefs.config.Store(config)\n", "	if r.beliefs.config.Load() == nil {\n		r.beliefs.config.Store(config)\n	}\n"},
+	{"the first configuration stays", "internal/edge/registry.go", "	r.state.config.Store(config)\n", "	if r.state.config.Load() == nil {\n		r.state.config.Store(config)\n	}\n"},
 	{"a stop cuts what is in work", "internal/edge/listen.go", "server.Shutdown(ctx)", "server.Close()"},
 	{"no bound on extra sends", "internal/core/extra/extra.go", "if float64(extras+1) > ", "if false && float64(extras+1) > "},
 	{"404 before a configuration is known", "internal/edge/handler.go", "	if config == nil {\n", "	if config == nil {\n		http.NotFound(w, r)\n		return\n"},
@@ -61,7 +61,7 @@
 	{"deadly requests are known by their ids", "internal/edge/quarantine.go", "Host: q.template.Host, Path: path, ", "Host: q.template.Host + q.id, Path: path + q.id, "},
 	{"deadly requests are known by each send", "internal/core/scatter/unproven.go", "return (m.plan.Suspect || m.broken) && !m.answered", "return m.broken && !m.answered && false"},
 	{"bodies do not tell requests apart", "internal/core/quarantine/key.go", "	digest.Write(body)\n", "	digest.Write(body[:0])\n"},
-	{"an outage of the store takes the configuration away", "internal/edge/registry.go", "	r.log.Life(\"dependency_lost\"", "	r.beliefs.config.Store(nil)\n	r.log.Life(\"dependency_lost\""},
+	{"an outage of the store takes the configuration away", "internal/edge/registry.go", "	r.log.Life(\"dependency_lost\"", "	r.state.config.Store(nil)\n	r.log.Life(\"dependency_lost\""},
 }
 
 // rareDefects need two failures within a moment, which seeds draw too rarely: the tests of a package must find
