--- a/internal/alarm/alarm.go
+++ b/internal/alarm/alarm.go
@@ -43,8 +43,8 @@
 	return 0, false
 }
 
-// Pop removes and returns the keys that are due.
-func (a *Alarms[K]) Pop(now core.Time) []K {
+// PopDue removes and returns the keys that are due.
+func (a *Alarms[K]) PopDue(now core.Time) []K {
 	var keys []K
 	for {
 		at, ok := a.Next()
--- a/internal/alarm/alarm_test.go
+++ b/internal/alarm/alarm_test.go
@@ -22,9 +22,9 @@
 	at, ok := alarms.Next()
 	require.True(t, ok)
 	require.Equal(t, 3*time.Second, at)
-	require.Empty(t, alarms.Pop(2*time.Second))
-	require.Equal(t, []string{"moved"}, alarms.Pop(8*time.Second))
-	require.Equal(t, []string{"later"}, alarms.Pop(9*time.Second))
+	require.Empty(t, alarms.PopDue(2*time.Second))
+	require.Equal(t, []string{"moved"}, alarms.PopDue(8*time.Second))
+	require.Equal(t, []string{"later"}, alarms.PopDue(9*time.Second))
 	_, ok = alarms.Next()
 	require.False(t, ok)
 }
--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -16,11 +16,11 @@
 	var err error
 	n.caller, err = n.serve(n.settings.CallerAddress, n.closeConnectionsWhenStopping(n.callerHandler()))
 	if err != nil {
-		return fault.Step("listen for callers", err)
+		return fault.Wrap("listen for callers", err)
 	}
 	n.operator, err = n.serve(n.settings.OperatorAddress, n.operatorHandler())
 	if err != nil {
-		return fault.Step("listen for operators", err)
+		return fault.Wrap("listen for operators", err)
 	}
 	n.watchListener("caller", n.caller.listener)
 	n.watchListener("operator", n.operator.listener)
@@ -55,11 +55,11 @@
 func (n *Node) serve(address string, handler http.Handler) (*httpServer, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fault.Address(address, err)
+		return nil, fault.ListenFailed(address, err)
 	}
 	limits := n.settings.Limits
 	listener := api.LimitConnections(inner, limits.Connections)
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout, ErrorLog: logs.HTTP(n.log)}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout, ErrorLog: logs.NewHTTPErrorLog(n.log)}
 	go func() { _ = server.Serve(listener) }()
 	return &httpServer{Server: server, address: inner.Addr().String(), listener: listener}, nil
 }
--- a/internal/app/metrics.go
+++ b/internal/app/metrics.go
@@ -13,16 +13,16 @@
 
 // watchMetrics registers the gauges that are read from the node's components.
 func (n *Node) watchMetrics() {
-	observe.Watch(n.metrics, "uptime_seconds", func() int64 { return int64(n.now() / time.Second) })
-	observe.Watch(n.metrics, "process_goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
-	observe.Watch(n.metrics, "process_memory_bytes", processMemory)
-	observe.Watch(n.metrics, "problems", func() int64 { return int64(len(n.problems.List())) })
-	observe.Watch(n.metrics, "problems_not_listed_total", func() int64 { return int64(n.problems.Overflow()) })
-	observe.Watch(n.metrics, "view_nodes", func() int64 { return int64(len(n.belief.View().Nodes())) })
-	observe.Watch(n.metrics, "peer_links", func() int64 { return int64(n.pool.Links()) })
-	observe.Watch(n.metrics, "upstream_replies_dropped_total", n.upstream.DroppedReplies)
-	observe.Watch(n.metrics, "requests_suspected", func() int64 { return n.quarantine.Count(corequarantine.Suspect) })
-	observe.Watch(n.metrics, "requests_set_aside", n.SetAsideCount)
+	observe.GaugeFunc(n.metrics, "uptime_seconds", func() int64 { return int64(n.now() / time.Second) })
+	observe.GaugeFunc(n.metrics, "process_goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
+	observe.GaugeFunc(n.metrics, "process_memory_bytes", processMemory)
+	observe.GaugeFunc(n.metrics, "problems", func() int64 { return int64(len(n.problems.List())) })
+	observe.GaugeFunc(n.metrics, "problems_not_listed_total", func() int64 { return int64(n.problems.Overflow()) })
+	observe.GaugeFunc(n.metrics, "view_nodes", func() int64 { return int64(len(n.belief.View().Nodes())) })
+	observe.GaugeFunc(n.metrics, "peer_links", func() int64 { return int64(n.pool.Links()) })
+	observe.GaugeFunc(n.metrics, "upstream_replies_dropped_total", n.upstream.DroppedReplies)
+	observe.GaugeFunc(n.metrics, "requests_suspected", func() int64 { return n.quarantine.Count(corequarantine.Suspect) })
+	observe.GaugeFunc(n.metrics, "requests_set_aside", n.SetAsideCount)
 	n.watchRings("entry", func() []ring.Stats { return n.entry.Rings() })
 	n.watchRings("owner", func() []ring.Stats { return n.owner.Rings() })
 	n.watchRings("home", func() []ring.Stats { return n.home.Rings() })
@@ -48,14 +48,14 @@
 			return total
 		}
 	}
-	observe.Watch(n.metrics, component+"_ring_depth", sum(func(s ring.Stats) int64 { return int64(s.Depth) }))
-	observe.Watch(n.metrics, component+"_ring_capacity", sum(func(s ring.Stats) int64 { return int64(s.Capacity) }))
-	observe.Watch(n.metrics, component+"_ring_refused_total", sum(func(s ring.Stats) int64 { return s.Refused }))
-	observe.Watch(n.metrics, component+"_ring_dropped_total", sum(func(s ring.Stats) int64 { return s.Dropped }))
+	observe.GaugeFunc(n.metrics, component+"_ring_depth", sum(func(s ring.Stats) int64 { return int64(s.Depth) }))
+	observe.GaugeFunc(n.metrics, component+"_ring_capacity", sum(func(s ring.Stats) int64 { return int64(s.Capacity) }))
+	observe.GaugeFunc(n.metrics, component+"_ring_refused_total", sum(func(s ring.Stats) int64 { return s.Refused }))
+	observe.GaugeFunc(n.metrics, component+"_ring_dropped_total", sum(func(s ring.Stats) int64 { return s.Dropped }))
 }
 
 func (n *Node) watchListener(name string, listener *api.LimitedListener) {
-	observe.Watch(n.metrics, name+"_connections", listener.Open)
-	observe.Watch(n.metrics, name+"_connections_limit", func() int64 { return int64(n.settings.Limits.Connections) })
-	observe.Watch(n.metrics, name+"_connections_refused_total", listener.Refused)
+	observe.GaugeFunc(n.metrics, name+"_connections", listener.Open)
+	observe.GaugeFunc(n.metrics, name+"_connections_limit", func() int64 { return int64(n.settings.Limits.Connections) })
+	observe.GaugeFunc(n.metrics, name+"_connections_refused_total", listener.Refused)
 }
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -84,7 +84,7 @@
 // New returns a node as an fx application, which its Run or Start method starts.
 func New(s *settings.Settings, log logrus.FieldLogger, options ...fx.Option) *fx.App {
 	base := []fx.Option{
-		fx.WithLogger(func() fxevent.Logger { return logs.Fx(log.WithField("node", s.Node)) }),
+		fx.WithLogger(func() fxevent.Logger { return logs.NewFxLogger(log.WithField("node", s.Node)) }),
 		fx.Supply(s),
 		fx.Provide(func() logrus.FieldLogger { return log }),
 		fx.Provide(newNode),
--- a/internal/app/start.go
+++ b/internal/app/start.go
@@ -32,7 +32,7 @@
 func (n *Node) start(context.Context) error {
 	tlsConfig, certificates, err := loadTLS(n.settings.TLS, time.Now())
 	if err != nil {
-		return fault.Step("load keys", err)
+		return fault.Wrap("load keys", err)
 	}
 	n.owner = n.newOwner()
 	n.startOperating(tlsConfig, certificates)
@@ -60,17 +60,17 @@
 	var err error
 	n.pool, err = peer.NewPool(tlsConfig, n.identity, n)
 	if err != nil {
-		return fault.Step("open peer pool", err)
+		return fault.Wrap("open peer pool", err)
 	}
 	n.config = n.newConfigWatcher()
 	n.home, err = n.newHome()
 	if err != nil {
-		return fault.Step("start home", err)
+		return fault.Wrap("start home", err)
 	}
 	n.pool.OnBroken((&linkLogger{log: n.log}).logBroken)
 	n.server, err = peer.Listen(n.settings.PeerAddress, tlsConfig, n.identity, n)
 	if err != nil {
-		return fault.Step("listen for peers", err)
+		return fault.Wrap("listen for peers", err)
 	}
 	return nil
 }
--- a/internal/chart/definition.go
+++ b/internal/chart/definition.go
@@ -107,7 +107,7 @@
 func read(source []byte) (*definition, error) {
 	var d definition
 	if _, err := strictyaml.Decode(source, &d); err != nil {
-		return nil, fault.Step("read chart", err)
+		return nil, fault.Wrap("read chart", err)
 	}
 	return &d, d.validate()
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -52,7 +52,7 @@
 func (c *Client) Get(ctx context.Context, address, path string, out any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return fault.Step("build request", err)
+		return fault.Wrap("build request", err)
 	}
 	return c.do(request, out)
 }
@@ -60,11 +60,11 @@
 func (c *Client) post(ctx context.Context, address, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return fault.Step("encode request", err)
+		return fault.Wrap("encode request", err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return fault.Step("build request", err)
+		return fault.Wrap("build request", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	return c.do(request, out)
--- a/internal/client/submit.go
+++ b/internal/client/submit.go
@@ -45,7 +45,7 @@
 func NewKey(prefix string) (string, error) {
 	var id [keyIDBytes]byte
 	if _, err := rand.Read(id[:]); err != nil {
-		return "", fault.Step("generate key", err)
+		return "", fault.Wrap("generate key", err)
 	}
 	return prefix + "." + hex.EncodeToString(id[:]), nil
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -19,7 +19,7 @@
 // The exit codes of every command.
 const (
 	ExitOK      = 0
-	ExitTrouble = 1
+	ExitFailure = 1
 	ExitUsage   = 2
 )
 
@@ -35,7 +35,7 @@
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// errTrouble ends a command with ExitTrouble after it has said what it found.
+// errTrouble ends a command with ExitFailure after it has said what it found.
 var errTrouble = errors.New("trouble found")
 
 // Run executes the command line and returns the exit code.
@@ -146,13 +146,13 @@
 	case err == nil:
 		return ExitOK
 	case errors.Is(err, errTrouble):
-		return ExitTrouble
+		return ExitFailure
 	}
 	fmt.Fprintln(out, err)
 	if fault.As(err).Code == fault.CodeBadRequest {
 		return ExitUsage
 	}
-	return ExitTrouble
+	return ExitFailure
 }
 
 func readFile(path string) ([]byte, error) {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -72,7 +72,7 @@
 	code, _, errors = run("keys", "--nodes", "vm-2", "--folder", folder)
 	require.Equal(t, ExitOK, code, errors)
 	code, _, errors = run("keys", "--nodes", "vm-2", "--folder", folder)
-	require.Equal(t, ExitTrouble, code, "an existing key must not be overwritten")
+	require.Equal(t, ExitFailure, code, "an existing key must not be overwritten")
 	require.Contains(t, errors, "cannot write")
 
 	read := func(name string) []byte {
@@ -96,7 +96,7 @@
 	code, out, _ := run("keys", "--check", paths)
 	require.Equal(t, ExitOK, code, out)
 	code, out, _ = run("keys", "--check", paths, "--warn-days", "30")
-	require.Equal(t, ExitTrouble, code)
+	require.Equal(t, ExitFailure, code)
 	require.Equal(t, 1, strings.Count(out, "under 30 days"))
 }
 
--- a/internal/command/demo_platform.go
+++ b/internal/command/demo_platform.go
@@ -134,7 +134,7 @@
 		d.say("  %3d x %s", outcomes[outcome], outcome)
 	}
 	if err := ctx.Err(); err != nil {
-		return fault.Step("ask", err)
+		return fault.Wrap("ask", err)
 	}
 	return nil
 }
--- a/internal/command/explain_test.go
+++ b/internal/command/explain_test.go
@@ -33,7 +33,7 @@
 	}
 	require.Less(t, strings.Index(out, "unexpected EOF"), strings.Index(out, "outcome=failed"))
 	code, out, _ = run("explain", "r9", path)
-	require.Equal(t, ExitTrouble, code)
+	require.Equal(t, ExitFailure, code)
 	require.Contains(t, out, "no line on request r9")
 	code, _, _ = run("explain", "r1", path+".missing")
 	require.Equal(t, ExitUsage, code)
--- a/internal/command/look_test.go
+++ b/internal/command/look_test.go
@@ -62,19 +62,19 @@
 	for _, member := range f.Members() {
 		require.Eventually(t, func() bool {
 			code, out, _ := run("problems", "--address", member.Addresses.Operator)
-			return code == ExitTrouble && strings.Contains(out, "stalled_service")
+			return code == ExitFailure && strings.Contains(out, "stalled_service")
 		}, awaitLimit, 20*time.Millisecond)
 	}
 	code, out, _ = run("status", "--address", address, "--fleet", "--json")
-	require.Equal(t, ExitTrouble, code)
+	require.Equal(t, ExitFailure, code)
 	require.Contains(t, out, string(api.HealthDegraded))
 
 	require.NoError(t, f.Stop(f.Members()[1]))
 	code, out, _ = run("problems", "--address", address)
-	require.Equal(t, ExitTrouble, code)
+	require.Equal(t, ExitFailure, code)
 	require.Contains(t, out, "no answer from node vm-2")
 	code, out, _ = run("status", "--address", address, "--fleet")
-	require.Equal(t, ExitTrouble, code)
+	require.Equal(t, ExitFailure, code)
 	require.Contains(t, out, "no answer")
 }
 
@@ -113,7 +113,7 @@
 	}))
 	defer operator.Close()
 	code, out, errors := run("status", "--address", operator.Listener.Addr().String(), "--fleet")
-	require.Equal(t, ExitTrouble, code, errors)
+	require.Equal(t, ExitFailure, code, errors)
 	require.Contains(t, out, "starting")
 }
 
--- a/internal/command/serve_test.go
+++ b/internal/command/serve_test.go
@@ -39,7 +39,7 @@
 	defer func() { _ = taken.Close() }()
 	address := taken.Addr().String()
 	code, _, errors := run("serve", "--settings", settingsFile(t, time.Now(), address))
-	require.Equal(t, ExitTrouble, code)
+	require.Equal(t, ExitFailure, code)
 	require.Contains(t, errors, "cannot listen on "+address)
 	require.Contains(t, errors, "choose a free address")
 }
@@ -48,7 +48,7 @@
 // be refused by every peer, and answer callers from its own bundles only.
 func TestServeRefusesAnExpiredCertificate(t *testing.T) {
 	code, _, errors := run("serve", "--settings", settingsFile(t, time.Now().Add(-2*time.Hour), "127.0.0.1:0"))
-	require.Equal(t, ExitTrouble, code)
+	require.Equal(t, ExitFailure, code)
 	require.Contains(t, errors, "the certificate expired at")
 	require.Contains(t, errors, "pistachiopier keys")
 }
@@ -57,7 +57,7 @@
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("node: vm-1\ncaller_address: everywhere\nlimits: {connections: -1}\n"), 0o600))
 	code, _, errors := run("serve", "--settings", path)
-	require.Equal(t, ExitTrouble, code)
+	require.Equal(t, ExitFailure, code)
 	for _, part := range []string{"caller_address", "limits.connections", "platform"} {
 		require.Contains(t, errors, part)
 	}
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	if err := json.NewEncoder(out).Encode(started); err != nil {
-		return fault.Step("print the addresses", err)
+		return fault.Wrap("print the addresses", err)
 	}
 	// The process's end closes the sockets.
 	<-signals.Done()
--- a/internal/command/submit_test.go
+++ b/internal/command/submit_test.go
@@ -39,7 +39,7 @@
 	require.Contains(t, out.String(), "DONE")
 	require.Len(t, u.Submits(), 1)
 	out.Reset()
-	require.Equal(t, ExitTrouble, Run([]string{"submit", "prices", "--address", address}, &out, &faults))
+	require.Equal(t, ExitFailure, Run([]string{"submit", "prices", "--address", address}, &out, &faults))
 	require.Contains(t, out.String(), "NOT RUN")
 	require.Contains(t, out.String(), "wrong_method_for_service")
 	require.Len(t, u.Submits(), 1)
--- a/internal/command/text_test.go
+++ b/internal/command/text_test.go
@@ -32,7 +32,7 @@
 	path := filepath.Join(t.TempDir(), "bad.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("version: 1\nindexez: []\n"), 0o600))
 	code, out, _ := run("check", path, "--json")
-	assert.Equal(t, ExitTrouble, code)
+	assert.Equal(t, ExitFailure, code)
 	var report checkReport
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
 	assert.False(t, report.Valid)
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -97,9 +97,9 @@
 	Fields Fields
 }
 
-// Story writes the lines on one request, all of them within the rate or none: half a
+// Decisions writes the lines on one request, all of them within the rate or none: half a
 // story misleads whoever reads it.
-func (l *Log) Story(lines []Line) {
+func (l *Log) Decisions(lines []Line) {
 	lines = lines[:min(len(lines), burst)]
 	if !l.limiter.AllowN(time.Now(), len(lines)) {
 		l.dropped.Add(int64(len(lines)))
@@ -118,8 +118,8 @@
 	}
 }
 
-// Calm counts a request that ended well and in time, which gets no line of its own.
-func (l *Log) Calm() { l.calm.Add(1) }
+// CountSuccess counts a request that ended well and in time, which gets no line of its own.
+func (l *Log) CountSuccess() { l.calm.Add(1) }
 
 // Dropped counts the lines that were not written.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
@@ -173,9 +173,9 @@
 	return logger
 }
 
-// Libraries takes the plain lines that libraries write, such as net/http's on broken
+// LibraryWriter takes the plain lines that libraries write, such as net/http's on broken
 // connections, within the rate: the output holds nothing but JSON.
-func (l *Log) Libraries() io.Writer { return libraries{l} }
+func (l *Log) LibraryWriter() io.Writer { return libraries{l} }
 
 // maxLibraryLine bounds such a line, in bytes; net/http adds a stack to some.
 const maxLibraryLine = 500
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -14,7 +14,7 @@
 	var out strings.Builder
 	l := New(&out, Fields{"node": "vm-1"})
 	l.Decision("request_answered", Fields{"request": "r1"})
-	l.Calm()
+	l.CountSuccess()
 	l.Close(time.Minute)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	require.Len(t, lines, 2)
@@ -46,7 +46,7 @@
 	}
 	require.Greater(t, l.Dropped(), int64(4*burst))
 	dropped := l.Dropped()
-	l.Story(make([]Line, burst))
+	l.Decisions(make([]Line, burst))
 	l.Close(time.Minute)
 	require.Equal(t, dropped+burst, l.Dropped(), "a story is written whole or not at all")
 }
@@ -57,7 +57,7 @@
 	l := New(io.Discard, nil)
 	defer l.Close(time.Minute)
 	for b.Loop() {
-		l.Calm()
+		l.CountSuccess()
 	}
 }
 
@@ -80,7 +80,7 @@
 func TestLinesOfLibrariesAreJSONToo(t *testing.T) {
 	var out strings.Builder
 	l := New(&out, nil)
-	_, err := io.WriteString(l.Libraries(), "failed to increase receive buffer size\n"+strings.Repeat("stack ", 200))
+	_, err := io.WriteString(l.LibraryWriter(), "failed to increase receive buffer size\n"+strings.Repeat("stack ", 200))
 	require.NoError(t, err)
 	l.Close(time.Minute)
 	var line map[string]any
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -48,7 +48,7 @@
 func listenCallers(address string, handler http.Handler) (*callerServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fault.Address(address, err)
+		return nil, fault.ListenFailed(address, err)
 	}
 	s := &callerServer{handler: handler, listener: listener, servers: map[*limitedServer]bool{}}
 	s.setLimits(policy.Limits{MaxHeaderBytes: firstHeaderBytes, HeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout})
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -211,7 +211,7 @@
 
 // watchMetrics adds the metrics that are read when they are asked for.
 func (n *Node) watchMetrics() {
-	watch := func(name string, read func() int64) { observe.Watch(n.metrics.registry, name, read) }
+	watch := func(name string, read func() int64) { observe.GaugeFunc(n.metrics.registry, name, read) }
 	watch("requests_in_flight", n.inFlight.Load)
 	watch("delegated_groups_running", n.delegated.Load)
 	watch("replica_connections", func() int64 { return int64(n.replicas.OpenConnections()) })
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -99,7 +99,7 @@
 func New(s *settings.Edge, out io.Writer) (*fx.App, *Node) {
 	n := newNode(s, out)
 	app := fx.New(
-		fx.WithLogger(func() fxevent.Logger { return logs.Fx(n.log.Logger()) }),
+		fx.WithLogger(func() fxevent.Logger { return logs.NewFxLogger(n.log.Logger()) }),
 		fx.Invoke(func(lifecycle fx.Lifecycle) {
 			lifecycle.Append(fx.Hook{OnStart: n.start, OnStop: n.stop})
 		}),
@@ -142,7 +142,7 @@
 	n.log.Life("node_started", decisionlog.Fields{"data_centre": s.DataCentre, "callers": s.CallerAddress, "peers": s.PeerAddress, "seeds": s.Seeds, "stop_wait_ms": s.StopWait.Milliseconds()})
 	tlsConfig, err := keys.Ephemeral(s.PeerAddress, time.Now())
 	if err != nil {
-		return fault.Step("make the node's key", err)
+		return fault.Wrap("make the node's key", err)
 	}
 	if err := n.startPeers(s, tlsConfig); err != nil {
 		return err
@@ -173,12 +173,12 @@
 	// An address that cannot be taken apart leaves the choice to the kernel, and fails below.
 	host, _, _ := net.SplitHostPort(s.PeerAddress)
 	if n.pool, err = peer.NewPoolFrom(tlsConfig, n.identity, n, net.ParseIP(host)); err != nil {
-		return fault.Step("open peer pool", err)
+		return fault.Wrap("open peer pool", err)
 	}
 	n.pool.KeepIdle(idleLink)
 	n.pool.OnBytes(n.sentToNode)
 	if n.server, err = peer.Listen(s.PeerListen, tlsConfig, n.identity, n); err != nil {
-		return fault.Step("listen for peers", err)
+		return fault.Wrap("listen for peers", err)
 	}
 	n.server.OnBytes(n.sentToNode)
 	self := route.Node{ID: n.identity.Node, DataCentre: s.DataCentre, PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress, OperatorAddress: s.OperatorAddress, Weight: uint32(s.Cores * milli)}
@@ -263,7 +263,7 @@
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fault.Address(address, err)
+		return fault.ListenFailed(address, err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout}
 	n.others = append(n.others, server)
@@ -396,7 +396,7 @@
 }
 
 // LibraryLog takes what libraries write of themselves into the node's log.
-func (n *Node) LibraryLog() io.Writer { return n.log.Libraries() }
+func (n *Node) LibraryLog() io.Writer { return n.log.LibraryWriter() }
 
 // SettingsRefused notes new settings that cannot be used; the former stay in force.
 func (n *Node) SettingsRefused(cause error) {
--- a/internal/edge/trail.go
+++ b/internal/edge/trail.go
@@ -50,7 +50,7 @@
 	}
 	late := q.route.TargetLatency > 0 && took > q.route.TargetLatency
 	if outcome == outcomeWhole && !late {
-		q.node.log.Calm()
+		q.node.log.CountSuccess()
 		return
 	}
 	var lines []decisionlog.Line
@@ -74,5 +74,5 @@
 	if age, known := q.node.follower.Age(); known {
 		fields["beliefs_age_ms"] = age.Milliseconds()
 	}
-	q.node.log.Story(append(lines, decisionlog.Line{Event: "request_ended", Fields: fields}))
+	q.node.log.Decisions(append(lines, decisionlog.Line{Event: "request_ended", Fields: fields}))
 }
--- a/internal/edgefleet/edgefleet.go
+++ b/internal/edgefleet/edgefleet.go
@@ -62,7 +62,7 @@
 func Start() (*Fleet, error) {
 	store, err := platformtest.StartStore()
 	if err != nil {
-		return nil, fault.Step("start the stand-in of the store", err)
+		return nil, fault.Wrap("start the stand-in of the store", err)
 	}
 	return &Fleet{Store: store}, nil
 }
@@ -76,7 +76,7 @@
 	}
 	one, err := platformtest.StartReplica(fmt.Sprintf("i-%s-%d", service, len(f.Replicas)), service, []byte(body.String()))
 	if err != nil {
-		return nil, fault.Step("start a stand-in of a replica", err)
+		return nil, fault.Wrap("start a stand-in of a replica", err)
 	}
 	f.Replicas = append(f.Replicas, one)
 	f.dataCentres = append(f.dataCentres, dataCentre)
@@ -95,7 +95,7 @@
 		f.born++
 		one, err := former.Restart(fmt.Sprintf("i-%s-%d-%d", former.Service, i, f.born))
 		if err != nil {
-			return revived, fault.Step("start a stand-in of a replica again", err)
+			return revived, fault.Wrap("start a stand-in of a replica again", err)
 		}
 		f.Replicas[i] = one
 		f.Store.Remove(former.Key())
@@ -197,7 +197,7 @@
 	for len(found) < count {
 		listener, err := net.Listen("tcp", anyPort)
 		if err != nil {
-			return nil, fault.Step("find a free port", err)
+			return nil, fault.Wrap("find a free port", err)
 		}
 		defer func() { _ = listener.Close() }()
 		packets, err := net.ListenPacket("udp", listener.Addr().String())
--- a/internal/entry/limiter.go
+++ b/internal/entry/limiter.go
@@ -28,7 +28,7 @@
 		entrylimit.ShareExceeded:        observe.Counter(registry, "entry_refused_share_total"),
 		entrylimit.Full:                 observe.Counter(registry, "entry_refused_full_total"),
 	}}
-	observe.Watch(registry, "entry_in_flight", func() int64 { return int64(l.total()) })
+	observe.GaugeFunc(registry, "entry_in_flight", func() int64 { return int64(l.total()) })
 	return l
 }
 
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -111,7 +111,7 @@
 			l.handle(e)
 		case <-timer.C:
 		}
-		for _, id := range l.alarms.Pop(l.options.Now()) {
+		for _, id := range l.alarms.PopDue(l.options.Now()) {
 			l.step(id, query.Woken{})
 		}
 		l.drainOwn()
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -129,7 +129,7 @@
 	for _, variant := range e.Variants {
 		started, err := startSystem(ctx, e.Shape, variant)
 		if err != nil {
-			return result, fault.Step("start "+variant.Name, err)
+			return result, fault.Wrap("start "+variant.Name, err)
 		}
 		systems = append(systems, started)
 	}
--- a/internal/experiment/forwarder.go
+++ b/internal/experiment/forwarder.go
@@ -24,16 +24,16 @@
 func startForwarder(server string) (*forwarder, error) {
 	address, err := net.ResolveUDPAddr("udp", server)
 	if err != nil {
-		return nil, fault.Step("resolve the server", err)
+		return nil, fault.Wrap("resolve the server", err)
 	}
 	front, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return nil, fault.Step("listen for datagrams", err)
+		return nil, fault.Wrap("listen for datagrams", err)
 	}
 	back, err := net.DialUDP("udp", nil, address)
 	if err != nil {
 		_ = front.Close()
-		return nil, fault.Step("open a socket to the server", err)
+		return nil, fault.Wrap("open a socket to the server", err)
 	}
 	f := &forwarder{front: front, back: back}
 	f.done.Go(f.forward)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -154,7 +154,7 @@
 func (r Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
-	return fault.Step("write the report", encoder.Encode(r))
+	return fault.Wrap("write the report", encoder.Encode(r))
 }
 
 // SVG draws all variants' latencies.
--- a/internal/experiment/responder.go
+++ b/internal/experiment/responder.go
@@ -39,7 +39,7 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			r.close()
-			return nil, nil, fault.Step("listen for a responder", err)
+			return nil, nil, fault.Wrap("listen for a responder", err)
 		}
 		r.listeners = append(r.listeners, listener)
 		addresses = append(addresses, listener.Addr().String())
@@ -121,7 +121,7 @@
 func rawCost(address string) (float64, error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
-		return 0, fault.Step("dial the responder", err)
+		return 0, fault.Wrap("dial the responder", err)
 	}
 	defer func() { _ = connection.Close() }()
 	request := fmt.Appendf(nil, "POST / HTTP/1.1\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", upstream.HeaderRequestID)
@@ -141,7 +141,7 @@
 		}
 		return nil
 	})
-	return micros(cpu, rawRequests), fault.Step("ask the responder", err)
+	return micros(cpu, rawRequests), fault.Wrap("ask the responder", err)
 }
 
 // connectionSlopes weighs open connections to a replica: those of the client
@@ -177,15 +177,15 @@
 	for range heldConnections {
 		connection, err := net.Dial("tcp", addresses[0])
 		if err != nil {
-			return 0, fault.Step("dial the responder", err)
+			return 0, fault.Wrap("dial the responder", err)
 		}
 		opened = append(opened, connection)
 		request := fmt.Sprintf("POST / HTTP/1.1\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", upstream.HeaderRequestID)
 		if _, err := io.WriteString(connection, request); err != nil {
-			return 0, fault.Step("ask the responder", err)
+			return 0, fault.Wrap("ask the responder", err)
 		}
 		if _, err := io.ReadAtLeast(connection, make([]byte, responderRead), payloadBytes); err != nil {
-			return 0, fault.Step("ask the responder", err)
+			return 0, fault.Wrap("ask the responder", err)
 		}
 	}
 	return (memoryInUse() - before) / heldConnections, nil
--- a/internal/experiment/slopes.go
+++ b/internal/experiment/slopes.go
@@ -83,7 +83,7 @@
 func (s Slopes) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
-	return fault.Step("write the slopes", encoder.Encode(s))
+	return fault.Wrap("write the slopes", encoder.Encode(s))
 }
 
 // memoryInUse is the live heap and the stacks, in bytes, after a collection.
--- a/internal/experiment/slopes_catalog.go
+++ b/internal/experiment/slopes_catalog.go
@@ -84,7 +84,7 @@
 	size := catalogSize{memory: memoryInUse() - before, text: float64(len(text)), millis: micros(cpu, 1) / 1000}
 	runtime.KeepAlive(parsed)
 	runtime.KeepAlive(text)
-	return size, fault.Step("parse the text", err)
+	return size, fault.Wrap("parse the text", err)
 }
 
 // viewSlopes is the cost of finding a bundle's owner among all nodes.
--- a/internal/experiment/slopes_idle.go
+++ b/internal/experiment/slopes_idle.go
@@ -52,7 +52,7 @@
 	defer cancel()
 	text := emulation.Text(fleet.TextOptions{Routing: "owner", BundleSize: 1, InFlight: inFlight})
 	if err := running.AwaitReady(ctx, running.Platform.Publish(text)); err != nil {
-		return 0, 0, fault.Step("start idle nodes", err)
+		return 0, 0, fault.Wrap("start idle nodes", err)
 	}
 	time.Sleep(idleTime)
 	cpu, elapsed, _ := cpuOf(func() error {
--- a/internal/experiment/slopes_node.go
+++ b/internal/experiment/slopes_node.go
@@ -49,7 +49,7 @@
 func newParts(text []byte) (parts, error) {
 	parsed, err := catalog.Parse(text)
 	if err != nil {
-		return parts{}, fault.Step("parse the text", err)
+		return parts{}, fault.Wrap("parse the text", err)
 	}
 	store := belief.NewStore()
 	store.SetView(route.NewView([]route.Node{{ID: "self", DataCentre: "dc1"}}))
@@ -105,7 +105,7 @@
 		cpu, _, err := cpuOf(func() error { return askMany(e, entryParts/wideQuestion) })
 		e.Close()
 		if err != nil {
-			return nil, fault.Step("ask the entry", err)
+			return nil, fault.Wrap("ask the entry", err)
 		}
 		figures = append(figures, figure{fmt.Sprintf("entry: CPU of a part, 110 shards, bundle %d", bundle), "us", micros(cpu, entryParts)})
 	}
@@ -159,7 +159,7 @@
 	body := strings.NewReader(`{"customer":"large","question":"pork shoulder","timeout_ms":60000}`)
 	request, err := http.NewRequest(http.MethodPost, "/v1/query/s-0-0", body)
 	if err != nil {
-		return fault.Step("build a request", err)
+		return fault.Wrap("build a request", err)
 	}
 	response := &discard{header: http.Header{}, status: http.StatusOK}
 	handler.ServeHTTP(response, request)
--- a/internal/experiment/slopes_peer.go
+++ b/internal/experiment/slopes_peer.go
@@ -192,12 +192,12 @@
 		return func() error { return l.ask(targets, len(targets), 1, 1) }
 	}
 	if err := open(l.targets[:fewLinks])(); err != nil {
-		return nil, fault.Step("open links", err)
+		return nil, fault.Wrap("open links", err)
 	}
 	before := memoryInUse()
 	cpu, elapsed, err := cpuOf(open(l.targets[fewLinks:]))
 	if err != nil {
-		return nil, fault.Step("open links", err)
+		return nil, fault.Wrap("open links", err)
 	}
 	opened := manyLinks - fewLinks
 	return []figure{
@@ -215,7 +215,7 @@
 	}
 	err = l.serve(manyPeers)
 	if err == nil {
-		err = fault.Step("open links", l.ask(l.targets, manyPeers, 1, 1))
+		err = fault.Wrap("open links", l.ask(l.targets, manyPeers, 1, 1))
 	}
 	if err != nil {
 		l.close()
@@ -236,7 +236,7 @@
 	for _, one := range []struct{ peers, bundle int }{{1, 1}, {1, targetBundle}, {manyPeers, 1}, {manyPeers, targetBundle}} {
 		cpu, _, err := cpuOf(func() error { return l.ask(l.targets[:one.peers], hopParts, one.bundle, hopInFlight) })
 		if err != nil {
-			return nil, fault.Step("ask peers", err)
+			return nil, fault.Wrap("ask peers", err)
 		}
 		name := fmt.Sprintf("peer hop: CPU of a part, both ends, bundle %d, %d peers", one.bundle, one.peers)
 		figures = append(figures, figure{name, "us", micros(cpu, hopParts)})
@@ -259,7 +259,7 @@
 	defer l.close()
 	cpu, _, err := cpuOf(func() error { return l.ask(l.targets, hopParts, targetBundle, hopInFlight) })
 	name := fmt.Sprintf("peer hop: CPU of a part, both ends, bundle %d, %d peers, parts one by one", targetBundle, manyPeers)
-	return []figure{{name, "us", micros(cpu, hopParts)}}, fault.Step("ask peers", err)
+	return []figure{{name, "us", micros(cpu, hopParts)}}, fault.Wrap("ask peers", err)
 }
 
 // keepAliveSlopes counts the bytes of a link that carries nothing.
@@ -279,7 +279,7 @@
 	defer forward.close()
 	target := []peer.Target{{Node: l.targets[0].Node, Address: forward.address()}}
 	if err := l.ask(target, 1, 1, 1); err != nil {
-		return nil, fault.Step("open a link", err)
+		return nil, fault.Wrap("open a link", err)
 	}
 	opened := forward.bytes.Load()
 	time.Sleep(settleTime)
@@ -310,7 +310,7 @@
 		moved := forward.bytes.Load() - before
 		forward.close()
 		if err != nil {
-			return nil, fault.Step("ask through the forwarder", err)
+			return nil, fault.Wrap("ask through the forwarder", err)
 		}
 		name := fmt.Sprintf("peer hop: UDP bytes of a part, both ways, bundle %d", bundle)
 		figures = append(figures, figure{name, "bytes", float64(moved) / forwardParts})
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -61,7 +61,7 @@
 func (s *system) startNaive(text string) error {
 	parsed, err := catalog.Parse([]byte(text))
 	if err != nil {
-		return fault.Step("parse the emulation's text", err)
+		return fault.Wrap("parse the emulation's text", err)
 	}
 	callers := baseline.New(parsed, s.variant.Nodes, s.variant.Profile.Seed)
 	s.asker, s.stopAsker = callers, callers.Close
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -77,8 +77,8 @@
 	return &Error{Code: code, Outcome: core.NotRun, Message: message, Fix: fix}
 }
 
-// Address makes the failure to listen on an address of this VM.
-func Address(address string, cause error) *Error {
+// ListenFailed makes the failure to listen on an address of this VM.
+func ListenFailed(address string, cause error) *Error {
 	return &Error{
 		Code:    CodeAddress,
 		Message: "cannot listen on " + address,
@@ -87,8 +87,8 @@
 	}
 }
 
-// Step wraps err with the step that failed, keeping its type reachable by As.
-func Step(step string, err error) error {
+// Wrap wraps err with the step that failed, keeping its type reachable by As.
+func Wrap(step string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/fleet/emulation.go
+++ b/internal/fleet/emulation.go
@@ -49,7 +49,7 @@
 	}
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return nil, fault.Step("listen for an emulated replica", err)
+		return nil, fault.Wrap("listen for an emulated replica", err)
 	}
 	limited := &limitedListener{Listener: listener, limit: service.Connections, cost: service.ConnectCost}
 	draw := e.Shape.Time.Draw(seed + uint64(len(e.Replicas)))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := member.app.Start(ctx); err != nil {
-		return nil, fault.Step("start node "+string(id), err)
+		return nil, fault.Wrap("start node "+string(id), err)
 	}
 	member.Addresses = member.Node.Addresses()
 	member.vm = confservice.VM{
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -55,7 +55,7 @@
 func New(options Options) (*Home, error) {
 	var random [secretBytes + 8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return nil, fault.Step("make the home's secret", err)
+		return nil, fault.Wrap("make the home's secret", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	issuer := once.NewIssuer(options.Self, binary.BigEndian.Uint64(random[secretBytes:]), random[:secretBytes])
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -48,7 +48,7 @@
 func NewAuthority(now time.Time, validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fault.Step("make authority key", err)
+		return nil, fault.Wrap("make authority key", err)
 	}
 	template, err := newTemplate("pistachiopier authority", now, validity)
 	if err != nil {
@@ -85,7 +85,7 @@
 func (a *Authority) Issue(id string, now time.Time, validity time.Duration) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, fault.Step("make node key", err)
+		return Pair{}, fault.Wrap("make node key", err)
 	}
 	template, err := newTemplate(id, now, validity)
 	if err != nil {
@@ -186,7 +186,7 @@
 func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, fault.Step("make serial number", err)
+		return nil, fault.Wrap("make serial number", err)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -199,11 +199,11 @@
 func sign(template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (Pair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
 	if err != nil {
-		return Pair{}, fault.Step("sign certificate", err)
+		return Pair{}, fault.Wrap("sign certificate", err)
 	}
 	keyBytes, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return Pair{}, fault.Step("encode key", err)
+		return Pair{}, fault.Wrap("encode key", err)
 	}
 	return Pair{Certificate: encode(certificateBlock, der), Key: encode(keyBlock, keyBytes)}, nil
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -145,7 +145,7 @@
 func (r Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
-	return fault.Step("write the report", encoder.Encode(r))
+	return fault.Wrap("write the report", encoder.Encode(r))
 }
 
 // SVG draws the report's latencies.
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -30,8 +30,8 @@
 	return logger, nil
 }
 
-// Fx writes fx's own events at debug level.
-func Fx(logger logrus.FieldLogger) fxevent.Logger { return fxLogger{logger} }
+// NewFxLogger writes fx's own events at debug level.
+func NewFxLogger(logger logrus.FieldLogger) fxevent.Logger { return fxLogger{logger} }
 
 type fxLogger struct{ logger logrus.FieldLogger }
 
@@ -41,8 +41,8 @@
 	l.logger.WithFields(logrus.Fields{FieldEvent: "fx", "fx_event": name}).Debug("fx " + name)
 }
 
-// HTTP writes what net/http says of broken callers at debug level.
-func HTTP(logger logrus.FieldLogger) *log.Logger {
+// NewHTTPErrorLog writes what net/http says of broken callers at debug level.
+func NewHTTPErrorLog(logger logrus.FieldLogger) *log.Logger {
 	return log.New(httpWriter{logger}, "", 0)
 }
 
--- a/internal/observe/metrics.go
+++ b/internal/observe/metrics.go
@@ -28,8 +28,8 @@
 	return metrics.GetOrRegisterGauge(name, registry)
 }
 
-// Watch adds a gauge that is read when the metrics are written.
-func Watch(registry Registry, name string, read func() int64) {
+// GaugeFunc adds a gauge that is read when the metrics are written.
+func GaugeFunc(registry Registry, name string, read func() int64) {
 	_ = registry.Register(name, metrics.NewFunctionalGauge(read))
 }
 
--- a/internal/observe/metrics_test.go
+++ b/internal/observe/metrics_test.go
@@ -13,7 +13,7 @@
 	registry := NewRegistry()
 	Counter(registry, "asked_total").Inc(3)
 	Gauge(registry, "depth").Update(7)
-	Watch(registry, "refused_total", func() int64 { return 5 })
+	GaugeFunc(registry, "refused_total", func() int64 { return 5 })
 	metrics.GetOrRegisterGaugeFloat64("share", registry).Update(0.5)
 	metrics.GetOrRegisterTimer("latency_ns", registry).Update(2 * time.Nanosecond)
 	histogram := metrics.GetOrRegisterHistogram("size_bytes", registry, metrics.NewUniformSample(10))
--- a/internal/owner/loop.go
+++ b/internal/owner/loop.go
@@ -162,12 +162,12 @@
 
 // wake does what is due.
 func (l *loop) wake() {
-	for _, ref := range l.alarms.Pop(l.options.Now()) {
+	for _, ref := range l.alarms.PopDue(l.options.Now()) {
 		if s := l.shards[ref]; s != nil {
 			l.step(s, admit.Woken{})
 		}
 	}
-	for _, ref := range l.calms.Pop(l.options.Now()) {
+	for _, ref := range l.calms.PopDue(l.options.Now()) {
 		if s := l.shards[ref]; s != nil {
 			l.calm(s)
 		}
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -66,7 +66,7 @@
 func NewPoolFrom(tlsConfig *tls.Config, self Identity, local Handler, source net.IP) (*Pool, error) {
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: source})
 	if err != nil {
-		return nil, fault.Step("open a socket towards peers", err)
+		return nil, fault.Wrap("open a socket towards peers", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Pool{
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -41,16 +41,16 @@
 func Listen(address string, tlsConfig *tls.Config, self Identity, handler Handler) (*Server, error) {
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, fault.Address(address, err)
+		return nil, fault.ListenFailed(address, err)
 	}
 	udp, err := net.ListenUDP("udp", udpAddress)
 	if err != nil {
-		return nil, fault.Address(address, err)
+		return nil, fault.ListenFailed(address, err)
 	}
 	listener, err := quic.Listen(udp, tlsConfig, quicConfig())
 	if err != nil {
 		_ = udp.Close()
-		return nil, fault.Step("listen for peers", err)
+		return nil, fault.Wrap("listen for peers", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	server := &Server{self: self, handler: handler, udp: udp, listener: listener, stop: stop, finish: make(chan struct{})}
--- a/internal/peer/watch.go
+++ b/internal/peer/watch.go
@@ -217,7 +217,7 @@
 	}
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{})
 	if err != nil {
-		return nil, nil, fault.Step("open a socket towards a peer", err)
+		return nil, nil, fault.Wrap("open a socket towards a peer", err)
 	}
 	transport := &quic.Transport{Conn: udp}
 	release := func() {
