--- a/internal/command/arguments.go
+++ b/internal/command/arguments.go
@@ -9,19 +9,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// validate checks a command line before flaggy reads it. flaggy passes over
-// unknown flags and surplus arguments, and answers missing ones with its own
-// help page and the end of the process.
+// validate checks a command line before flaggy parses it. flaggy ignores
+// unknown flags and surplus arguments, and on a missing argument prints its own
+// help page and exits.
 func validate(commands []*command, arguments []string) error {
 	if len(arguments) == 0 {
-		return usage("no command is given", "see pistachiopier --help")
+		return usageError("no command given", "see pistachiopier --help")
 	}
-	for _, one := range commands {
-		if one.parser.Name == arguments[0] {
-			return validateCommand(one, arguments[1:])
+	for _, candidate := range commands {
+		if candidate.parser.Name == arguments[0] {
+			return validateCommand(candidate, arguments[1:])
 		}
 	}
-	return usage(fmt.Sprintf("there is no command %q", arguments[0]), "see pistachiopier --help")
+	return usageError(fmt.Sprintf("unknown command %q", arguments[0]), "see pistachiopier --help")
 }
 
 func validateCommand(c *command, arguments []string) error {
@@ -35,33 +35,33 @@
 		name, _, joined := strings.Cut(arguments[i], "=")
 		flag := findFlag(c.parser, name)
 		if flag == nil {
-			return usage(fmt.Sprintf("%s has no flag %s", c.parser.Name, name), help)
+			return usageError(fmt.Sprintf("%s has no flag %s", c.parser.Name, name), help)
 		}
 		if _, isBool := flag.AssignmentVar.(*bool); isBool || joined {
 			continue
 		}
 		i++
 		if i == len(arguments) {
-			return usage("no value follows "+name, help)
+			return usageError("no value given for "+name, help)
 		}
 	}
 	return validatePositionals(c, positionals, help)
 }
 
 func validatePositionals(c *command, given int, help string) error {
-	taken := c.parser.PositionalFlags
-	if given > len(taken) {
-		return usage(fmt.Sprintf("%s takes %d arguments, %d are given", c.parser.Name, len(taken), given), help)
+	defined := c.parser.PositionalFlags
+	if given > len(defined) {
+		return usageError(fmt.Sprintf("%s takes %d arguments, got %d", c.parser.Name, len(defined), given), help)
 	}
-	for i, positional := range taken {
+	for i, positional := range defined {
 		if positional.Required && i >= given {
-			return usage(fmt.Sprintf("%s needs %s", c.parser.Name, strings.ToUpper(positional.Name)), help)
+			return usageError(fmt.Sprintf("%s needs %s", c.parser.Name, strings.ToUpper(positional.Name)), help)
 		}
 	}
 	return nil
 }
 
-// findFlag finds a flag as written: -s or --long.
+// findFlag looks up a flag by its form on the command line, -s or --long.
 func findFlag(parser *flaggy.Subcommand, written string) *flaggy.Flag {
 	for _, flag := range parser.Flags {
 		if written == "--"+flag.LongName || written == "-"+flag.ShortName {
@@ -71,6 +71,6 @@
 	return nil
 }
 
-func usage(message, fix string) error {
+func usageError(message, fix string) error {
 	return fault.NotRun(fault.CodeBadRequest, message, fix)
 }
--- a/internal/command/ask.go
+++ b/internal/command/ask.go
@@ -11,84 +11,84 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// silentShare is the part of the time left after which an entry without an
-// answer no longer holds the next one up: half, then half of the rest.
-const silentShare = 2
+// hedgeDivisor sets how long an unanswered entry delays the query to the next one:
+// half of the remaining time, then half of the rest.
+const hedgeDivisor = 2
 
-// asked is the end of one entry's query.
-type asked struct {
+// entryResult is the reply or error of one entry.
+type entryResult struct {
 	reply api.QueryReply
 	err   error
 }
 
-// askInTurn asks one entry after the other while time is left. A query may be
-// repeated, so that the next entry is asked when one failed, and also when one
-// stays silent: it may have taken the connection and stand still. The silent one
-// is not given up, as it may only be slow; the first answer counts. A refusal
-// that every entry would give ends it.
-func askInTurn(ctx context.Context, caller *client.Client, entries []api.EntryAddress, options queryOptions) (api.QueryReply, error) {
+// queryEntries queries the entries in order until the deadline. Queries are
+// idempotent, so the next entry is queried when one fails, and also when one does
+// not answer in time: it may have accepted the connection and hang. An unanswered
+// query is not cancelled, as the entry may only be slow; the first answer counts.
+// A refusal that every entry would give ends the query.
+func queryEntries(ctx context.Context, caller *client.Client, entries []api.EntryAddress, options queryOptions) (api.QueryReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.timeout+time.Second)
 	defer cancel()
 	deadline := time.Now().Add(options.timeout)
-	ends := make(chan asked, len(entries))
-	last := asked{err: fault.NotRun(fault.CodeNotReady, "the node knows no entries yet", "try again")}
-	open := 0
+	results := make(chan entryResult, len(entries))
+	last := entryResult{err: fault.NotRun(fault.CodeNotReady, "the node has no list of entries yet", "retry later")}
+	inFlight := 0
 	for i, entry := range entries {
-		left := time.Until(deadline)
-		if left <= 0 {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			break
 		}
-		open++
-		go func() { ends <- askEntry(ctx, caller, entry.Address, options, left) }()
+		inFlight++
+		go func() { results <- queryEntry(ctx, caller, entry.Address, options, remaining) }()
 		if i+1 == len(entries) {
 			break
 		}
-		end, ended := waitFor(ends, left/silentShare)
-		if !ended {
+		result, received := receiveWithin(results, remaining/hedgeDivisor)
+		if !received {
 			continue
 		}
-		open--
-		last = end
-		if final(end) {
-			return end.reply, end.err
+		inFlight--
+		last = result
+		if isFinal(result) {
+			return result.reply, result.err
 		}
 	}
-	last = firstFinal(ends, open, last)
+	last = awaitFinal(results, inFlight, last)
 	return last.reply, last.err
 }
 
-// firstFinal waits for the open queries until one needs no other.
-func firstFinal(ends <-chan asked, open int, last asked) asked {
-	for ; open > 0; open-- {
-		last = <-ends
-		if final(last) {
+// awaitFinal waits for the queries in flight until one has a final result.
+func awaitFinal(results <-chan entryResult, inFlight int, last entryResult) entryResult {
+	for ; inFlight > 0; inFlight-- {
+		last = <-results
+		if isFinal(last) {
 			break
 		}
 	}
 	return last
 }
 
-// final reports whether no other entry needs to be asked.
-func final(end asked) bool { return end.err == nil || !elsewhere(fault.As(end.err)) }
+// isFinal reports whether no other entry needs to be queried.
+func isFinal(result entryResult) bool { return result.err == nil || !canFailOver(fault.As(result.err)) }
 
-func waitFor(ends <-chan asked, limit time.Duration) (end asked, ended bool) {
-	timer := time.NewTimer(limit)
+func receiveWithin(results <-chan entryResult, timeout time.Duration) (result entryResult, received bool) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case end = <-ends:
-		return end, true
+	case result = <-results:
+		return result, true
 	case <-timer.C:
-		return asked{}, false
+		return entryResult{}, false
 	}
 }
 
-func askEntry(ctx context.Context, caller *client.Client, address string, options queryOptions, left time.Duration) asked {
-	timeoutMs := max(1, left.Milliseconds())
+func queryEntry(ctx context.Context, caller *client.Client, address string, options queryOptions, remaining time.Duration) entryResult {
+	timeoutMs := max(1, remaining.Milliseconds())
 	reply, err := caller.Query(ctx, address, options.service, api.QueryRequest{
 		Customer:  core.Customer(options.customer),
 		Question:  json.RawMessage(options.question),
 		TimeoutMs: &timeoutMs,
 		Prefer:    options.prefer,
 	})
-	return asked{reply: reply, err: err}
+	return entryResult{reply: reply, err: err}
 }
--- a/internal/command/caller.go
+++ b/internal/command/caller.go
@@ -11,36 +11,36 @@
 
 const defaultCallerTimeout = 5 * time.Second
 
-// callerOptions are what query and submit have in common.
+// callerOptions are the options that query and submit share.
 type callerOptions struct {
 	service  string
 	address  string
 	customer string
-	raw      bool
+	json     bool
 	timeout  time.Duration
 }
 
-func defaultCaller() callerOptions {
+func defaultCallerOptions() callerOptions {
 	return callerOptions{customer: "operator", timeout: defaultCallerTimeout}
 }
 
-// addFlags adds the flags; address describes that of --address.
+// addFlags adds the flags; address is the description of --address.
 func (o *callerOptions) addFlags(parser *flaggy.Subcommand, address string) {
-	parser.AddPositionalValue(&o.service, "service", 1, true, "the service to ask")
+	parser.AddPositionalValue(&o.service, "service", 1, true, "the service to send the request to")
 	parser.String(&o.address, "a", "address", address+" (required)")
-	parser.String(&o.customer, "c", "customer", "the customer to ask for")
-	parser.Bool(&o.raw, "j", "json", "print the answer as JSON")
-	parser.Duration(&o.timeout, "t", "timeout", "the time for the answer, all tries together")
+	parser.String(&o.customer, "c", "customer", "the customer on whose behalf the request is sent")
+	parser.Bool(&o.json, "j", "json", "print the answer as JSON")
+	parser.Duration(&o.timeout, "t", "timeout", "the time limit for the answer, over all attempts")
 }
 
-// check refuses a missing address and a body that is not JSON; name is the
+// validate rejects a missing address and a body that is not JSON; name is the
 // body's flag.
-func (o *callerOptions) check(name, body string) error {
+func (o *callerOptions) validate(name, body string) error {
 	if o.address == "" {
-		return noAddress("add --address IP:PORT of any node")
+		return missingAddressError("add --address IP:PORT of any node")
 	}
 	if !json.Valid([]byte(body)) {
-		return fault.NotRun(fault.CodeBadRequest, "the "+name+" is not JSON", `quote a text twice, such as '"pork"'`)
+		return fault.NotRun(fault.CodeBadRequest, "the "+name+" is not JSON", `quote a string for the shell and for JSON, such as '"pork"'`)
 	}
 	return nil
 }
--- a/internal/command/charts.go
+++ b/internal/command/charts.go
@@ -16,7 +16,7 @@
 	parser := flaggy.NewSubcommand("charts")
 	parser.Description = "print the state charts as Mermaid diagrams"
 	var name string
-	parser.AddPositionalValue(&name, "chart", 1, false, "one chart by name; all when not given")
+	parser.AddPositionalValue(&name, "chart", 1, false, "the name of one chart (default: all)")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier charts config",
@@ -28,12 +28,12 @@
 	names := chart.Names()
 	if name != "" {
 		if !slices.Contains(names, name) {
-			return fault.NotRun(fault.CodeBadRequest, "there is no chart "+name, "the charts are "+strings.Join(names, ", "))
+			return fault.NotRun(fault.CodeBadRequest, "unknown chart "+name, "the charts are "+strings.Join(names, ", "))
 		}
 		names = []string{name}
 	}
-	for _, one := range names {
-		text, err := chart.Mermaid(one)
+	for _, chartName := range names {
+		text, err := chart.Mermaid(chartName)
 		if err != nil {
 			return err
 		}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -13,7 +13,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/strictyaml"
 )
 
-// checkReport is what check found, as JSON.
+// checkReport is the JSON output of check.
 type checkReport struct {
 	File      string              `json:"file"`
 	Valid     bool                `json:"valid"`
@@ -24,7 +24,7 @@
 	Explained *explanation        `json:"explained,omitempty"`
 }
 
-// explanation is a service's closure and how much a question to it asks.
+// explanation is a service's closure, with the shards and replicas that a query to it needs.
 type explanation struct {
 	Service  string             `json:"service"`
 	Shards   int                `json:"shards"`
@@ -44,12 +44,12 @@
 
 func checkCommand() *command {
 	parser := flaggy.NewSubcommand("check")
-	parser.Description = "validate an operators' text"
+	parser.Description = "validate an operators' configuration text"
 	var path, explain string
 	var asJSON bool
-	parser.AddPositionalValue(&path, "file", 1, true, "the operators' text")
-	parser.String(&explain, "e", "explain", "print the closure of this service")
-	parser.Bool(&asJSON, "j", "json", "print the outcome as JSON")
+	parser.AddPositionalValue(&path, "file", 1, true, "the file to validate")
+	parser.String(&explain, "e", "explain", "print the closure of this service: itself and all services that it depends on")
+	parser.Bool(&asJSON, "j", "json", "print the report as JSON")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier check examples/magnolia.yaml --explain plate-costing",
@@ -64,7 +64,7 @@
 	}
 	parsed, err := catalog.Parse(text)
 	if err != nil {
-		return refuse(path, err, asJSON, out)
+		return reportInvalid(path, err, asJSON, out)
 	}
 	report := checkReport{File: path, Valid: true, Services: len(parsed.Names), Bundles: len(parsed.Bundles), Customers: len(parsed.Customers)}
 	if explain != "" {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// refuse reports an invalid text: as JSON on the output, or else as the error.
-func refuse(path string, err error, asJSON bool, out io.Writer) error {
+// reportInvalid reports an invalid text as JSON on out or, without asJSON, as the returned error.
+func reportInvalid(path string, err error, asJSON bool, out io.Writer) error {
 	var problems strictyaml.Problems
 	if !asJSON || !errors.As(err, &problems) {
 		return err
@@ -92,25 +92,25 @@
 	if err := json.NewEncoder(out).Encode(checkReport{File: path, Problems: problems}); err != nil {
 		return err
 	}
-	return errTrouble
+	return errReported
 }
 
 func explainService(parsed *catalog.Catalog, name string) (*explanation, error) {
 	closure := parsed.Closure(name)
 	if len(closure) == 0 {
-		return nil, fault.NotRun(fault.CodeUnknownService, "service "+name+" is not in the text", "see the names in the text")
+		return nil, fault.NotRun(fault.CodeUnknownService, "service "+name+" is not in the text", "give a service that the text names")
 	}
 	explained := &explanation{Service: name}
 	for _, service := range closure {
-		one := explainedService{Name: service.Name, Index: service.Index, Slots: service.Slots, Connections: service.Connections, source: service}
+		entry := explainedService{Name: service.Name, Index: service.Index, Slots: service.Slots, Connections: service.Connections, source: service}
 		for _, shard := range service.Shards {
 			for _, replica := range shard.Replicas {
-				one.Replicas = append(one.Replicas, catalog.ReplicaPlace{Shard: shard.Ref.String(), Address: replica.Address, DataCentre: replica.DataCentre})
+				entry.Replicas = append(entry.Replicas, catalog.ReplicaPlace{Shard: shard.Ref.String(), Address: replica.Address, DataCentre: replica.DataCentre})
 			}
 		}
 		explained.Shards += len(service.Shards)
-		explained.Replicas += len(one.Replicas)
-		explained.Closure = append(explained.Closure, one)
+		explained.Replicas += len(entry.Replicas)
+		explained.Closure = append(explained.Closure, entry)
 	}
 	return explained, nil
 }
@@ -124,5 +124,5 @@
 			}
 		}
 	}
-	fmt.Fprintf(out, "a question to %s asks %d shards of %d services, on %d replicas\n", explained.Service, explained.Shards, len(explained.Closure), explained.Replicas)
+	fmt.Fprintf(out, "a query to %s needs %d shards of %d services, on %d replicas\n", explained.Service, explained.Shards, len(explained.Closure), explained.Replicas)
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line: one file for each command.
+// Package command implements the command line, with one file for each command.
 package command
 
 import (
@@ -16,27 +16,27 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// The exit codes of every command.
+// Exit codes of all commands.
 const (
 	ExitOK      = 0
 	ExitFailure = 1
 	ExitUsage   = 2
 )
 
-// command is one subcommand. run is called after its arguments are parsed.
+// command is one subcommand. run is called after the arguments are parsed.
 type command struct {
 	parser  *flaggy.Subcommand
 	example string
 	run     func(out io.Writer) error
 }
 
-// untilStopped is a context that ends when the process is told to stop.
-func untilStopped() (context.Context, context.CancelFunc) {
+// shutdownContext returns a context that is cancelled by SIGINT or SIGTERM.
+func shutdownContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// errTrouble ends a command with ExitFailure after it has said what it found.
-var errTrouble = errors.New("trouble found")
+// errReported makes a command exit with ExitFailure after it has printed its findings.
+var errReported = errors.New("problem found")
 
 // Run executes the command line and returns the exit code.
 func Run(arguments []string, out, errors io.Writer) int {
@@ -45,12 +45,12 @@
 	parser.ShowHelpOnUnexpected = false
 	parser.ShowHelpWithHFlag = false
 	parser.ShowVersionWithVersionFlag = false
-	commands := all()
-	for _, one := range commands {
-		parser.AttachSubcommand(one.parser, 1)
+	commands := allCommands()
+	for _, c := range commands {
+		parser.AttachSubcommand(c.parser, 1)
 	}
 	if wantsHelp(arguments) {
-		return help(commands, arguments, out)
+		return printHelp(commands, arguments, out)
 	}
 	err := validate(commands, arguments)
 	if err == nil {
@@ -60,17 +60,17 @@
 		fmt.Fprintln(errors, err)
 		return ExitUsage
 	}
-	for _, one := range commands {
-		if one.parser.Used {
-			return finish(one.run(out), errors)
+	for _, c := range commands {
+		if c.parser.Used {
+			return exitCode(c.run(out), errors)
 		}
 	}
-	help(commands, nil, errors)
+	printHelp(commands, nil, errors)
 	return ExitUsage
 }
 
-// all lists the commands in the order of the help.
-func all() []*command {
+// allCommands lists the commands in the order of the help page.
+func allCommands() []*command {
 	return []*command{
 		serveCommand(),
 		edgeCommand(),
@@ -93,8 +93,8 @@
 	}
 }
 
-// parse runs the parser. flaggy ends the process on some faults unless its
-// panics are wanted, so they are turned into errors here.
+// parse runs the parser. flaggy exits the process on some errors unless it is set
+// to panic, so its panics are turned into errors here.
 func parse(parser *flaggy.Parser, arguments []string) (err error) {
 	flaggy.PanicInsteadOfExit = true
 	defer func() {
@@ -114,38 +114,38 @@
 	return false
 }
 
-func help(commands []*command, arguments []string, out io.Writer) int {
-	for _, one := range commands {
-		if len(arguments) > 0 && one.parser.Name == arguments[0] {
-			describe(one, out)
+func printHelp(commands []*command, arguments []string, out io.Writer) int {
+	for _, c := range commands {
+		if len(arguments) > 0 && c.parser.Name == arguments[0] {
+			printCommandHelp(c, out)
 			return ExitOK
 		}
 	}
 	fmt.Fprintln(out, "pistachiopier COMMAND: a query tier over many shards")
-	for _, one := range commands {
-		fmt.Fprintf(out, "  %-10s %s\n", one.parser.Name, one.parser.Description)
+	for _, c := range commands {
+		fmt.Fprintf(out, "  %-10s %s\n", c.parser.Name, c.parser.Description)
 	}
-	fmt.Fprintln(out, "pistachiopier COMMAND --help shows a command's arguments and an example.")
-	fmt.Fprintln(out, "exit codes: 0 fine, 1 trouble found, 2 bad usage")
+	fmt.Fprintln(out, "pistachiopier COMMAND --help shows the arguments of a command and an example.")
+	fmt.Fprintln(out, "exit codes: 0 success, 1 failure or problem found, 2 usage error")
 	return ExitOK
 }
 
-func describe(one *command, out io.Writer) {
-	fmt.Fprintf(out, "%s: %s\n", one.parser.Name, one.parser.Description)
-	for _, positional := range one.parser.PositionalFlags {
+func printCommandHelp(c *command, out io.Writer) {
+	fmt.Fprintf(out, "%s: %s\n", c.parser.Name, c.parser.Description)
+	for _, positional := range c.parser.PositionalFlags {
 		fmt.Fprintf(out, "  %-24s %s\n", strings.ToUpper(positional.Name), positional.Description)
 	}
-	for _, flag := range one.parser.Flags {
+	for _, flag := range c.parser.Flags {
 		fmt.Fprintf(out, "  --%-22s %s\n", flag.LongName, flag.Description)
 	}
-	fmt.Fprintf(out, "example: %s\n", one.example)
+	fmt.Fprintf(out, "example: %s\n", c.example)
 }
 
-func finish(err error, out io.Writer) int {
+func exitCode(err error, out io.Writer) int {
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.Is(err, errTrouble):
+	case errors.Is(err, errReported):
 		return ExitFailure
 	}
 	fmt.Fprintln(out, err)
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -14,30 +14,30 @@
 	"github.com/pistachiopier/pistachiopier/internal/keys"
 )
 
-// run executes a command line and returns its exit code and outputs.
+// run executes a command line and returns its exit code, output and error output.
 func run(arguments ...string) (int, string, string) {
 	var out, errors bytes.Buffer
 	code := Run(arguments, &out, &errors)
 	return code, out.String(), errors.String()
 }
 
-// An operator mistypes a command in a script. What is printed must name the
-// fault, the exit code must be 2, and nothing may pass over the mistake: an
-// ignored flag would do something else than was asked.
-func TestBadUsageIsNamedAndGivesTwo(t *testing.T) {
+// Guards against mistyped commands in scripts: the message must name the error and
+// the exit code must be 2. An ignored flag would run something other than
+// requested.
+func TestUsageErrorsAreNamedAndExitWithTwo(t *testing.T) {
 	cases := map[string][]string{
-		"no command is given":             {},
-		`there is no command "nonsense"`:  {"nonsense"},
+		"no command given":                {},
+		`unknown command "nonsense"`:      {"nonsense"},
 		"query has no flag --bogus":       {"query", "a", "--bogus"},
 		"query has no flag -z":            {"query", "a", "-z", "1"},
 		"query needs SERVICE":             {"query"},
-		"query takes 1 arguments, 2":      {"query", "a", "b"},
-		"no value follows --address":      {"status", "--address"},
-		"no address is given":             {"problems"},
-		"there is no chart nope":          {"charts", "nope"},
+		"query takes 1 arguments, got 2":  {"query", "a", "b"},
+		"no value given for --address":    {"status", "--address"},
+		"no address given":                {"problems"},
+		"unknown chart nope":              {"charts", "nope"},
 		"neither --nodes nor --check":     {"keys"},
-		"is not a node's id":              {"keys", "--nodes", "../up"},
-		"--days is not above 0":           {"keys", "--nodes", "a", "--days", "0"},
+		"is not a valid node id":          {"keys", "--nodes", "../up"},
+		"--days must be positive":         {"keys", "--nodes", "a", "--days", "0"},
 		"many":                            {"keys", "--nodes", "a", "--days", "many"},
 		"soon":                            {"query", "a", "--timeout", "soon"},
 		"the question is not JSON":        {"query", "a", "--address", "x", "--question", "pork"},
@@ -55,17 +55,17 @@
 }
 
 func TestEachCommandsHelpHasAnExample(t *testing.T) {
-	for _, one := range all() {
-		code, out, _ := run(one.parser.Name, "--help")
+	for _, c := range allCommands() {
+		code, out, _ := run(c.parser.Name, "--help")
 		require.Equal(t, ExitOK, code)
-		require.Contains(t, out, "example: pistachiopier "+one.parser.Name)
+		require.Contains(t, out, "example: pistachiopier "+c.parser.Name)
 	}
 	code, out, _ := run("--help")
 	require.Equal(t, ExitOK, code)
 	require.Contains(t, out, "exit codes")
 }
 
-func TestKeysMakesCertificatesAndWarnsBeforeTheirEnd(t *testing.T) {
+func TestKeysIssuesCertificatesAndWarnsBeforeExpiry(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "keys")
 	code, _, errors := run("keys", "--nodes", "vm-1", "--folder", folder, "--days", "20")
 	require.Equal(t, ExitOK, code, errors)
@@ -117,8 +117,7 @@
 	require.Contains(t, out, "stateDiagram-v2")
 }
 
-// The demo is the first thing that a newcomer runs: it must show each of its
-// steps and end by itself.
+// New users run the demo first: it must show each of its steps and end by itself.
 func TestDemoShowsEachStepAndEnds(t *testing.T) {
 	started := time.Now()
 	code, out, errors := run("demo")
@@ -126,5 +125,5 @@
 	for _, step := range []string{"whole answer", "THIN answer", "drain", "in force on all 3 nodes", "revision 2"} {
 		require.Contains(t, out, step)
 	}
-	require.Less(t, time.Since(started), demoTimeLimit, "the demo has a limit of its own")
+	require.Less(t, time.Since(started), demoTimeout, "the demo must end within its own time limit")
 }
--- a/internal/command/demo_upstreams.go
+++ b/internal/command/demo_upstreams.go
@@ -10,12 +10,12 @@
 
 const (
 	demoWeight = 4
-	// demoLast is the place of the last service that demoService depends on.
-	demoLast        = 19
-	demoServiceTime = time.Millisecond
+	// demoLastDependency is the index of the last service that demoService depends on.
+	demoLastDependency = 19
+	demoServiceTime    = time.Millisecond
 )
 
-// demoGroup is a number of like services, as in examples/magnolia.yaml.
+// demoGroup is a set of identically configured services, as in examples/magnolia.yaml.
 type demoGroup struct {
 	name        string
 	services    int
@@ -25,13 +25,13 @@
 	index       string
 	timeout     string
 	idempotent  bool
-	// leads is set when the first service depends on all the others.
-	leads bool
+	// dependsOnRest means that the first service of the group depends on all the others.
+	dependsOnRest bool
 }
 
 func demoGroups() []demoGroup {
 	return []demoGroup{
-		{name: demoService, services: demoLast + 1, replicas: 2, slots: 2, connections: 25, index: "prices", timeout: "300ms", idempotent: true, leads: true},
+		{name: demoService, services: demoLastDependency + 1, replicas: 2, slots: 2, connections: 25, index: "prices", timeout: "300ms", idempotent: true, dependsOnRest: true},
 		{name: "supplier-import", services: 30, replicas: 2, slots: 2, connections: 25, index: "invoices", timeout: "2s"},
 		{name: "invoice-review", services: 1, replicas: 7, slots: 3, connections: 100, index: "invoices", timeout: "500ms", idempotent: true},
 		{name: "waste-logging", services: 1, replicas: 4, slots: 3, connections: 100, index: "waste", timeout: "500ms"},
@@ -45,17 +45,17 @@
 	replicas []*standin.Upstream
 }
 
-func (s *demoReplicas) change(alter func(*standin.Behaviour)) {
+func (s *demoReplicas) setBehaviour(update func(*standin.Behaviour)) {
 	for _, replica := range s.replicas {
-		replica.Change(alter)
+		replica.Change(update)
 	}
 }
 
-// demoUpstreams are the stand-in replicas of all services, in their order.
+// demoUpstreams holds the stand-in replicas of all services, in the order of the text.
 type demoUpstreams struct{ services []*demoReplicas }
 
 func startDemoUpstreams() (*demoUpstreams, error) {
-	all := &demoUpstreams{}
+	upstreams := &demoUpstreams{}
 	for _, group := range demoGroups() {
 		for i := range group.services {
 			name := group.name
@@ -63,14 +63,14 @@
 				name = fmt.Sprintf("%s-%02d", group.name, i+1)
 			}
 			service := &demoReplicas{name: name, group: group}
-			all.services = append(all.services, service)
+			upstreams.services = append(upstreams.services, service)
 			if err := service.start(); err != nil {
-				all.close()
+				upstreams.close()
 				return nil, err
 			}
 		}
 	}
-	return all, nil
+	return upstreams, nil
 }
 
 func (s *demoReplicas) start() error {
@@ -101,7 +101,7 @@
 	}
 }
 
-// text writes the operators' text with the weight of the large customer.
+// text returns the operators' text, with the given weight for demoCustomer.
 func (u *demoUpstreams) text(weight int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\nindexes: [prices, invoices, waste]\ncustomers:\n  - {name: %s, weight: %d, in_flight: 1024}\nservices:\n", demoCustomer, weight)
@@ -109,8 +109,8 @@
 		g := service.group
 		fmt.Fprintf(&b, "  - name: %s\n    index: %s\n    slots: %d\n    connections: %d\n    timeout: %s\n    idempotent: %t\n",
 			service.name, g.index, g.slots, g.connections, g.timeout, g.idempotent)
-		if g.leads && i == 0 {
-			fmt.Fprintf(&b, "    depends_on: [%s]\n", strings.Join(u.names(1, demoLast+1), ", "))
+		if g.dependsOnRest && i == 0 {
+			fmt.Fprintf(&b, "    depends_on: [%s]\n", strings.Join(u.names(1, demoLastDependency+1), ", "))
 		}
 		b.WriteString("    shards:\n      - replicas:\n")
 		for j, replica := range service.replicas {
--- a/internal/command/diff.go
+++ b/internal/command/diff.go
@@ -13,7 +13,7 @@
 
 func diffCommand() *command {
 	parser := flaggy.NewSubcommand("diff")
-	parser.Description = "say what a change of the operators' text would do"
+	parser.Description = "show the effect of a change to the operators' text"
 	var before, after string
 	var asJSON bool
 	parser.AddPositionalValue(&before, "old", 1, true, "the text in force")
@@ -27,15 +27,15 @@
 }
 
 func diff(before, after string, asJSON bool, out io.Writer) error {
-	old, err := readText(before)
+	old, err := readCatalog(before)
 	if err != nil {
 		return err
 	}
-	changed, err := readText(after)
+	published, err := readCatalog(after)
 	if err != nil {
 		return err
 	}
-	d := catalog.Diff(old, changed)
+	d := catalog.Diff(old, published)
 	if asJSON {
 		return json.NewEncoder(out).Encode(d)
 	}
@@ -43,23 +43,22 @@
 	return nil
 }
 
-// readText reads and parses a file. The error names the file, since a command
-// may read two.
-func readText(path string) (*catalog.Catalog, error) {
+// readCatalog reads and parses a file. Errors name the file, because diff reads two.
+func readCatalog(path string) (*catalog.Catalog, error) {
 	text, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
 	parsed, err := catalog.Parse(text)
 	if err != nil {
-		return nil, &fault.Error{Code: fault.CodeTextInvalid, Message: path + " is not valid", Fix: "correct what follows", Cause: err}
+		return nil, &fault.Error{Code: fault.CodeTextInvalid, Message: path + " is not valid", Fix: "correct the problems below", Cause: err}
 	}
 	return parsed, nil
 }
 
 func printDifference(d *catalog.Difference, out io.Writer) {
 	if d.Empty() {
-		fmt.Fprintln(out, "the texts mean the same")
+		fmt.Fprintln(out, "the texts are equivalent")
 		return
 	}
 	printNames(out, "service added", d.ServicesAdded)
--- a/internal/command/dump.go
+++ b/internal/command/dump.go
@@ -12,9 +12,9 @@
 
 func dumpCommand() *command {
 	parser := flaggy.NewSubcommand("dump")
-	parser.Description = "print a node's whole state as JSON"
+	parser.Description = "print the full state of a node as JSON"
 	var address string
-	parser.String(&address, "a", "address", "the node's operators' address (required)")
+	parser.String(&address, "a", "address", "the operators' address of the node (required)")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier dump --address 10.0.0.1:7003",
@@ -24,7 +24,7 @@
 
 func dump(address string, out io.Writer) error {
 	var state json.RawMessage
-	err := askOperator(address, nodeTimeout, func(ctx context.Context, operator *client.Client) error {
+	err := callOperator(address, nodeTimeout, func(ctx context.Context, operator *client.Client) error {
 		return operator.Get(ctx, address, "/v1/dump", &state)
 	})
 	if err != nil {
--- a/internal/command/edge.go
+++ b/internal/command/edge.go
@@ -19,47 +19,47 @@
 	"github.com/pistachiopier/pistachiopier/platform"
 )
 
-// settingsLook is how often the settings file is looked at for a change that came
-// without a signal. The platform has no notification of changed files.
-const settingsLook = time.Second
+// settingsPollInterval is how often the settings file is checked for changes that were not
+// announced by a signal. The platform does not notify of changed files.
+const settingsPollInterval = time.Second
 
 func edgeCommand() *command {
 	parser := flaggy.NewSubcommand("edge")
-	parser.Description = "run a node of the forwarding tier until it is told to stop"
+	parser.Description = "run a node of the forwarding tier until SIGINT or SIGTERM"
 	path := os.Getenv(platform.SettingsVariable)
 	parser.String(&path, "s", "settings", "the platform's settings file (default: "+platform.SettingsVariable+")")
 	var metricsPort int
-	parser.Int(&metricsPort, "m", "metrics-port", "port for metrics and the state dump (default: the last of the nodes' own range)")
+	parser.Int(&metricsPort, "m", "metrics-port", "port for metrics and the state dump (default: the last port of the node's port range)")
 	var peerListen string
-	parser.String(&peerListen, "", "peer-listen", "IP:PORT to listen on for other nodes, where something forwards to it (default: the first port of the nodes' own range)")
+	parser.String(&peerListen, "", "peer-listen", "IP:PORT to listen on for other nodes, if their traffic is forwarded to it (default: the first port of the node's port range)")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier edge --settings boot.conf",
 		run: func(out io.Writer) error {
 			err := runEdge(path, metricsPort, peerListen, out)
 			if err != nil {
-				sayFailed(out, err)
+				logFailure(out, err)
 			}
 			return err
 		},
 	}
 }
 
-// sayFailed writes into the log why the process ends by itself. What the command line says
-// goes to the standard error, which whoever collects the logs may not have.
-func sayFailed(out io.Writer, cause error) {
-	failed := fault.As(cause)
+// logFailure logs the error that ends the process. The command line prints it to standard
+// error, which log collection may not include.
+func logFailure(out io.Writer, cause error) {
+	failure := fault.As(cause)
 	log := decisionlog.New(out, nil)
-	log.Life("node_failed", decisionlog.Fields{"error": failed.Error(), "code": failed.Code, "fix": failed.Fix})
-	log.Close(failedLogLimit)
+	log.Life("node_failed", decisionlog.Fields{"error": failure.Error(), "code": failure.Code, "fix": failure.Fix})
+	log.Close(failureLogTimeout)
 }
 
-// failedLogLimit bounds the wait for the reader of a last line.
-const failedLogLimit = time.Second
+// failureLogTimeout bounds the wait until the last log line is written.
+const failureLogTimeout = time.Second
 
 func runEdge(path string, metricsPort int, peerListen string, out io.Writer) error {
 	if path == "" {
-		return usage("edge needs --settings FILE or "+platform.SettingsVariable, "see docs/SETTINGS.md for what it holds")
+		return usageError("edge needs --settings FILE or "+platform.SettingsVariable, "see docs/SETTINGS.md for the settings")
 	}
 	s, err := platform.LoadSettings(path)
 	if err != nil {
@@ -69,7 +69,7 @@
 	if peerListen != "" {
 		s.PeerListen = peerListen
 	}
-	signals, stop := untilStopped()
+	signals, stop := shutdownContext()
 	defer stop()
 	app, node := edge.New(s, out)
 	log.SetFlags(0)
@@ -84,39 +84,39 @@
 	return stopEdge(app, s.StopWait)
 }
 
-func stopEdge(app *fx.App, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func stopEdge(app *fx.App, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return app.Stop(ctx)
 }
 
-// watchSettings reloads the settings at SIGHUP, which is always answered with a line in the
-// log, and when the file is another one, until the process is told to stop. A file that
-// cannot be read leaves the former settings in force.
+// watchSettings reloads the settings on SIGHUP and when the content of the file changes, until
+// ctx is cancelled. Every SIGHUP writes a line to the log. If the file cannot be read, the
+// previous settings stay in force.
 func watchSettings(ctx context.Context, path string, metricsPort int, node *edge.Node) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	ticker := time.NewTicker(settingsLook)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen, _ := os.ReadFile(path)
+	loaded, _ := os.ReadFile(path)
 	for {
-		asked := false
+		requested := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
-			asked = true
+			requested = true
 		case <-ticker.C:
 		}
 		text, err := os.ReadFile(path)
 		switch {
-		case err != nil && asked:
+		case err != nil && requested:
 			node.SettingsRefused(err)
 		case err != nil:
-			// It is being replaced, or stays away: the signal would tell.
-		case asked || !bytes.Equal(text, seen):
-			seen = text
+			// The file is being replaced or is missing. Only SIGHUP reports a read error.
+		case requested || !bytes.Equal(text, loaded):
+			loaded = text
 			reload(node, string(text), metricsPort)
 		}
 	}
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -17,22 +17,22 @@
 const slopesName = "slopes"
 
 type experimentOptions struct {
-	name   string
-	rounds int
-	rate   float64
-	json   bool
-	folder string
+	name      string
+	rounds    int
+	rate      float64
+	json      bool
+	outFolder string
 }
 
 func experimentCommand() *command {
 	parser := flaggy.NewSubcommand("experiment")
-	parser.Description = "run a named comparison on stand-ins in this process, or list them"
+	parser.Description = "run a named comparison on stand-ins in this process, or list all"
 	var options experimentOptions
-	parser.AddPositionalValue(&options.name, "name", 1, false, "the experiment; none lists them")
-	parser.Int(&options.rounds, "r", "rounds", "rounds in place of the experiment's own")
-	parser.Float64(&options.rate, "", "rate", "requests a second in place of the experiment's own")
+	parser.AddPositionalValue(&options.name, "name", 1, false, "the experiment (default: list all)")
+	parser.Int(&options.rounds, "r", "rounds", "number of rounds, overriding that of the experiment")
+	parser.Float64(&options.rate, "", "rate", "requests per second, overriding the rate of the experiment")
 	parser.Bool(&options.json, "j", "json", "print the report as JSON")
-	parser.String(&options.folder, "o", "out", "a folder to write the JSON report and the SVG plot into")
+	parser.String(&options.outFolder, "o", "out", "the folder for the JSON report and the SVG plot")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier experiment whole-path --out plots",
@@ -60,35 +60,35 @@
 			chosen.Variants[i].Profile.Rate = options.rate
 		}
 	}
-	return compare(chosen, options.json, options.folder, out)
+	return compare(chosen, options.json, options.outFolder, out)
 }
 
 func listExperiments(out io.Writer) {
-	for _, e := range experiment.All() {
-		fmt.Fprintf(out, "%-12s %s\n", e.Name, e.About)
+	for _, listed := range experiment.All() {
+		fmt.Fprintf(out, "%-12s %s\n", listed.Name, listed.About)
 	}
-	fmt.Fprintf(out, "%-12s %s\n", slopesName, "what one more sub-request, link, shard or question costs on this machine")
+	fmt.Fprintf(out, "%-12s %s\n", slopesName, "the cost of one more sub-request, link, shard or query on this machine")
 }
 
-// compare runs an experiment and reports it.
+// compare runs an experiment and writes its report.
 func compare(e experiment.Experiment, json bool, folder string, out io.Writer) error {
 	result, err := experiment.Run(context.Background(), e, runtime.NumCPU())
 	if err != nil {
 		return err
 	}
-	return tellReport(result.Report(), e.Name, folder, json, out)
+	return writeReport(result.Report(), e.Name, folder, json, out)
 }
 
-// pictured is a report that can be written for people, as JSON, and drawn.
-type pictured interface {
+// reportWriter is a report that can be written as text, JSON and an SVG plot.
+type reportWriter interface {
 	WriteText(out io.Writer)
 	WriteJSON(out io.Writer) error
 	SVG() string
 }
 
-// tellReport writes a report into a folder, where one is given, and to out.
-func tellReport(report pictured, name, folder string, json bool, out io.Writer) error {
-	if err := writeFolder(folder, name, report); err != nil {
+// writeReport writes a report to out and, if folder is not empty, into that folder.
+func writeReport(report reportWriter, name, folder string, json bool, out io.Writer) error {
+	if err := writeReportFiles(folder, name, report); err != nil {
 		return err
 	}
 	if json {
@@ -98,28 +98,28 @@
 	return nil
 }
 
-// writeFolder writes NAME.json and NAME.svg; an empty folder is none.
-func writeFolder(folder, name string, report pictured) error {
+// writeReportFiles writes NAME.json and NAME.svg, or nothing if folder is empty.
+func writeReportFiles(folder, name string, report reportWriter) error {
 	if folder == "" {
 		return nil
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return unwritable(folder, err)
+		return reportWriteError(folder, err)
 	}
-	document, err := os.Create(filepath.Join(folder, name+".json"))
+	file, err := os.Create(filepath.Join(folder, name+".json"))
 	if err != nil {
-		return unwritable(folder, err)
+		return reportWriteError(folder, err)
 	}
-	defer func() { _ = document.Close() }()
-	if err := report.WriteJSON(document); err != nil {
+	defer func() { _ = file.Close() }()
+	if err := report.WriteJSON(file); err != nil {
 		return err
 	}
 	if err := os.WriteFile(filepath.Join(folder, name+".svg"), []byte(report.SVG()), 0o644); err != nil {
-		return unwritable(folder, err)
+		return reportWriteError(folder, err)
 	}
 	return nil
 }
 
-func unwritable(folder string, err error) error {
-	return &fault.Error{Code: fault.CodeBadRequest, Message: "cannot write into " + folder, Fix: "give a folder that can be written", Cause: err}
+func reportWriteError(folder string, err error) error {
+	return &fault.Error{Code: fault.CodeBadRequest, Message: "cannot write into " + folder, Fix: "give a writable folder", Cause: err}
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -16,21 +16,21 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// maxLogLine bounds one line of a log, in bytes.
-const maxLogLine = 1 << 20
+// maxLogLineBytes is the longest log line that is read.
+const maxLogLineBytes = 1 << 20
 
-// beliefEvents are the lines that say what a node holds for true; the last of each kind
-// before a request's end goes with its story.
-var beliefEvents = map[string]bool{
+// stateEvents are the events that report the state of a node. The last one for each
+// state key before the end of a request is shown with the request.
+var stateEvents = map[string]bool{
 	"node_started": true, "config_in_force": true, "entries_changed": true, "view_changed": true,
 	"dependency_lost": true, "dependency_back": true, "node_stopping": true, "settings_reloaded": true,
 	"request_set_aside": true, "evacuation_in_force": true, "evacuation_ended": true, "evacuation_lapsed": true,
 	"store_era_changed": true, "store_era_untold": true, "config_outdated": true, "reading_not_taken": true,
 }
 
-// subject is what a line's belief is about: a later line on the same subject replaces it. Each data
-// centre is evacuated and taken back by itself.
-func (l logLine) subject() string {
+// stateKey identifies the state that a line reports: a later line with the same key replaces it. Each
+// data centre has its own key, since data centres are evacuated and taken back independently.
+func (l logLine) stateKey() string {
 	switch l.Event {
 	case "evacuation_in_force", "evacuation_ended", "evacuation_lapsed":
 		return fmt.Sprint("evacuation of ", l.fields["data_centre"])
@@ -43,10 +43,10 @@
 
 func explainCommand() *command {
 	parser := flaggy.NewSubcommand("explain")
-	parser.Description = "tell one request's story from the nodes' logs"
+	parser.Description = "show the history of one request from the logs of the nodes"
 	var request, files string
-	parser.AddPositionalValue(&request, "request", 1, true, "the request's id")
-	parser.AddPositionalValue(&files, "files", 2, false, "log files, joined by commas (default: standard input)")
+	parser.AddPositionalValue(&request, "request", 1, true, "the id of the request")
+	parser.AddPositionalValue(&files, "files", 2, false, "log files, separated by commas (default: standard input)")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier explain 9c41d07be2a35f68 vm-1.log,vm-2.log",
@@ -54,27 +54,27 @@
 	}
 }
 
-// logLine is one decoded line.
+// logLine is one decoded line of a log.
 type logLine struct {
 	Time  string `json:"time"`
 	Node  string `json:"node"`
 	Event string `json:"event"`
-	// Request is empty on lines that are not about one request.
+	// Request is empty on lines that do not concern a single request.
 	Request string `json:"request"`
 	fields  map[string]any
 }
 
-// story is what logs say of one request.
-type story struct {
-	lines []logLine
-	// beliefs are the last lines of each kind and node, in the order of the logs.
-	beliefs []logLine
+// requestHistory holds the log lines about one request and the state of the nodes.
+type requestHistory struct {
+	requestLines []logLine
+	// states are the lines with an event of stateEvents, in the order of the logs.
+	states []logLine
 }
 
 func explain(request, files string, input io.Reader, out io.Writer) error {
-	var found story
+	var history requestHistory
 	if files == "" {
-		if err := found.read(request, input); err != nil {
+		if err := history.read(request, input); err != nil {
 			return err
 		}
 	}
@@ -83,25 +83,25 @@
 		if err != nil {
 			return &fault.Error{Code: fault.CodeBadRequest, Message: "cannot read " + path, Fix: "give readable log files", Cause: err}
 		}
-		err = found.read(request, file)
+		err = history.read(request, file)
 		_ = file.Close()
 		if err != nil {
 			return err
 		}
 	}
-	if len(found.lines) == 0 {
-		fmt.Fprintf(out, "no line on request %s: it ended well and in time, or its node's lines are missing\n", request)
-		return errTrouble
+	if len(history.requestLines) == 0 {
+		fmt.Fprintf(out, "no line on request %s: it succeeded in time, or the log of its node is missing\n", request)
+		return errReported
 	}
-	found.print(request, out)
+	history.print(request, out)
 	return nil
 }
 
-// read collects the lines of one log. Text before a line's JSON, such as a collector's
-// own time, is passed over, and so are lines of other programs.
-func (s *story) read(request string, input io.Reader) error {
+// read collects the lines of one log. It skips text before the JSON of a line, such as a
+// timestamp of the log collector, and lines of other programs.
+func (s *requestHistory) read(request string, input io.Reader) error {
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(make([]byte, 0, maxLogLine/16), maxLogLine)
+	scanner.Buffer(make([]byte, 0, maxLogLineBytes/16), maxLogLineBytes)
 	for scanner.Scan() {
 		start := strings.IndexByte(scanner.Text(), '{')
 		if start < 0 {
@@ -114,46 +114,47 @@
 		}
 		switch {
 		case line.Request == request:
-			s.lines = append(s.lines, line)
-		case line.Request == "" && beliefEvents[line.Event]:
-			s.beliefs = append(s.beliefs, line)
+			s.requestLines = append(s.requestLines, line)
+		case line.Request == "" && stateEvents[line.Event]:
+			s.states = append(s.states, line)
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return &fault.Error{Code: fault.CodeBadRequest, Message: "a log cannot be read to its end", Fix: "give the lines as the node wrote them", Cause: err}
+		return &fault.Error{Code: fault.CodeBadRequest, Message: "cannot read a log to its end", Fix: "give the lines as the node wrote them", Cause: err}
 	}
 	return nil
 }
 
-func (s *story) print(request string, out io.Writer) {
+func (s *requestHistory) print(request string, out io.Writer) {
 	byTime := func(a, b logLine) int { return cmp.Compare(a.Time, b.Time) }
-	slices.SortStableFunc(s.lines, byTime)
-	slices.SortStableFunc(s.beliefs, byTime)
-	end := s.lines[len(s.lines)-1]
+	slices.SortStableFunc(s.requestLines, byTime)
+	slices.SortStableFunc(s.states, byTime)
+	end := s.requestLines[len(s.requestLines)-1]
 	fmt.Fprintf(out, "request %s\n\nwhat the node believed before:\n", request)
-	for _, line := range s.inForce(end) {
+	for _, line := range s.statesBefore(end) {
 		fmt.Fprintf(out, "  %s %s\n", line.Time, describeLine(line))
 	}
 	fmt.Fprintln(out, "\nwhat happened (at_ms counts from the request's arrival):")
-	for _, line := range s.lines {
+	for _, line := range s.requestLines {
 		fmt.Fprintf(out, "  %s %s\n", line.Time, describeLine(line))
 	}
 }
 
-// inForce picks the last belief on each subject that the request's node wrote before its end.
-func (s *story) inForce(end logLine) []logLine {
+// statesBefore returns, for each state key, the last line that the node of the request wrote before
+// the end of the request.
+func (s *requestHistory) statesBefore(end logLine) []logLine {
 	last := map[string]logLine{}
-	for _, line := range s.beliefs {
+	for _, line := range s.states {
 		if line.Node == end.Node && line.Time <= end.Time {
-			last[line.subject()] = line
+			last[line.stateKey()] = line
 		}
 	}
-	chosen := slices.Collect(maps.Values(last))
-	slices.SortFunc(chosen, func(a, b logLine) int { return cmp.Compare(a.Time, b.Time) })
-	return chosen
+	lines := slices.Collect(maps.Values(last))
+	slices.SortFunc(lines, func(a, b logLine) int { return cmp.Compare(a.Time, b.Time) })
+	return lines
 }
 
-// describeLine writes a line's fields in a fixed order, leaving out empty ones.
+// describeLine formats the fields of a line in a fixed order and omits empty ones.
 func describeLine(line logLine) string {
 	hidden := map[string]bool{"time": true, "level": true, "msg": true, "event": true, "node": true, "request": true}
 	var b strings.Builder
--- a/internal/command/explain_test.go
+++ b/internal/command/explain_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const twoLogs = `
+const mixedLog = `
 collector 1 {"event":"config_in_force","node":"vm-1","time":"2030-01-01T00:00:01Z","version":7}
 {"event":"config_in_force","node":"vm-1","time":"2030-01-01T00:00:02Z","version":9}
 {"event":"config_in_force","node":"vm-2","time":"2030-01-01T00:00:02Z","version":8}
@@ -20,11 +20,12 @@
 {"event":"config_in_force","node":"vm-1","time":"2030-01-01T00:00:06Z","version":10}
 `
 
-// A user complains about one request. Its lines lie among those of others, out of order,
-// and what the node believed then is not what it believes now.
-func TestExplainTellsOneRequestWithTheBeliefsOfItsTime(t *testing.T) {
+// The lines of a request are interleaved with those of others and out of order, and the state
+// of the node has changed since. The output must hold the lines of this request only, in order,
+// with the state of the node at that time.
+func TestExplainShowsOneRequestWithTheNodeStateOfItsTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes.log")
-	require.NoError(t, os.WriteFile(path, []byte(twoLogs), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(mixedLog), 0o600))
 	code, out, errors := run("explain", "r1", path)
 	require.Equal(t, ExitOK, code, errors)
 	require.Contains(t, out, "version=9")
@@ -39,9 +40,9 @@
 	require.Equal(t, ExitUsage, code)
 }
 
-// A user's list was thin while a data centre was evacuated. The story must say which one was at that time:
-// another one had been taken back before, and this one was after.
-func TestExplainTellsWhichDataCentresWereEvacuated(t *testing.T) {
+// An answer was thin while a data centre was evacuated. The output must show that data centre as evacuated at
+// the time, although its evacuation ended later, and an earlier evacuation of another one as ended.
+func TestExplainShowsEvacuatedDataCentres(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes.log")
 	require.NoError(t, os.WriteFile(path, []byte(`
 {"event":"evacuation_in_force","node":"vm-1","time":"2030-01-01T00:00:01Z","data_centre":"east"}
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -18,32 +18,32 @@
 	day             = 24 * time.Hour
 	defaultDays     = 365
 	defaultWarnDays = 14
-	// authorityFactor is how many times longer an authority lasts than the
+	// authorityFactor is the validity of an authority as a multiple of that of the
 	// certificates that it signs.
-	authorityFactor = 3
-	authorityName   = "authority"
-	keyFileMode     = 0o600
-	textFileMode    = 0o644
-	folderMode      = 0o700
+	authorityFactor     = 3
+	authorityName       = "authority"
+	keyFileMode         = 0o600
+	certificateFileMode = 0o644
+	folderMode          = 0o700
 )
 
 type keysOptions struct {
-	folder string
-	nodes  string
-	check  string
-	days   int
-	warn   int
+	folder   string
+	nodes    string
+	check    string
+	days     int
+	warnDays int
 }
 
 func keysCommand() *command {
 	parser := flaggy.NewSubcommand("keys")
-	parser.Description = "make an authority and node certificates, or check the validity of some"
-	options := keysOptions{days: defaultDays, warn: defaultWarnDays}
-	parser.String(&options.nodes, "n", "nodes", "the ids of the nodes to make certificates for, separated by commas")
-	parser.String(&options.folder, "f", "folder", "write the PEM files here, and sign with the authority found here; printed when not given")
-	parser.Int(&options.days, "d", "days", "how long a node's certificate is valid, in days (365)")
+	parser.Description = "create an authority and node certificates, or check the validity of certificates"
+	options := keysOptions{days: defaultDays, warnDays: defaultWarnDays}
+	parser.String(&options.nodes, "n", "nodes", "the ids of the nodes to issue certificates for, separated by commas")
+	parser.String(&options.folder, "f", "folder", "the folder to write the PEM files to; an authority in it signs them (default: create an authority and print the files)")
+	parser.Int(&options.days, "d", "days", "the validity of a node certificate, in days (365)")
 	parser.String(&options.check, "c", "check", "print the validity of these certificate files, separated by commas")
-	parser.Int(&options.warn, "w", "warn-days", "with --check, exit code 1 when one ends within so many days (14)")
+	parser.Int(&options.warnDays, "w", "warn-days", "with --check, exit code 1 if a certificate expires within this number of days (14)")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier keys --nodes vm-1,vm-2 --folder keys\n         pistachiopier keys --check keys/vm-1.crt,keys/authority.crt --warn-days 30",
@@ -58,13 +58,13 @@
 	case options.nodes == "":
 		return fault.NotRun(fault.CodeBadRequest, "neither --nodes nor --check is given", "see pistachiopier keys --help")
 	case options.days <= 0:
-		return fault.NotRun(fault.CodeBadRequest, "--days is not above 0", "write a number of days")
+		return fault.NotRun(fault.CodeBadRequest, "--days must be positive", "give a number of days")
 	}
 	return makeKeys(options, now, out)
 }
 
 func checkKeys(options keysOptions, now time.Time, out io.Writer) error {
-	trouble := false
+	expiring := false
 	for _, path := range strings.Split(options.check, ",") {
 		text, err := readFile(path)
 		if err != nil {
@@ -78,15 +78,15 @@
 		if err != nil {
 			return err
 		}
-		left := until.Sub(now)
-		fmt.Fprintf(out, "%s: %s, valid from %s until %s, %d days left\n", path, name, from.UTC().Format(time.RFC3339), until.UTC().Format(time.RFC3339), int(left/day))
-		if left < time.Duration(options.warn)*day {
-			fmt.Fprintf(out, "  under %d days: make a new one with pistachiopier keys\n", options.warn)
-			trouble = true
+		remaining := until.Sub(now)
+		fmt.Fprintf(out, "%s: %s, valid from %s until %s, %d days left\n", path, name, from.UTC().Format(time.RFC3339), until.UTC().Format(time.RFC3339), int(remaining/day))
+		if remaining < time.Duration(options.warnDays)*day {
+			fmt.Fprintf(out, "  under %d days: issue a new one with pistachiopier keys\n", options.warnDays)
+			expiring = true
 		}
 	}
-	if trouble {
-		return errTrouble
+	if expiring {
+		return errReported
 	}
 	return nil
 }
@@ -95,11 +95,11 @@
 	nodes := strings.Split(options.nodes, ",")
 	for _, node := range nodes {
 		if node == "" || node == authorityName || filepath.Base(node) != node {
-			return fault.NotRun(fault.CodeBadRequest, fmt.Sprintf("%q is not a node's id", node), "write ids as in the VM list, separated by commas")
+			return fault.NotRun(fault.CodeBadRequest, fmt.Sprintf("%q is not a valid node id", node), "give ids as in the VM list, separated by commas")
 		}
 	}
 	validity := time.Duration(options.days) * day
-	authority, err := takeAuthority(options.folder, now, validity*authorityFactor, out)
+	authority, err := loadOrCreateAuthority(options.folder, now, validity*authorityFactor, out)
 	if err != nil {
 		return err
 	}
@@ -108,15 +108,15 @@
 		if err != nil {
 			return err
 		}
-		if err := put(options.folder, node, pair, out); err != nil {
+		if err := writePair(options.folder, node, pair, out); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// takeAuthority reads the authority of the folder, or makes a new one.
-func takeAuthority(folder string, now time.Time, validity time.Duration, out io.Writer) (*keys.Authority, error) {
+// loadOrCreateAuthority loads the authority from the folder, or creates and writes a new one.
+func loadOrCreateAuthority(folder string, now time.Time, validity time.Duration, out io.Writer) (*keys.Authority, error) {
 	if folder != "" {
 		certificate, certificateErr := os.ReadFile(filepath.Join(folder, authorityName+".crt"))
 		key, keyErr := os.ReadFile(filepath.Join(folder, authorityName+".key"))
@@ -124,46 +124,46 @@
 			return keys.LoadAuthority(keys.Pair{Certificate: certificate, Key: key})
 		}
 		if certificateErr == nil || keyErr == nil {
-			return nil, &fault.Error{Code: fault.CodeTLS, Message: "the folder holds only one half of the authority", Fix: "put both authority.crt and authority.key there, or neither"}
+			return nil, &fault.Error{Code: fault.CodeTLS, Message: "the folder holds only one of authority.crt and authority.key", Fix: "provide both files, or neither"}
 		}
 	}
 	authority, err := keys.NewAuthority(now, validity)
 	if err != nil {
 		return nil, err
 	}
-	return authority, put(folder, authorityName, authority.Pair, out)
+	return authority, writePair(folder, authorityName, authority.Pair, out)
 }
 
-// put writes a pair to the folder, or prints it. An existing private key is
-// never overwritten.
-func put(folder, name string, pair keys.Pair, out io.Writer) error {
+// writePair writes a pair to the folder, or prints it if folder is empty. It never
+// overwrites an existing private key.
+func writePair(folder, name string, pair keys.Pair, out io.Writer) error {
 	if folder == "" {
 		_, err := fmt.Fprintf(out, "# %s\n%s%s", name, pair.Certificate, pair.Key)
 		return err
 	}
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return writeFault(folder, err)
+		return keyWriteError(folder, err)
 	}
 	keyPath := filepath.Join(folder, name+".key")
 	file, err := os.OpenFile(keyPath, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
-		return writeFault(keyPath, err)
+		return keyWriteError(keyPath, err)
 	}
 	_, err = file.Write(pair.Key)
 	if closeErr := file.Close(); err == nil {
 		err = closeErr
 	}
 	if err != nil {
-		return writeFault(keyPath, err)
+		return keyWriteError(keyPath, err)
 	}
 	certificatePath := filepath.Join(folder, name+".crt")
-	if err := os.WriteFile(certificatePath, pair.Certificate, textFileMode); err != nil {
-		return writeFault(certificatePath, err)
+	if err := os.WriteFile(certificatePath, pair.Certificate, certificateFileMode); err != nil {
+		return keyWriteError(certificatePath, err)
 	}
 	fmt.Fprintf(out, "wrote %s and %s\n", certificatePath, keyPath)
 	return nil
 }
 
-func writeFault(path string, cause error) error {
-	return &fault.Error{Code: fault.CodeTLS, Message: "cannot write " + path, Fix: "choose another folder, or remove the old file", Cause: cause}
+func keyWriteError(path string, cause error) error {
+	return &fault.Error{Code: fault.CodeTLS, Message: "cannot write " + path, Fix: "choose another folder, or remove the existing file", Cause: cause}
 }
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -21,75 +21,75 @@
 
 // Defaults of the load command.
 const (
-	defaultRate        = 100.0
-	defaultDuration    = 10 * time.Second
-	defaultMaxRequests = 100000
-	defaultOutstanding = 1000
-	defaultRounds      = 5
-	defaultLoadNodes   = 8
-	defaultSeed        = 1
-	loadSetupTime      = time.Minute
+	defaultRate           = 100.0
+	defaultDuration       = 10 * time.Second
+	defaultMaxRequests    = 100000
+	defaultMaxOutstanding = 1000
+	defaultRounds         = 5
+	defaultLoadNodes      = 8
+	defaultSeed           = 1
+	loadGracePeriod       = time.Minute
 )
 
 type loadOptions struct {
-	addresses   []string
-	directories []string
-	dataCentre  string
-	services    string
-	customers   string
-	rate        float64
-	duration    time.Duration
-	maxRequests int
-	outstanding int
-	arrivals    string
-	timeout     time.Duration
-	seed        int
-	embedded    bool
-	text        string
-	nodes       int
-	first       string
-	second      string
-	rounds      int
-	slopes      bool
-	json        bool
-	folder      string
+	callerAddresses []string
+	directories     []string
+	dataCentre      string
+	services        string
+	customers       string
+	rate            float64
+	duration        time.Duration
+	maxRequests     int
+	maxOutstanding  int
+	arrivals        string
+	timeout         time.Duration
+	seed            int
+	embedded        bool
+	textPath        string
+	nodes           int
+	firstVariant    string
+	secondVariant   string
+	rounds          int
+	slopes          bool
+	json            bool
+	outFolder       string
 }
 
 func loadCommand() *command {
 	parser := flaggy.NewSubcommand("load")
-	parser.Description = "send an open-loop load and report latency, coverage and outcomes"
+	parser.Description = "generate open-loop load and report latency, coverage and outcomes"
 	o := &loadOptions{
-		customers:   "small=1",
-		rate:        defaultRate,
-		duration:    defaultDuration,
-		maxRequests: defaultMaxRequests,
-		outstanding: defaultOutstanding,
-		arrivals:    string(load.ArrivalsPoisson),
-		nodes:       defaultLoadNodes,
-		rounds:      defaultRounds,
-		seed:        defaultSeed,
+		customers:      "small=1",
+		rate:           defaultRate,
+		duration:       defaultDuration,
+		maxRequests:    defaultMaxRequests,
+		maxOutstanding: defaultMaxOutstanding,
+		arrivals:       string(load.ArrivalsPoisson),
+		nodes:          defaultLoadNodes,
+		rounds:         defaultRounds,
+		seed:           defaultSeed,
 	}
-	parser.AddPositionalValue(&o.second, "second", 1, false, "the second setting of --compare")
-	parser.StringSlice(&o.addresses, "a", "address", "the callers' address of a node; may be repeated")
-	parser.StringSlice(&o.directories, "", "directory", "the directory's address of a node of the forwarding tier; may be repeated")
-	parser.String(&o.dataCentre, "", "data-centre", "with --directory: the callers' data centre")
-	parser.String(&o.services, "s", "service", "services to ask, as NAME or NAME=WEIGHT,NAME=WEIGHT; with --directory as HOST/PATH")
-	parser.String(&o.customers, "c", "customers", "customers to ask for, as NAME=WEIGHT,NAME=WEIGHT")
-	parser.Float64(&o.rate, "", "rate", "mean requests a second")
-	parser.Duration(&o.duration, "d", "duration", "how long to send; with --compare each slice")
-	parser.Int(&o.maxRequests, "", "max-requests", "the most requests to send")
-	parser.Int(&o.outstanding, "", "max-outstanding", "the most requests in flight; more are counted as unsent")
-	parser.String(&o.arrivals, "", "arrivals", "poisson, fixed or bursty")
-	parser.Duration(&o.timeout, "t", "timeout", "the time each request may take; 0 is the service's")
-	parser.Int(&o.seed, "", "seed", "the seed of arrivals and mix")
+	parser.AddPositionalValue(&o.secondVariant, "second", 1, false, "the second variant of --compare")
+	parser.StringSlice(&o.callerAddresses, "a", "address", "the callers' address of a node (repeatable)")
+	parser.StringSlice(&o.directories, "", "directory", "the directory address of a node of the forwarding tier (repeatable)")
+	parser.String(&o.dataCentre, "", "data-centre", "with --directory: the data centre of the callers")
+	parser.String(&o.services, "s", "service", "services to query, as NAME or NAME=WEIGHT,NAME=WEIGHT; with --directory as HOST/PATH")
+	parser.String(&o.customers, "c", "customers", "customers to send requests for, as NAME=WEIGHT,NAME=WEIGHT")
+	parser.Float64(&o.rate, "", "rate", "mean requests per second")
+	parser.Duration(&o.duration, "d", "duration", "how long to send; with --compare, in each slice")
+	parser.Int(&o.maxRequests, "", "max-requests", "the maximum number of requests to send")
+	parser.Int(&o.maxOutstanding, "", "max-outstanding", "the maximum number of requests in flight; requests above it are counted as unsent")
+	parser.String(&o.arrivals, "", "arrivals", "the arrival process: poisson, fixed or bursty")
+	parser.Duration(&o.timeout, "t", "timeout", "the time-out of each request; 0 uses that of the service")
+	parser.Int(&o.seed, "", "seed", "the random seed of the arrivals and the request mix")
 	parser.Bool(&o.embedded, "e", "embedded", "start stand-ins and nodes in this process")
-	parser.String(&o.text, "", "text", "with --embedded or --compare: an operators' text whose sizes to emulate")
+	parser.String(&o.textPath, "", "text", "with --embedded or --compare: an operators' text whose services, shards and replicas to emulate")
 	parser.Int(&o.nodes, "n", "nodes", "with --embedded or --compare: the number of nodes")
-	parser.String(&o.first, "", "compare", "compare two settings, such as --compare owner direct; also naive, bundle-N")
-	parser.Int(&o.rounds, "r", "rounds", "with --compare: slices of each setting")
-	parser.Bool(&o.slopes, "", "slopes", "measure what one more sub-request, link, shard or question costs")
+	parser.String(&o.firstVariant, "", "compare", "compare two variants, such as --compare owner direct; also naive, bundle-N")
+	parser.Int(&o.rounds, "r", "rounds", "with --compare: slices of each variant")
+	parser.Bool(&o.slopes, "", "slopes", "measure the cost of one more sub-request, link, shard or query")
 	parser.Bool(&o.json, "j", "json", "print the report as JSON")
-	parser.String(&o.folder, "o", "out", "a folder to write the JSON report and the SVG plot into")
+	parser.String(&o.outFolder, "o", "out", "the folder for the JSON report and the SVG plot")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier load --embedded --rate 200 --duration 10s",
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	if o.services == "" && (o.embedded || o.first != "") {
+	if o.services == "" && (o.embedded || o.firstVariant != "") {
 		o.services = shape.Services[0].Name
 	}
 	profile, err := o.profile()
@@ -113,21 +113,21 @@
 		return err
 	}
 	switch {
-	case o.first != "":
+	case o.firstVariant != "":
 		return o.compare(shape, profile, out)
 	case o.embedded:
 		return o.runEmbedded(shape, profile, out)
 	default:
-		return o.runAgainst(profile, out)
+		return o.runRemote(profile, out)
 	}
 }
 
-// shape is the size to emulate: that of the text given, or the main search.
+// shape returns the shape to emulate: that of the given text or, without one, the main search.
 func (o loadOptions) shape() (fleet.Shape, error) {
-	if o.text == "" {
+	if o.textPath == "" {
 		return fleet.MainSearch(), nil
 	}
-	text, err := readFile(o.text)
+	text, err := readFile(o.textPath)
 	if err != nil {
 		return fleet.Shape{}, err
 	}
@@ -152,7 +152,7 @@
 		Rate:           o.rate,
 		Duration:       o.duration,
 		MaxRequests:    o.maxRequests,
-		MaxOutstanding: o.outstanding,
+		MaxOutstanding: o.maxOutstanding,
 		Timeout:        o.timeout,
 		Seed:           uint64(o.seed),
 	}
@@ -164,46 +164,46 @@
 	return profile, profile.Validate()
 }
 
-// weighted is one name of a mix.
-type weighted struct {
+// weightedName is a customer or service with its weight in the request mix.
+type weightedName struct {
 	name   string
 	weight float64
 }
 
-// parseWeights reads NAME or NAME=WEIGHT, separated by commas.
-func parseWeights(text string) ([]weighted, error) {
-	var list []weighted
+// parseWeights parses a list of NAME or NAME=WEIGHT, separated by commas.
+func parseWeights(text string) ([]weightedName, error) {
+	var list []weightedName
 	for _, field := range strings.Split(text, ",") {
 		name, number, given := strings.Cut(field, "=")
-		one := weighted{name: name, weight: 1}
+		entry := weightedName{name: name, weight: 1}
 		if given {
 			parsed, err := strconv.ParseFloat(number, 64)
 			if err != nil || parsed <= 0 {
-				return nil, fault.NotRun(fault.CodeBadRequest, "no weight above 0 in "+strconv.Quote(field), "write NAME=WEIGHT")
+				return nil, fault.NotRun(fault.CodeBadRequest, "no positive weight in "+strconv.Quote(field), "give NAME=WEIGHT")
 			}
-			one.weight = parsed
+			entry.weight = parsed
 		}
 		if name != "" {
-			list = append(list, one)
+			list = append(list, entry)
 		}
 	}
 	return list, nil
 }
 
-func (o loadOptions) runAgainst(profile load.Profile, out io.Writer) error {
-	caller, err := o.caller()
+func (o loadOptions) runRemote(profile load.Profile, out io.Writer) error {
+	caller, err := o.newCaller()
 	if err != nil {
 		return err
 	}
 	defer caller.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), o.duration+loadSetupTime)
+	ctx, cancel := context.WithTimeout(context.Background(), o.duration+loadGracePeriod)
 	defer cancel()
 	recorder := load.NewRecorder()
 	if err := load.Run(ctx, profile, caller, recorder); err != nil {
 		return err
 	}
 	report := recorder.Report("load", runtime.NumCPU())
-	if err := writeFolder(o.folder, "load", report); err != nil {
+	if err := writeReportFiles(o.outFolder, "load", report); err != nil {
 		return err
 	}
 	if o.json {
@@ -213,25 +213,25 @@
 	return nil
 }
 
-// closingAsker is an Asker with connections.
-type closingAsker interface {
+// closableAsker is an Asker that holds connections and must be closed.
+type closableAsker interface {
 	load.Asker
 	Close()
 }
 
-// caller asks the nodes or the forwarding tier that were named.
-func (o loadOptions) caller() (closingAsker, error) {
+// newCaller returns a caller of the given nodes or of the forwarding tier.
+func (o loadOptions) newCaller() (closableAsker, error) {
 	switch {
 	case len(o.directories) > 0:
 		return load.NewTierCaller(o.directories, o.dataCentre), nil
-	case len(o.addresses) > 0:
-		return load.NewCaller(o.addresses), nil
+	case len(o.callerAddresses) > 0:
+		return load.NewCaller(o.callerAddresses), nil
 	default:
-		return nil, noAddress("add --address IP:PORT of any node, --directory IP:PORT of the forwarding tier, or --embedded")
+		return nil, missingAddressError("add --address IP:PORT of any node, --directory IP:PORT of the forwarding tier, or --embedded")
 	}
 }
 
-// runEmbedded is a comparison of one.
+// runEmbedded runs a comparison with a single variant.
 func (o loadOptions) runEmbedded(shape fleet.Shape, profile load.Profile, out io.Writer) error {
 	variant, err := experiment.NamedVariant("owner")
 	if err != nil {
@@ -240,15 +240,15 @@
 	variant.Nodes = o.nodes
 	variant.Profile = profile
 	e := experiment.Experiment{Name: "embedded", About: "the system on stand-ins", Shape: shape, Rounds: 1, Variants: []experiment.Variant{variant}}
-	return compare(e, o.json, o.folder, out)
+	return compare(e, o.json, o.outFolder, out)
 }
 
 func (o loadOptions) compare(shape fleet.Shape, profile load.Profile, out io.Writer) error {
-	if o.second == "" {
-		return fault.NotRun(fault.CodeBadRequest, "--compare needs two settings", "write --compare owner direct")
+	if o.secondVariant == "" {
+		return fault.NotRun(fault.CodeBadRequest, "--compare needs two variants", "for example --compare owner direct")
 	}
-	e := experiment.Experiment{Name: "compare", About: o.first + " and " + o.second, Shape: shape, Rounds: o.rounds}
-	for _, name := range []string{o.first, o.second} {
+	e := experiment.Experiment{Name: "compare", About: o.firstVariant + " and " + o.secondVariant, Shape: shape, Rounds: o.rounds}
+	for _, name := range []string{o.firstVariant, o.secondVariant} {
 		variant, err := experiment.NamedVariant(name)
 		if err != nil {
 			return err
@@ -257,7 +257,7 @@
 		variant.Profile = profile
 		e.Variants = append(e.Variants, variant)
 	}
-	return compare(e, o.json, o.folder, out)
+	return compare(e, o.json, o.outFolder, out)
 }
 
 func runSlopes(json bool, out io.Writer) error {
--- a/internal/command/load_test.go
+++ b/internal/command/load_test.go
@@ -15,7 +15,7 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-func TestLoadRefusesWhatIsUnbounded(t *testing.T) {
+func TestLoadRejectsInvalidArguments(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"load", "--service", "search"},
 		{"load", "--embedded", "--rate", "0"},
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestCompareReportsBothSettings(t *testing.T) {
+func TestCompareReportsBothVariants(t *testing.T) {
 	var out, errors bytes.Buffer
 	folder := t.TempDir()
 	code := Run([]string{
@@ -72,8 +72,8 @@
 	require.Equal(t, 1.0, report.All.MeanCoverage)
 }
 
-// The forwarding tier has no interface of its own for questions: the load must first ask
-// where to connect and then send plain HTTP. One of its shards has no replica at all.
+// The forwarding tier has no query interface of its own: the load generator must first resolve
+// the addresses and then send plain HTTP. One of the three shards has no replica, so coverage is 2/3.
 func TestLoadDrivesTheForwardingTier(t *testing.T) {
 	running, err := edgefleet.Start()
 	require.NoError(t, err)
@@ -112,6 +112,6 @@
 	require.Equal(t, ExitOK, Run([]string{"demo", "--platform"}, &out, &errors), errors.String())
 	require.Contains(t, out.String(), "1 x done with 6 of 6 parts")
 	require.Contains(t, out.String(), "1 x done with 5 of 6 parts")
-	require.Contains(t, out.String(), "the draining replica got 0 of the last question")
-	require.Contains(t, out.String(), "100 x done with 6 of 6 parts", "a planned stop cuts nothing")
+	require.Contains(t, out.String(), "the draining replica received 0 requests of the last query")
+	require.Contains(t, out.String(), "100 x done with 6 of 6 parts", "a planned stop must not cut any request short")
 }
--- a/internal/command/look_test.go
+++ b/internal/command/look_test.go
@@ -20,16 +20,16 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-const awaitLimit = 20 * time.Second
+const awaitTimeout = 20 * time.Second
 
-const lookText = `
+const fleetText = `
 version: 1
 indexes: [cues]
 services:
   - {name: mood, index: cues, shards: [{replicas: [{address: "ADDRESS", data_centre: dc1}]}]}
 `
 
-func startLook(t *testing.T) (*fleet.Fleet, *standin.Upstream) {
+func startFleet(t *testing.T) (*fleet.Fleet, *standin.Upstream) {
 	t.Helper()
 	u, err := standin.StartUpstream("127.0.0.1:0", standin.Behaviour{Slots: 2, Versions: []uint64{7}})
 	require.NoError(t, err)
@@ -37,16 +37,16 @@
 	f, err := fleet.Start(fleet.Options{Nodes: 2, LogTo: io.Discard, Alter: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
-	require.NoError(t, f.AwaitReady(ctx, f.Platform.Publish(strings.Replace(lookText, "ADDRESS", u.Address(), 1))))
+	require.NoError(t, f.AwaitReady(ctx, f.Platform.Publish(strings.Replace(fleetText, "ADDRESS", u.Address(), 1))))
 	return f, u
 }
 
-// An operator's script runs the commands every minute and acts on their exit
-// codes alone.
+// Monitoring scripts run these commands every minute and act on their exit codes
+// alone.
 func TestStatusProblemsAndDumpOfAFleet(t *testing.T) {
-	f, u := startLook(t)
+	f, u := startFleet(t)
 	address := f.Members()[0].Addresses.Operator
 	code, out, errors := run("status", "--address", address, "--fleet")
 	require.Equal(t, ExitOK, code, out+errors)
@@ -63,7 +63,7 @@
 		require.Eventually(t, func() bool {
 			code, out, _ := run("problems", "--address", member.Addresses.Operator)
 			return code == ExitFailure && strings.Contains(out, "stalled_service")
-		}, awaitLimit, 20*time.Millisecond)
+		}, awaitTimeout, 20*time.Millisecond)
 	}
 	code, out, _ = run("status", "--address", address, "--fleet", "--json")
 	require.Equal(t, ExitFailure, code)
@@ -78,32 +78,32 @@
 	require.Contains(t, out, "no answer")
 }
 
-// The first address of the list belongs to a VM that is gone, the second to one
-// that is alive. The caller must get its answer from the second.
-func TestQueryTriesTheNextEntry(t *testing.T) {
-	f, _ := startLook(t)
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+// The first address of the list belongs to a VM that is gone, the second to a live
+// one. The caller must get its answer from the second.
+func TestQueryFailsOverToTheNextEntry(t *testing.T) {
+	f, _ := startFleet(t)
+	stopped, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, gone.Close())
+	require.NoError(t, stopped.Close())
 	caller := client.New()
 	defer caller.Close()
-	entries := []api.EntryAddress{{Address: gone.Addr().String()}, {Address: f.Members()[0].Addresses.Caller}}
-	options := queryOptions{callerOptions: callerOptions{service: "mood", customer: "agency", timeout: awaitLimit}, question: "null"}
-	reply, err := askInTurn(context.Background(), caller, entries, options)
+	entries := []api.EntryAddress{{Address: stopped.Addr().String()}, {Address: f.Members()[0].Addresses.Caller}}
+	options := queryOptions{callerOptions: callerOptions{service: "mood", customer: "agency", timeout: awaitTimeout}, question: "null"}
+	reply, err := queryEntries(context.Background(), caller, entries, options)
 	require.NoError(t, err)
 	require.False(t, reply.Coverage.Thin)
 
 	options.service = "nothing"
-	_, err = askInTurn(context.Background(), caller, entries, options)
+	_, err = queryEntries(context.Background(), caller, entries, options)
 	require.ErrorContains(t, err, "unknown_service")
 	code, out, errors := run("query", "mood", "--address", f.Members()[0].Addresses.Caller, "--json")
 	require.Equal(t, ExitOK, code, errors)
 	require.Contains(t, out, `"outcome":"done"`)
 }
 
-// An operator asks a node that has just started. It knows no other node yet; an
-// empty table with exit code 0 would pass for a fleet that is fine.
-func TestStatusOfAStartingNodeIsTrouble(t *testing.T) {
+// A node that has just started knows no other node yet. An empty table with exit
+// code 0 would look like a healthy fleet.
+func TestStatusOfAStartingNodeExitsWithFailure(t *testing.T) {
 	operator := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/nodes" {
 			_, _ = io.WriteString(w, "[]")
@@ -117,10 +117,10 @@
 	require.Contains(t, out, "starting")
 }
 
-// The first entry's VM has stood still: its kernel still takes the connection and
-// nothing answers. The other entry must be asked within the caller's time.
+// The VM of the first entry hangs: its kernel accepts the connection, but nothing
+// answers. The other entry must be queried before the deadline of the caller.
 func TestQueryDoesNotWaitForASilentEntry(t *testing.T) {
-	f, _ := startLook(t)
+	f, _ := startFleet(t)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = silent.Close() })
@@ -128,20 +128,20 @@
 	defer caller.Close()
 	options := queryOptions{callerOptions: callerOptions{service: "mood", customer: "operator", timeout: defaultCallerTimeout}, question: "null"}
 	entries := []api.EntryAddress{{Address: silent.Addr().String()}, {Address: f.Members()[0].Addresses.Caller}}
-	reply, err := askInTurn(context.Background(), caller, entries, options)
+	reply, err := queryEntries(context.Background(), caller, entries, options)
 	require.NoError(t, err)
 	require.False(t, reply.Coverage.Thin)
 }
 
-// A VM is replaced and its address goes to a node of another fleet at once. The
-// lost node must show as lost, not with the other one's state.
-func TestStatusIsNotTakenFromAnotherNode(t *testing.T) {
+// A VM is replaced and its address is reused at once by a node of another fleet. The
+// lost node must be shown as lost, not with the state of the other node.
+func TestStatusRejectsAnswersFromAnotherNode(t *testing.T) {
 	operator := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"node":"vm-11","health":{"state":"ready"}}`)
 	}))
 	defer operator.Close()
 	nodes := []api.NodeAddress{{Node: "vm-2", OperatorAddress: operator.Listener.Addr().String()}}
-	list := lookAtAll(context.Background(), client.New(), nodes)
+	list := fetchStatuses(context.Background(), client.New(), nodes)
 	require.Nil(t, list[0].Status)
 	require.Equal(t, core.NodeID("vm-2"), list[0].Node)
 	require.Contains(t, list[0].Why, "vm-11")
--- a/internal/command/model.go
+++ b/internal/command/model.go
@@ -11,27 +11,27 @@
 )
 
 type modelOptions struct {
-	pattern string
-	seeds   int
-	json    bool
-	folder  string
+	pattern   string
+	seeds     int
+	json      bool
+	outFolder string
 }
 
-// defaultModelSeeds give means that move by less than 0.01 with other seeds; mostModelSeeds take
-// some minutes.
+// With defaultModelSeeds, means differ by less than 0.01 between sets of seeds; maxModelSeeds
+// take some minutes.
 const (
 	defaultModelSeeds = 12
-	mostModelSeeds    = 1000
+	maxModelSeeds     = 1000
 )
 
 func modelCommand() *command {
 	parser := flaggy.NewSubcommand("model")
-	parser.Description = "play a load pattern against the forwarding tier's decisions in virtual time, or list the patterns"
+	parser.Description = "simulate a load pattern on the decision logic of the forwarding tier in virtual time, or list the patterns"
 	options := modelOptions{seeds: defaultModelSeeds}
-	parser.AddPositionalValue(&options.pattern, "pattern", 1, false, "the pattern; none lists them")
-	parser.Int(&options.seeds, "s", "seeds", "how many plays each figure rests on")
+	parser.AddPositionalValue(&options.pattern, "pattern", 1, false, "the pattern (default: list all)")
+	parser.Int(&options.seeds, "s", "seeds", "the number of simulation runs per figure")
 	parser.Bool(&options.json, "j", "json", "print the report as JSON")
-	parser.String(&options.folder, "o", "out", "a folder to write the JSON report and the SVG plot into")
+	parser.String(&options.outFolder, "o", "out", "the folder for the JSON report and the SVG plot")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier model all-slow --seeds 100",
@@ -41,17 +41,17 @@
 
 func runModel(options modelOptions, out io.Writer) error {
 	if options.pattern == "" {
-		for _, p := range loadmodel.Patterns() {
-			_, _ = fmt.Fprintf(out, "%-14s %s\n", p.Name, p.About)
+		for _, pattern := range loadmodel.Patterns() {
+			_, _ = fmt.Fprintf(out, "%-14s %s\n", pattern.Name, pattern.About)
 		}
 		return nil
 	}
-	if options.seeds < 1 || options.seeds > mostModelSeeds {
-		return &fault.Error{Code: fault.CodeBadRequest, Message: fmt.Sprintf("%d seeds were asked for", options.seeds), Fix: fmt.Sprintf("give 1 to %d", mostModelSeeds)}
+	if options.seeds < 1 || options.seeds > maxModelSeeds {
+		return &fault.Error{Code: fault.CodeBadRequest, Message: fmt.Sprintf("--seeds %d is out of range", options.seeds), Fix: fmt.Sprintf("give 1 to %d", maxModelSeeds)}
 	}
-	p, err := loadmodel.Find(options.pattern)
+	pattern, err := loadmodel.Find(options.pattern)
 	if err != nil {
 		return err
 	}
-	return tellReport(loadmodel.Compare(p, options.seeds), p.Name, options.folder, options.json, out)
+	return writeReport(loadmodel.Compare(pattern, options.seeds), pattern.Name, options.outFolder, options.json, out)
 }
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// nodeTimeout bounds a look at one node, fleetTimeout one at all of them.
+	// nodeTimeout bounds a request to one node, fleetTimeout the requests to all nodes.
 	nodeTimeout  = 5 * time.Second
 	fleetTimeout = 2 * time.Minute
 )
 
-// operatorOptions are what status and problems have in common.
+// operatorOptions are the options that status and problems share.
 type operatorOptions struct {
 	address string
 	json    bool
@@ -30,21 +30,21 @@
 	parser.Bool(&o.json, "j", "json", "print JSON")
 }
 
-// askOperator runs a look at the node with the given operators' address, within
-// a time.
-func askOperator(address string, timeout time.Duration, look func(context.Context, *client.Client) error) error {
+// callOperator runs call with a client for the operators' interface and a context
+// that ends after the time-out. It rejects an empty address.
+func callOperator(address string, timeout time.Duration, call func(context.Context, *client.Client) error) error {
 	if address == "" {
-		return noAddress("add --address IP:PORT, the operators' address of any node")
+		return missingAddressError("add --address IP:PORT, the operators' address of any node")
 	}
 	operator := client.New()
 	defer operator.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return look(ctx, operator)
+	return call(ctx, operator)
 }
 
-func noAddress(fix string) error {
-	return fault.NotRun(fault.CodeBadRequest, "no address is given", fix)
+func missingAddressError(fix string) error {
+	return fault.NotRun(fault.CodeBadRequest, "no address given", fix)
 }
 
 const tablePadding = 2
--- a/internal/command/problems.go
+++ b/internal/command/problems.go
@@ -19,10 +19,10 @@
 
 func problemsCommand() *command {
 	parser := flaggy.NewSubcommand("problems")
-	parser.Description = "list the problems of all nodes; exit code 1 when there are any"
+	parser.Description = "list the problems of all nodes; exit code 1 if there are any"
 	var options problemsOptions
 	options.addFlags(parser)
-	parser.Bool(&options.own, "o", "own", "only those of this node")
+	parser.Bool(&options.own, "o", "own", "list only the problems of the addressed node")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier problems --address 10.0.0.1:7003",
@@ -36,7 +36,7 @@
 		path = "/v1/problems"
 	}
 	var report api.ProblemsReport
-	err := askOperator(options.address, fleetTimeout, func(ctx context.Context, operator *client.Client) error {
+	err := callOperator(options.address, fleetTimeout, func(ctx context.Context, operator *client.Client) error {
 		return operator.Get(ctx, options.address, path, &report)
 	})
 	if err != nil {
@@ -46,7 +46,7 @@
 		return err
 	}
 	if report.Count() > 0 || len(report.NoAnswer) > 0 {
-		return errTrouble
+		return errReported
 	}
 	return nil
 }
@@ -60,8 +60,8 @@
 	} else {
 		printProblemTable(report, out)
 	}
-	for _, silent := range report.NoAnswer {
-		fmt.Fprintf(out, "no answer from node %s: %s\n", silent.Node, silent.Why)
+	for _, missing := range report.NoAnswer {
+		fmt.Fprintf(out, "no answer from node %s: %s\n", missing.Node, missing.Why)
 	}
 	return nil
 }
@@ -70,8 +70,8 @@
 	table := newTable(out)
 	fmt.Fprintln(table, "NODE\tPROBLEM\tSUBJECT\tSINCE\tLAST\tTIMES\tDETAIL")
 	for _, node := range report.Nodes {
-		for _, one := range node.Problems {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%s ago\t%s ago\t%d\t%s\n", node.Node, one.Kind, one.Subject, age(one.FirstAgeMs), age(one.LastAgeMs), one.Count, one.Detail)
+		for _, problem := range node.Problems {
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s ago\t%s ago\t%d\t%s\n", node.Node, problem.Kind, problem.Subject, age(problem.FirstAgeMs), age(problem.LastAgeMs), problem.Count, problem.Detail)
 		}
 	}
 	_ = table.Flush()
--- a/internal/command/query.go
+++ b/internal/command/query.go
@@ -23,11 +23,11 @@
 
 func queryCommand() *command {
 	parser := flaggy.NewSubcommand("query")
-	parser.Description = "ask a question as a caller would"
-	options := queryOptions{callerOptions: defaultCaller(), question: "null"}
+	parser.Description = "send a query as a caller does"
+	options := queryOptions{callerOptions: defaultCallerOptions(), question: "null"}
 	options.addFlags(parser, "the callers' address of any node")
-	parser.String(&options.question, "q", "question", "the question, as JSON")
-	parser.String(&options.prefer, "p", "prefer", "whole or early")
+	parser.String(&options.question, "q", "question", "the query, as JSON")
+	parser.String(&options.prefer, "p", "prefer", "preferred answer: whole or early")
 	return &command{
 		parser:  parser,
 		example: `pistachiopier query plate-costing --address 10.0.0.1:7001 --question '"pork shoulder"'`,
@@ -36,7 +36,7 @@
 }
 
 func runQuery(options queryOptions, out io.Writer) error {
-	if err := options.check("question", options.question); err != nil {
+	if err := options.validate("question", options.question); err != nil {
 		return err
 	}
 	caller := client.New()
@@ -47,19 +47,19 @@
 	if err != nil {
 		return err
 	}
-	reply, err := askInTurn(ctx, caller, entries.Entries, options)
+	reply, err := queryEntries(ctx, caller, entries.Entries, options)
 	if err != nil {
 		return err
 	}
-	if options.raw {
+	if options.json {
 		return json.NewEncoder(out).Encode(reply)
 	}
 	printReply(reply, out)
 	return nil
 }
 
-// elsewhere reports whether another entry may answer after this failure.
-func elsewhere(failure *fault.Error) bool {
+// canFailOver reports whether another entry may answer although this one failed.
+func canFailOver(failure *fault.Error) bool {
 	switch failure.Code {
 	case fault.CodeLost, fault.CodeOverloaded, fault.CodeNotReady, fault.CodeDraining, fault.CodeInternal:
 		return true
@@ -69,18 +69,18 @@
 }
 
 func printReply(reply api.QueryReply, out io.Writer) {
-	mark := "whole"
+	label := "whole"
 	if reply.Coverage.Thin {
-		mark = "THIN"
+		label = "THIN"
 	}
 	fmt.Fprintf(out, "%s: %s answer, %d of %d shards (%.1f%%), index %s version %d, %.1f ms\n",
-		reply.Service, mark, reply.Coverage.Answered, reply.Coverage.Asked, reply.Coverage.Share*percent, reply.Index, reply.Version, reply.ElapsedMs)
+		reply.Service, label, reply.Coverage.Answered, reply.Coverage.Asked, reply.Coverage.Share*percent, reply.Index, reply.Version, reply.ElapsedMs)
 	for _, service := range missingByService(reply.Coverage.Missing) {
 		fmt.Fprintf(out, "  missing of %s: %s\n", service.name, strings.Join(service.shards, ", "))
 	}
 }
 
-// missingShards are the missing shards of one service, each with its reason.
+// missingShards holds the missing shards of one service, each with its reason.
 type missingShards struct {
 	name   string
 	shards []string
@@ -88,12 +88,12 @@
 
 func missingByService(missing []api.Missing) []missingShards {
 	var list []missingShards
-	for _, one := range missing {
-		if len(list) == 0 || list[len(list)-1].name != one.Service {
-			list = append(list, missingShards{name: one.Service})
+	for _, shard := range missing {
+		if len(list) == 0 || list[len(list)-1].name != shard.Service {
+			list = append(list, missingShards{name: shard.Service})
 		}
 		last := &list[len(list)-1]
-		last.shards = append(last.shards, fmt.Sprintf("shard %d (%s)", one.Shard, one.Reason))
+		last.shards = append(last.shards, fmt.Sprintf("shard %d (%s)", shard.Shard, shard.Reason))
 	}
 	return list
 }
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -13,9 +13,9 @@
 
 func serveCommand() *command {
 	parser := flaggy.NewSubcommand("serve")
-	parser.Description = "run a node until it is told to stop"
+	parser.Description = "run a node until SIGINT or SIGTERM"
 	var path string
-	parser.String(&path, "s", "settings", "the node's YAML settings (required)")
+	parser.String(&path, "s", "settings", "the YAML file with the settings of the node (required)")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier serve --settings node.yaml",
@@ -25,7 +25,7 @@
 
 func serve(path string, out io.Writer) error {
 	if path == "" {
-		return usage("serve needs --settings FILE", "see docs/SETTINGS.md for what it holds")
+		return usageError("serve needs --settings FILE", "see docs/SETTINGS.md for the settings")
 	}
 	s, err := settings.Load(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	signals, stop := untilStopped()
+	signals, stop := shutdownContext()
 	defer stop()
 	node := app.New(s, log)
 	if err := node.Err(); err != nil {
--- a/internal/command/serve_test.go
+++ b/internal/command/serve_test.go
@@ -14,7 +14,7 @@
 )
 
 // settingsFile writes the settings of a node whose certificate was issued at the
-// given time for an hour.
+// given time and is valid for one hour.
 func settingsFile(t *testing.T, issued time.Time, callerAddress string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -31,8 +31,8 @@
 		callerAddress, write("a.crt", authority.Certificate), write("n.crt", pair.Certificate), write("n.key", pair.Key)))
 }
 
-// An old process still holds the port, or another service does. The operator
-// must read which address it is and what to do.
+// An old process or another service still holds the port. The error must name the
+// address and the fix.
 func TestServeNamesAPortInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -44,8 +44,8 @@
 	require.Contains(t, errors, "choose a free address")
 }
 
-// A certificate has expired. A node that started all the same would refuse and
-// be refused by every peer, and answer callers from its own bundles only.
+// A node that started with an expired certificate would refuse every peer and be
+// refused by every peer, and answer callers from its own bundles only.
 func TestServeRefusesAnExpiredCertificate(t *testing.T) {
 	code, _, errors := run("serve", "--settings", settingsFile(t, time.Now().Add(-2*time.Hour), "127.0.0.1:0"))
 	require.Equal(t, ExitFailure, code)
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -16,10 +16,10 @@
 
 func settingsCommand() *command {
 	parser := flaggy.NewSubcommand("settings")
-	parser.Description = "print every setting of a node with its default and unit"
+	parser.Description = "print all settings of a node with their defaults and units"
 	var options settingsOptions
 	parser.Bool(&options.json, "j", "json", "print JSON")
-	parser.Bool(&options.markdown, "m", "markdown", "print the page docs/SETTINGS.md")
+	parser.Bool(&options.markdown, "m", "markdown", "print the settings as Markdown, as in docs/SETTINGS.md")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier settings",
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -25,24 +25,24 @@
 	replicas  int
 }
 
-// standInStarted is the one line that a stand-in prints.
+// standInStarted is the line that a stand-in prints when it has started.
 type standInStarted struct {
 	Event string `json:"event"`
 	Kind  string `json:"kind"`
-	// Addresses are those of the replicas in order, or the platform's one.
+	// Addresses holds the addresses of the replicas in order, or the address of the platform.
 	Addresses []string `json:"addresses"`
 	Control   string   `json:"control"`
 }
 
 func standInCommand() *command {
 	parser := flaggy.NewSubcommand("standin")
-	parser.Description = "run a stand-in platform or stand-in upstreams for trials"
+	parser.Description = "run a stand-in platform or stand-in upstreams for tests"
 	options := standInOptions{address: anyLoopbackPort, control: anyLoopbackPort, replicas: 1}
 	parser.AddPositionalValue(&options.kind, "kind", 1, true, "platform or upstream")
-	parser.String(&options.address, "a", "address", "IP:PORT to serve on; port 0 takes a free one")
+	parser.String(&options.address, "a", "address", "IP:PORT to listen on; port 0 picks a free port")
 	parser.String(&options.control, "c", "control", "IP:PORT of the control interface")
-	parser.String(&options.behaviour, "b", "behaviour", "upstreams: behaviour as YAML")
-	parser.Int(&options.replicas, "r", "replicas", "upstreams: how many replicas, on port 0 or following ports")
+	parser.String(&options.behaviour, "b", "behaviour", "upstreams: the behaviour as YAML")
+	parser.Int(&options.replicas, "r", "replicas", "upstreams: the number of replicas, on free ports (port 0) or consecutive ports")
 	return &command{
 		parser:  parser,
 		example: `pistachiopier standin upstream --replicas 40 --behaviour '{slots: 2, service: 2ms, versions: [41, 42]}'`,
@@ -51,7 +51,7 @@
 }
 
 func runStandIn(options standInOptions, out io.Writer) error {
-	signals, stop := untilStopped()
+	signals, stop := shutdownContext()
 	defer stop()
 	var started standInStarted
 	var err error
@@ -61,7 +61,7 @@
 	case standInUpstream:
 		started, err = startStandInUpstreams(options)
 	default:
-		err = fault.NotRun(fault.CodeBadRequest, strconv.Quote(options.kind)+" is not a stand-in", "write platform or upstream")
+		err = fault.NotRun(fault.CodeBadRequest, strconv.Quote(options.kind)+" is not a kind of stand-in", "give platform or upstream")
 	}
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 	if err := json.NewEncoder(out).Encode(started); err != nil {
 		return fault.Wrap("print the addresses", err)
 	}
-	// The process's end closes the sockets.
+	// The sockets are closed when the process exits.
 	<-signals.Done()
 	return nil
 }
@@ -83,7 +83,7 @@
 	if err != nil {
 		return standInStarted{}, err
 	}
-	return started(standInPlatform, []string{platform.Address()}, control), nil
+	return startedLine(standInPlatform, []string{platform.Address()}, control), nil
 }
 
 func startStandInUpstreams(options standInOptions) (standInStarted, error) {
@@ -107,9 +107,9 @@
 	for _, u := range upstreams {
 		addresses = append(addresses, u.Address())
 	}
-	return started(standInUpstream, addresses, control), nil
+	return startedLine(standInUpstream, addresses, control), nil
 }
 
-func started(kind string, addresses []string, control *standin.Control) standInStarted {
+func startedLine(kind string, addresses []string, control *standin.Control) standInStarted {
 	return standInStarted{Event: "standin_started", Kind: kind, Addresses: addresses, Control: control.Address()}
 }
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -15,8 +15,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// maxConcurrentLooks is how many nodes are looked at at a time.
-const maxConcurrentLooks = 16
+// maxConcurrentFetches bounds the concurrent status requests to nodes.
+const maxConcurrentFetches = 16
 
 type statusOptions struct {
 	operatorOptions
@@ -25,10 +25,10 @@
 
 func statusCommand() *command {
 	parser := flaggy.NewSubcommand("status")
-	parser.Description = "show a node's state, or that of all nodes"
+	parser.Description = "show the state of one node or of all nodes"
 	var options statusOptions
 	options.addFlags(parser)
-	parser.Bool(&options.fleet, "f", "fleet", "show every node that this one or the VM list names")
+	parser.Bool(&options.fleet, "f", "fleet", "show all nodes that the addressed node or the VM list knows")
 	return &command{
 		parser:  parser,
 		example: "pistachiopier status --address 10.0.0.1:7003 --fleet",
@@ -36,7 +36,7 @@
 	}
 }
 
-// nodeStatus is one node's status, or why it could not be had.
+// nodeStatus is the status of one node, or the reason why it is not available.
 type nodeStatus struct {
 	Node   core.NodeID `json:"node"`
 	Status *app.Status `json:"status,omitempty"`
@@ -45,7 +45,7 @@
 
 func status(options statusOptions, out io.Writer) error {
 	var list []nodeStatus
-	err := askOperator(options.address, fleetTimeout, func(ctx context.Context, operator *client.Client) error {
+	err := callOperator(options.address, fleetTimeout, func(ctx context.Context, operator *client.Client) error {
 		nodes := []api.NodeAddress{{OperatorAddress: options.address}}
 		if options.fleet {
 			known, err := fleetNodes(ctx, operator, options.address)
@@ -54,7 +54,7 @@
 			}
 			nodes = known
 		}
-		list = lookAtAll(ctx, operator, nodes)
+		list = fetchStatuses(ctx, operator, nodes)
 		return nil
 	})
 	if err != nil {
@@ -63,15 +63,15 @@
 	if err := printStatus(list, options.json, out); err != nil {
 		return err
 	}
-	if !allReady(list) {
-		return errTrouble
+	if !allReadyOnSameRevision(list) {
+		return errReported
 	}
 	return nil
 }
 
-// fleetNodes lists the nodes that the asked one knows. One that is still starting
-// knows none, not even itself: then it alone is looked at, so that an empty table
-// never passes for a fleet that is fine.
+// fleetNodes lists the nodes that the addressed node knows. A node that is still
+// starting knows none, not even itself. It is then listed alone, because an empty
+// table would look like a healthy fleet.
 func fleetNodes(ctx context.Context, operator *client.Client, address string) ([]api.NodeAddress, error) {
 	var nodes []api.NodeAddress
 	if err := operator.Get(ctx, address, "/v1/nodes", &nodes); err != nil {
@@ -83,46 +83,46 @@
 	return nodes, nil
 }
 
-// allReady reports whether every node answered, is ready and has the same
-// revision in force as the others.
-func allReady(list []nodeStatus) bool {
-	for _, one := range list {
-		if one.Status == nil || one.Status.Health.State != api.HealthReady || one.Status.ConfigRevision != list[0].Status.ConfigRevision {
+// allReadyOnSameRevision reports whether every node answered and is ready, and all have the
+// same revision in force.
+func allReadyOnSameRevision(list []nodeStatus) bool {
+	for _, node := range list {
+		if node.Status == nil || node.Status.Health.State != api.HealthReady || node.Status.ConfigRevision != list[0].Status.ConfigRevision {
 			return false
 		}
 	}
 	return true
 }
 
-func lookAtAll(ctx context.Context, operator *client.Client, nodes []api.NodeAddress) []nodeStatus {
+func fetchStatuses(ctx context.Context, operator *client.Client, nodes []api.NodeAddress) []nodeStatus {
 	list := make([]nodeStatus, len(nodes))
-	places := make(chan struct{}, maxConcurrentLooks)
-	var looking sync.WaitGroup
+	permits := make(chan struct{}, maxConcurrentFetches)
+	var fetches sync.WaitGroup
 	for i, node := range nodes {
-		places <- struct{}{}
-		looking.Add(1)
+		permits <- struct{}{}
+		fetches.Add(1)
 		go func() {
-			defer looking.Done()
-			list[i] = lookAt(ctx, operator, node)
-			<-places
+			defer fetches.Done()
+			list[i] = fetchStatus(ctx, operator, node)
+			<-permits
 		}()
 	}
-	looking.Wait()
+	fetches.Wait()
 	return list
 }
 
-func lookAt(ctx context.Context, operator *client.Client, node api.NodeAddress) nodeStatus {
+func fetchStatus(ctx context.Context, operator *client.Client, node api.NodeAddress) nodeStatus {
 	ctx, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
-	var got app.Status
-	if err := operator.Get(ctx, node.OperatorAddress, "/v1/status", &got); err != nil {
+	var status app.Status
+	if err := operator.Get(ctx, node.OperatorAddress, "/v1/status", &status); err != nil {
 		return nodeStatus{Node: node.Node, Why: err.Error()}
 	}
-	if node.Node != "" && got.Node != node.Node {
-		// The VM is gone and its address is another one's by now.
-		return nodeStatus{Node: node.Node, Why: "node " + string(got.Node) + " answers at " + node.OperatorAddress}
+	if node.Node != "" && status.Node != node.Node {
+		// The VM is gone and another node has its address.
+		return nodeStatus{Node: node.Node, Why: "node " + string(status.Node) + " answers at " + node.OperatorAddress}
 	}
-	return nodeStatus{Node: got.Node, Status: &got}
+	return nodeStatus{Node: status.Node, Status: &status}
 }
 
 func printStatus(list []nodeStatus, asJSON bool, out io.Writer) error {
@@ -131,12 +131,12 @@
 	}
 	table := newTable(out)
 	fmt.Fprintln(table, "NODE\tDATA CENTRE\tSTATE\tREVISION\tNODES\tIN FLIGHT\tUPTIME\tWHY")
-	for _, one := range list {
-		if one.Status == nil {
-			fmt.Fprintf(table, "%s\t\tno answer\t\t\t\t\t%s\n", one.Node, one.Why)
+	for _, node := range list {
+		if node.Status == nil {
+			fmt.Fprintf(table, "%s\t\tno answer\t\t\t\t\t%s\n", node.Node, node.Why)
 			continue
 		}
-		s := one.Status
+		s := node.Status
 		uptime := (time.Duration(s.UptimeMs) * time.Millisecond).Round(time.Second)
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", s.Node, s.DataCentre, s.Health.State, s.ConfigRevision, s.Nodes, s.InFlight, uptime, s.Health.Why)
 	}
--- a/internal/command/submit.go
+++ b/internal/command/submit.go
@@ -20,9 +20,9 @@
 
 func submitCommand() *command {
 	parser := flaggy.NewSubcommand("submit")
-	parser.Description = "send a must-not-repeat request, at most once"
-	options := submitOptions{callerOptions: defaultCaller(), payload: "null"}
-	options.addFlags(parser, "the callers' addresses of one or more nodes, by commas")
+	parser.Description = "send a non-idempotent request, which runs at most once"
+	options := submitOptions{callerOptions: defaultCallerOptions(), payload: "null"}
+	options.addFlags(parser, "the callers' addresses of one or more nodes, separated by commas")
 	parser.String(&options.payload, "p", "payload", "the payload, as JSON")
 	return &command{
 		parser:  parser,
@@ -32,14 +32,14 @@
 }
 
 func runSubmit(options submitOptions, out io.Writer) error {
-	if err := options.check("payload", options.payload); err != nil {
+	if err := options.validate("payload", options.payload); err != nil {
 		return err
 	}
 	caller := client.New()
 	defer caller.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), options.timeout)
 	defer cancel()
-	submitted, err := caller.SubmitOnce(ctx, strings.Split(options.address, ","), client.Submission{
+	result, err := caller.SubmitOnce(ctx, strings.Split(options.address, ","), client.Submission{
 		Service:  options.service,
 		Customer: core.Customer(options.customer),
 		Payload:  json.RawMessage(options.payload),
@@ -47,36 +47,36 @@
 	if err != nil {
 		return err
 	}
-	if options.raw {
-		if err := json.NewEncoder(out).Encode(submitDocument{Outcome: submitted.Outcome.String(), SubmissionResult: submitted}); err != nil {
+	if options.json {
+		if err := json.NewEncoder(out).Encode(submissionDocument{Outcome: result.Outcome.String(), SubmissionResult: result}); err != nil {
 			return err
 		}
 	} else {
-		printSubmitted(submitted, out)
+		printSubmission(result, out)
 	}
-	if submitted.Outcome != core.Done {
-		return errTrouble
+	if result.Outcome != core.Done {
+		return errReported
 	}
 	return nil
 }
 
-// submitDocument is the outcome as JSON.
-type submitDocument struct {
+// submissionDocument is the JSON output of submit.
+type submissionDocument struct {
 	Outcome string `json:"outcome"`
 	client.SubmissionResult
 }
 
-func printSubmitted(submitted client.SubmissionResult, out io.Writer) {
+func printSubmission(result client.SubmissionResult, out io.Writer) {
 	repeated := ""
-	if submitted.Reply.Repeated {
-		repeated = ", by an earlier try"
+	if result.Reply.Repeated {
+		repeated = ", by an earlier attempt"
 	}
-	switch submitted.Outcome {
+	switch result.Outcome {
 	case core.Done:
-		fmt.Fprintf(out, "DONE%s: it ran once (%d tries, key %s)\n%s\n", repeated, submitted.Tries, submitted.Key, submitted.Reply.Payload)
+		fmt.Fprintf(out, "DONE%s: it ran once (%d attempts, key %s)\n%s\n", repeated, result.Tries, result.Key, result.Reply.Payload)
 	case core.NotRun:
-		fmt.Fprintf(out, "NOT RUN: %s: %s (%d tries, key %s)\n", submitted.Refusal.Code, submitted.Refusal.Message, submitted.Tries, submitted.Key)
+		fmt.Fprintf(out, "NOT RUN: %s: %s (%d attempts, key %s)\n", result.Refusal.Code, result.Refusal.Message, result.Tries, result.Key)
 	default:
-		fmt.Fprintf(out, "UNKNOWN, it may have run: %s: %s (%d tries, key %s)\n", submitted.Refusal.Code, submitted.Refusal.Message, submitted.Tries, submitted.Key)
+		fmt.Fprintf(out, "UNKNOWN, it may have run: %s: %s (%d attempts, key %s)\n", result.Refusal.Code, result.Refusal.Message, result.Tries, result.Key)
 	}
 }
--- a/internal/command/submit_test.go
+++ b/internal/command/submit_test.go
@@ -14,10 +14,10 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-const submitAwait = 20 * time.Second
+const submitTimeout = 20 * time.Second
 
-// The outcome must be plain on the screen and in the exit code, and a refused
-// request must not look like one that ran.
+// Both the output and the exit code must show the outcome: a refused request must
+// not look like one that ran.
 func TestSubmitPrintsTheOutcome(t *testing.T) {
 	u, other := startStandin(t), startStandin(t)
 	f, err := fleet.Start(fleet.Options{Nodes: 1, LogTo: io.Discard})
@@ -29,7 +29,7 @@
 	text := "version: 1\nindexes: [ledger]\nservices:\n" +
 		"  - name: invoices\n    index: ledger\n    idempotent: false\n" + shards(u) +
 		"  - name: prices\n    index: ledger\n" + shards(other)
-	ctx, cancel := context.WithTimeout(context.Background(), submitAwait)
+	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
 	require.NoError(t, f.AwaitReady(ctx, f.Platform.Publish(text)))
 	address := f.Members()[0].Addresses.Caller
--- a/internal/command/text_test.go
+++ b/internal/command/text_test.go
@@ -15,11 +15,11 @@
 
 const magnolia = "../../examples/magnolia.yaml"
 
-func TestCheckExplainsInWordsAndJSON(t *testing.T) {
+func TestCheckExplainsAsTextAndJSON(t *testing.T) {
 	code, out, _ := run("check", magnolia, "--explain", "plate-costing")
 	assert.Equal(t, ExitOK, code)
 	assert.Contains(t, out, "is valid: 52 services, 52 bundles, 3 customers")
-	assert.Contains(t, out, "a question to plate-costing asks 20 shards of 20 services, on 40 replicas")
+	assert.Contains(t, out, "a query to plate-costing needs 20 shards of 20 services, on 40 replicas")
 	code, out, _ = run("check", magnolia, "--explain", "plate-costing", "--json")
 	assert.Equal(t, ExitOK, code)
 	var report checkReport
@@ -40,7 +40,7 @@
 	assert.Contains(t, report.Problems[0].Fix, "indexes")
 }
 
-func TestDiffInWordsAndJSON(t *testing.T) {
+func TestDiffAsTextAndJSON(t *testing.T) {
 	text, err := os.ReadFile(magnolia)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "new.yaml")
@@ -55,12 +55,12 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &d))
 	assert.Len(t, d.ReplicasAdded, 2)
 	_, out, _ = run("diff", magnolia, magnolia)
-	assert.Equal(t, "the texts mean the same\n", out)
+	assert.Equal(t, "the texts are equivalent\n", out)
 }
 
-// A node is restarted while its settings file is broken, and ends at once. Whoever has only
-// what the processes write to their standard output must find why.
-func TestANodeThatCannotStartSaysSoInItsLog(t *testing.T) {
+// A node that is restarted with a broken settings file exits at once. Its log on standard
+// output must contain the reason, since log collection may not include standard error.
+func TestStartFailureIsLogged(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.conf")
 	require.NoError(t, os.WriteFile(path, []byte("node=vm-1\nportRange=none,0\n"), 0o600))
 	code, out, errors := run("edge", "--settings", path)
