--- a/cmd/pistachiopier/main.go
+++ b/cmd/pistachiopier/main.go
@@ -1,5 +1,5 @@
-// Command pistachiopier is the query tier: daemon, stand-ins and the client for
-// operators in one binary.
+// Command pistachiopier is the query tier: the daemon, the stand-ins and the
+// operators' client in one binary.
 package main
 
 import (
