--- a/internal/observe/metrics.go
+++ b/internal/observe/metrics.go
@@ -11,38 +11,38 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Registry holds a process's metrics. Names are lower case with underscores and
+// Registry holds the metrics of a process. Names are lower case with underscores and
 // end in their unit or in _total.
 type Registry = metrics.Registry
 
-// NewRegistry makes an empty registry.
+// NewRegistry returns an empty registry.
 func NewRegistry() Registry { return metrics.NewRegistry() }
 
-// Counter returns the named counter, made on first use.
+// Counter returns the named counter and creates it on first use.
 func Counter(registry Registry, name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, registry)
 }
 
-// Gauge returns the named gauge, made on first use.
+// Gauge returns the named gauge and creates it on first use.
 func Gauge(registry Registry, name string) metrics.Gauge {
 	return metrics.GetOrRegisterGauge(name, registry)
 }
 
-// GaugeFunc adds a gauge that is read when the metrics are written.
+// GaugeFunc registers a gauge whose value is read when the metrics are written.
 func GaugeFunc(registry Registry, name string, read func() int64) {
 	_ = registry.Register(name, metrics.NewFunctionalGauge(read))
 }
 
 const prefix = "pistachiopier_"
 
-// quantiles are those that a histogram or timer is written with.
+// quantiles are the quantiles written for a histogram or timer.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// labelEscapes are the three escapes that the text exposition format knows.
+// labelEscapes holds the three escapes that the text exposition format defines.
 var labelEscapes = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// Labelled adds labels, given as name and value in turn, to a metric's name. A label's
-// values must be few: each makes a metric of its own.
+// Labelled adds labels, given as alternating names and values, to the name of a metric. A
+// label must have few values: each value creates a separate metric.
 func Labelled(name string, labels ...string) string {
 	pairs := make([]string, 0, len(labels)/2)
 	for i := 0; i+1 < len(labels); i += 2 {
@@ -51,73 +51,73 @@
 	return name + "{" + strings.Join(pairs, ",") + "}"
 }
 
-// WriteText writes the registry in the usual text exposition format, by name.
+// WriteText writes the registry in the Prometheus text exposition format, sorted by name.
 func WriteText(out io.Writer, registry Registry) {
 	values := map[string]any{}
 	registry.Each(func(name string, value any) { values[name] = value })
 	var b strings.Builder
-	former := ""
+	previousFamily := ""
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		family, labels := splitLabels(name)
 		kind, samples := exposition(family, values[name])
 		if kind == "" {
 			continue
 		}
-		if family != former {
+		if family != previousFamily {
 			fmt.Fprintf(&b, "# TYPE %s %s\n", prefix+family, kind)
-			former = family
+			previousFamily = family
 		}
-		for _, one := range samples {
-			fmt.Fprintf(&b, "%s%s%s %s\n", prefix, family+one.suffix, joinLabels(labels, one.label), one.value)
+		for _, s := range samples {
+			fmt.Fprintf(&b, "%s%s%s %s\n", prefix, family+s.suffix, joinLabels(labels, s.label), s.value)
 		}
 	}
 	_, _ = io.WriteString(out, b.String())
 }
 
-// splitLabels takes a name apart into the family and its labels without their braces.
+// splitLabels splits a name into the metric family and the labels without their braces.
 func splitLabels(name string) (family, labels string) {
 	family, labels, _ = strings.Cut(name, "{")
 	return family, strings.TrimSuffix(labels, "}")
 }
 
-func joinLabels(labels, further string) string {
+func joinLabels(labels, extra string) string {
 	switch {
-	case labels == "" && further == "":
+	case labels == "" && extra == "":
 		return ""
-	case labels == "" || further == "":
-		return "{" + labels + further + "}"
+	case labels == "" || extra == "":
+		return "{" + labels + extra + "}"
 	default:
-		return "{" + labels + "," + further + "}"
+		return "{" + labels + "," + extra + "}"
 	}
 }
 
-// sample is one line of a metric.
+// sample is one line of a metric in the exposition format.
 type sample struct{ suffix, label, value string }
 
 func exposition(family string, value any) (kind string, samples []sample) {
 	switch metric := value.(type) {
 	case metrics.Counter:
-		return "counter", whole(metric.Count())
+		return "counter", integerSample(metric.Count())
 	case metrics.Gauge:
-		return gaugeType(family), whole(metric.Value())
+		return gaugeType(family), integerSample(metric.Value())
 	case metrics.GaugeFloat64:
 		return "gauge", []sample{{value: fmt.Sprintf("%g", metric.Value())}}
 	case metrics.Meter:
-		return "counter", whole(metric.Snapshot().Count())
+		return "counter", integerSample(metric.Snapshot().Count())
 	case metrics.Histogram:
 		snapshot := metric.Snapshot()
-		return "summary", summary(snapshot.Percentiles(quantiles), snapshot.Sum(), snapshot.Count())
+		return "summary", summarySamples(snapshot.Percentiles(quantiles), snapshot.Sum(), snapshot.Count())
 	case metrics.Timer:
 		snapshot := metric.Snapshot()
-		return "summary", summary(snapshot.Percentiles(quantiles), snapshot.Sum(), snapshot.Count())
+		return "summary", summarySamples(snapshot.Percentiles(quantiles), snapshot.Sum(), snapshot.Count())
 	default:
 		return "", nil
 	}
 }
 
-func whole(value int64) []sample { return []sample{{value: strconv.FormatInt(value, 10)}} }
+func integerSample(value int64) []sample { return []sample{{value: strconv.FormatInt(value, 10)}} }
 
-// gaugeType is "counter" for a gauge that reads a count kept elsewhere.
+// gaugeType returns "counter" for a gauge that reads a count kept elsewhere, and else "gauge".
 func gaugeType(family string) string {
 	if strings.HasSuffix(family, "_total") {
 		return "counter"
@@ -125,7 +125,7 @@
 	return "gauge"
 }
 
-func summary(values []float64, sum, count int64) []sample {
+func summarySamples(values []float64, sum, count int64) []sample {
 	samples := make([]sample, 0, len(quantiles)+2)
 	for i, quantile := range quantiles {
 		samples = append(samples, sample{label: fmt.Sprintf("quantile=\"%g\"", quantile), value: fmt.Sprintf("%g", values[i])})
--- a/internal/observe/metrics_test.go
+++ b/internal/observe/metrics_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Two customers' counters are one family: a second TYPE line would make a reader of the
-// format reject the whole page.
+// Counters that differ only in their labels are one family: a second TYPE line would make a
+// scraper reject the whole page.
 func TestLabelsShareOneFamily(t *testing.T) {
 	registry := NewRegistry()
 	Counter(registry, Labelled("asked_total", "service", "b")).Inc(2)
--- a/internal/observe/problems.go
+++ b/internal/observe/problems.go
@@ -1,5 +1,5 @@
-// Package observe keeps what operators look at: typed problems with their first
-// and last time, and the process's metrics.
+// Package observe holds the data shown to operators: typed problems with the time
+// of their first and last report, and the metrics of the process.
 package observe
 
 import (
@@ -11,10 +11,10 @@
 )
 
 // Kind is a kind of problem. The texts are part of the operators' interface;
-// docs/OPERATIONS.md says what to do about each.
+// docs/OPERATIONS.md describes the remedy for each.
 type Kind string
 
-// The kinds of problem.
+// Kinds of problems.
 const (
 	KindThinService      Kind = "thin_service"
 	KindStalledService   Kind = "stalled_service"
@@ -34,26 +34,26 @@
 	KindCertificate      Kind = "certificate_expiry"
 )
 
-// ReplicaSubject is the subject of problems of one replica. Whoever reports on a
-// replica uses it, so that one dead replica is listed once.
+// ReplicaSubject returns the subject for problems of one replica. All reports on
+// replicas use it, so that a dead replica is listed only once.
 func ReplicaSubject(ref core.ShardRef, address string) string {
 	return ref.String() + " at " + address
 }
 
-// Problem is one condition of one subject.
+// Problem is a condition of one subject that needs an operator's attention.
 type Problem struct {
 	Kind    Kind   `json:"kind"`
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
-	// First and Last are when it was seen, on this node's clock.
+	// First and Last are the times of the first and last report, on the clock of this node.
 	First core.Time `json:"first_ns"`
 	Last  core.Time `json:"last_ns"`
 	Count int       `json:"count"`
-	// lapses is when the problem ends by itself; 0 is never.
-	lapses core.Time
+	// expiresAt is the time when the problem ends without a call of Clear; 0 means never.
+	expiresAt core.Time
 }
 
-func (p *Problem) lapsed(at core.Time) bool { return p.lapses != 0 && at >= p.lapses }
+func (p *Problem) expired(at core.Time) bool { return p.expiresAt != 0 && at >= p.expiresAt }
 
 const maxProblems = 1024
 
@@ -62,8 +62,8 @@
 	subject string
 }
 
-// Problems is a node's register of present problems. It is safe for concurrent
-// use and holds at most maxProblems; the rest are counted.
+// Problems is the register of a node's current problems. It is safe for concurrent
+// use and holds at most maxProblems; Overflow counts reports above that limit.
 type Problems struct {
 	now      func() core.Time
 	mutex    sync.Mutex
@@ -71,35 +71,35 @@
 	overflow int
 }
 
-// NewProblems makes an empty register on the given clock.
+// NewProblems returns an empty register that uses the given clock.
 func NewProblems(now func() core.Time) *Problems {
 	return &Problems{now: now, present: map[problemKey]*Problem{}}
 }
 
-// Report adds a problem or renews it. It stands until it is cleared.
+// Report adds or renews a problem. The problem stays until it is cleared.
 func (p *Problems) Report(kind Kind, subject, detail string) {
 	p.report(kind, subject, detail, 0)
 }
 
-// ReportFor adds a problem or renews it. It stands until it is cleared, or until
-// it was not renewed for the quiet time: it suits what only traffic shows, since
-// without traffic nothing would ever show that it is over.
-func (p *Problems) ReportFor(kind Kind, subject, detail string, quiet time.Duration) {
-	p.report(kind, subject, detail, quiet)
+// ReportFor adds or renews a problem. The problem stays until it is cleared or has
+// not been renewed for ttl. It is for problems that only traffic can detect: without
+// traffic, no event would show that such a problem is over.
+func (p *Problems) ReportFor(kind Kind, subject, detail string, ttl time.Duration) {
+	p.report(kind, subject, detail, ttl)
 }
 
-func (p *Problems) report(kind Kind, subject, detail string, quiet time.Duration) {
+func (p *Problems) report(kind Kind, subject, detail string, ttl time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	at := p.now()
 	key := problemKey{kind, subject}
 	existing := p.present[key]
-	if existing != nil && existing.lapsed(at) {
+	if existing != nil && existing.expired(at) {
 		delete(p.present, key)
 		existing = nil
 	}
 	if existing == nil && len(p.present) >= maxProblems {
-		p.dropLapsed(at)
+		p.dropExpired(at)
 	}
 	if existing == nil && len(p.present) >= maxProblems {
 		p.overflow++
@@ -112,15 +112,15 @@
 	existing.Detail = detail
 	existing.Last = at
 	existing.Count++
-	existing.lapses = 0
-	if quiet > 0 {
-		existing.lapses = at + quiet
+	existing.expiresAt = 0
+	if ttl > 0 {
+		existing.expiresAt = at + ttl
 	}
 }
 
-func (p *Problems) dropLapsed(at core.Time) {
-	for key, one := range p.present {
-		if one.lapsed(at) {
+func (p *Problems) dropExpired(at core.Time) {
+	for key, problem := range p.present {
+		if problem.expired(at) {
 			delete(p.present, key)
 		}
 	}
@@ -133,14 +133,14 @@
 	delete(p.present, problemKey{kind, subject})
 }
 
-// List returns the present problems by kind and subject.
+// List returns the current problems, sorted by kind and subject.
 func (p *Problems) List() []Problem {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.dropLapsed(p.now())
+	p.dropExpired(p.now())
 	list := make([]Problem, 0, len(p.present))
-	for _, one := range p.present {
-		list = append(list, *one)
+	for _, problem := range p.present {
+		list = append(list, *problem)
 	}
 	sort.Slice(list, func(i, j int) bool {
 		if list[i].Kind != list[j].Kind {
@@ -151,14 +151,14 @@
 	return list
 }
 
-// Overflow counts the problems that found the register full.
+// Overflow returns the number of reports that were dropped because the register was full.
 func (p *Problems) Overflow() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.overflow
 }
 
-// Kinds lists every kind of problem.
+// Kinds returns all kinds of problems.
 func Kinds() []Kind {
 	return []Kind{
 		KindThinService, KindStalledService, KindReplicaDown, KindSilentConnection,
