--- a/internal/alarm/alarm.go
+++ b/internal/alarm/alarm.go
@@ -1,5 +1,5 @@
-// Package alarm keeps the wake-up times of many state machines for one
-// goroutine, which needs a single timer.
+// Package alarm schedules the wake-up times of many state machines for one
+// goroutine, which then needs only a single timer.
 package alarm
 
 import (
@@ -14,7 +14,7 @@
 	queue queue[K]
 }
 
-// New makes an empty set of alarms.
+// New returns an empty set of alarms.
 func New[K comparable]() *Alarms[K] {
 	return &Alarms[K]{due: map[K]core.Time{}}
 }
@@ -31,7 +31,7 @@
 // Clear removes the key's wake-up time.
 func (a *Alarms[K]) Clear(key K) { delete(a.due, key) }
 
-// Next returns the earliest wake-up time; false when there is none.
+// Next returns the earliest wake-up time, or false if there is none.
 func (a *Alarms[K]) Next() (core.Time, bool) {
 	for len(a.queue) > 0 {
 		first := a.queue[0]
@@ -62,8 +62,8 @@
 	at  core.Time
 }
 
-// queue implements heap.Interface, earliest first. Replaced and cleared times
-// stay in it until they come to the front.
+// queue implements heap.Interface, earliest first. Replaced and cleared times stay
+// in the queue until they reach its front.
 type queue[K comparable] []item[K]
 
 func (q queue[K]) Len() int           { return len(q) }
--- a/internal/alarm/alarm_test.go
+++ b/internal/alarm/alarm_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A machine moves its wake-up twice and another one ends. Were a former time to
-// stay in force, the goroutine would wake for nothing, or for a machine that is
-// gone; were the new one lost, its request would hang past its deadline.
-func TestOnlyTheLastTimeOfAKeyRings(t *testing.T) {
+// One state machine changes its wake-up time twice and another one ends. If an old
+// time stayed in force, the goroutine would wake without need or for a machine that
+// no longer exists; if the new time were lost, a request would hang past its deadline.
+func TestOnlyTheLatestTimeOfAKeyFires(t *testing.T) {
 	alarms := New[string]()
 	alarms.Set("moved", 5*time.Second)
 	alarms.Set("moved", time.Second)
