--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,7 +1,7 @@
-// Package decisionlog writes one JSON line for each decision that touches a
-// request or changes what the process believes. Lines pass a bounded ring and a
-// rate, so that a reader that stops reading, or a storm of failures, never holds
-// a request; lines that are dropped are counted and said.
+// Package decisionlog writes one JSON line for each decision that affects a request
+// or changes the state of the process. Lines pass through a bounded queue and a rate
+// limit, so that neither a stalled reader of the output nor a burst of failures ever
+// blocks a request. Dropped lines are counted and reported.
 package decisionlog
 
 import (
@@ -20,18 +20,19 @@
 )
 
 const (
-	// ringDepth holds a burst of about twenty failed requests with all their
-	// sends; 4,096 lines of about 300 bytes are 1.2 MB.
-	ringDepth = 4096
-	// linesPerSecond and burst bound the volume to 200 lines in any second: 60 KB/s
-	// at 300 bytes a line.
+	// queueCapacity has room for a burst of about twenty failed requests with all
+	// their sends; 4,096 lines of about 300 bytes take 1.2 MB.
+	queueCapacity = 4096
+	// linesPerSecond and burstLines bound the volume to 200 lines in any second, which is
+	// 60 KB/s at 300 bytes per line.
 	linesPerSecond = 110
-	burst          = 90
-	// reportEvery is how often dropped lines and calm requests are summed up.
-	reportEvery = 10 * time.Second
+	burstLines     = 90
+	// summaryInterval is the interval between lines with the counts of successful requests
+	// and dropped lines.
+	summaryInterval = 10 * time.Second
 )
 
-// Fields are the particulars of a line.
+// Fields are the fields of a line.
 type Fields = logrus.Fields
 
 type line struct {
@@ -40,25 +41,25 @@
 	fields Fields
 }
 
-// Log takes lines from any goroutine. It never blocks.
+// Log accepts lines from any goroutine. Its methods never block, except Close.
 type Log struct {
-	out     *logrus.Logger
-	base    Fields
-	lines   *ring.Ring[line]
-	limiter *rate.Limiter
-	dropped atomic.Int64
-	calm    atomic.Int64
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	out       *logrus.Logger
+	base      Fields
+	lines     *ring.Ring[line]
+	limiter   *rate.Limiter
+	dropped   atomic.Int64
+	succeeded atomic.Int64
+	stop      context.CancelFunc
+	done      sync.WaitGroup
 }
 
-// New starts a log; base goes with every line. Close writes what is queued.
+// New starts a log that adds the fields of base to every line. Close writes the queued lines.
 func New(out io.Writer, base Fields) *Log {
 	logger := logrus.New()
 	logger.SetOutput(out)
 	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	ctx, stop := context.WithCancel(context.Background())
-	l := &Log{out: logger, base: base, lines: ring.New[line](ringDepth), limiter: rate.NewLimiter(linesPerSecond, burst), stop: stop}
+	l := &Log{out: logger, base: base, lines: ring.New[line](queueCapacity), limiter: rate.NewLimiter(linesPerSecond, burstLines), stop: stop}
 	l.done.Add(1)
 	go func() {
 		defer l.done.Done()
@@ -67,22 +68,22 @@
 	return l
 }
 
-// Close writes the queued lines and ends the log. It waits at most the given time,
-// since the reader of the output may have stopped.
-func (l *Log) Close(limit time.Duration) {
+// Close writes the queued lines and stops the log. It waits at most for the time-out,
+// since the reader of the output may have stalled.
+func (l *Log) Close(timeout time.Duration) {
 	l.stop()
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		l.done.Wait()
-		close(ended)
+		close(stopped)
 	}()
 	select {
-	case <-ended:
-	case <-time.After(limit):
+	case <-stopped:
+	case <-time.After(timeout):
 	}
 }
 
-// Decision writes a line within the rate.
+// Decision writes a line subject to the rate limit.
 func (l *Log) Decision(event string, fields Fields) {
 	if !l.limiter.Allow() {
 		l.dropped.Add(1)
@@ -91,48 +92,48 @@
 	l.Life(event, fields)
 }
 
-// Line is one line of a story.
+// Line is one line for Decisions.
 type Line struct {
 	Event  string
 	Fields Fields
 }
 
-// Decisions writes the lines on one request, all of them within the rate or none: half a
-// story misleads whoever reads it.
+// Decisions writes the lines about one request: all of them if the rate limit allows, and
+// else none, because a partial account of a request would be misleading.
 func (l *Log) Decisions(lines []Line) {
-	lines = lines[:min(len(lines), burst)]
+	lines = lines[:min(len(lines), burstLines)]
 	if !l.limiter.AllowN(time.Now(), len(lines)) {
 		l.dropped.Add(int64(len(lines)))
 		return
 	}
-	for _, one := range lines {
-		l.Life(one.Event, one.Fields)
+	for _, entry := range lines {
+		l.Life(entry.Event, entry.Fields)
 	}
 }
 
-// Life writes a line on the process's own life or beliefs; these are few and not
-// held to the rate.
+// Life writes a line about the life cycle or the state of the process. Such lines are
+// few and not subject to the rate limit.
 func (l *Log) Life(event string, fields Fields) {
 	if !l.lines.TryPut(line{at: time.Now(), event: event, fields: fields}) {
 		l.dropped.Add(1)
 	}
 }
 
-// CountSuccess counts a request that ended well and in time, which gets no line of its own.
-func (l *Log) CountSuccess() { l.calm.Add(1) }
+// CountSuccess counts a request that succeeded in time, which gets no line of its own.
+func (l *Log) CountSuccess() { l.succeeded.Add(1) }
 
-// Dropped counts the lines that were not written.
+// Dropped returns the number of lines that were dropped.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
 func (l *Log) run(ctx context.Context) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case one := <-l.lines.Items():
-			l.write(one)
+		case entry := <-l.lines.Items():
+			l.write(entry)
 		case <-ticker.C:
-			l.report()
+			l.writeSummary()
 		case <-ctx.Done():
 			l.drain()
 			return
@@ -143,62 +144,63 @@
 func (l *Log) drain() {
 	for {
 		select {
-		case one := <-l.lines.Items():
-			l.write(one)
+		case entry := <-l.lines.Items():
+			l.write(entry)
 		default:
-			l.report()
+			l.writeSummary()
 			return
 		}
 	}
 }
 
-func (l *Log) report() {
-	calm, dropped := l.calm.Swap(0), l.dropped.Load()
-	if calm == 0 && dropped == 0 {
+func (l *Log) writeSummary() {
+	succeeded, dropped := l.succeeded.Swap(0), l.dropped.Load()
+	if succeeded == 0 && dropped == 0 {
 		return
 	}
-	l.write(line{at: time.Now(), event: "requests_summary", fields: Fields{"answered_well": calm, "lines_dropped_total": dropped}})
+	l.write(line{at: time.Now(), event: "requests_summary", fields: Fields{"answered_well": succeeded, "lines_dropped_total": dropped}})
 }
 
-func (l *Log) write(one line) {
-	l.out.WithTime(one.at).WithFields(l.base).WithFields(one.fields).WithField(logs.FieldEvent, one.event).Info()
+func (l *Log) write(entry line) {
+	l.out.WithTime(entry.at).WithFields(l.base).WithFields(entry.fields).WithField(logs.FieldEvent, entry.event).Info()
 }
 
-// Logger is a logrus logger whose lines, which name their event, go through this log.
-// Duties that other kinds of nodes run too write by it.
+// Logger returns a logrus logger that forwards entries with an event to this log. It is for
+// components that other kinds of nodes run too.
 func (l *Log) Logger() logrus.FieldLogger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	logger.AddHook(forward{log: l})
+	logger.AddHook(forwardHook{log: l})
 	return logger
 }
 
-// LibraryWriter takes the plain lines that libraries write, such as net/http's on broken
-// connections, within the rate: the output holds nothing but JSON.
-func (l *Log) LibraryWriter() io.Writer { return libraries{l} }
+// LibraryWriter returns a writer for the plain-text lines of libraries, such as those of
+// net/http on broken connections. It writes them as JSON, subject to the rate limit, so that
+// the output contains only JSON.
+func (l *Log) LibraryWriter() io.Writer { return libraryWriter{l} }
 
-// maxLibraryLine bounds such a line, in bytes; net/http adds a stack to some.
-const maxLibraryLine = 500
+// maxLibraryLineBytes truncates the lines of libraries; net/http adds a stack trace to some.
+const maxLibraryLineBytes = 500
 
-type libraries struct{ log *Log }
+type libraryWriter struct{ log *Log }
 
 // Write implements io.Writer.
-func (w libraries) Write(line []byte) (int, error) {
-	text := strings.TrimSpace(string(line[:min(len(line), maxLibraryLine)]))
+func (w libraryWriter) Write(line []byte) (int, error) {
+	text := strings.TrimSpace(string(line[:min(len(line), maxLibraryLineBytes)]))
 	w.log.Decision("library_message", Fields{"text": text})
 	return len(line), nil
 }
 
-// forward hands logrus entries on.
-type forward struct{ log *Log }
+// forwardHook forwards logrus entries to a Log.
+type forwardHook struct{ log *Log }
 
 // Levels implements logrus.Hook.
-func (f forward) Levels() []logrus.Level {
+func (f forwardHook) Levels() []logrus.Level {
 	return []logrus.Level{logrus.InfoLevel, logrus.WarnLevel, logrus.ErrorLevel}
 }
 
-// Fire implements logrus.Hook. Lines without an event are not ours to keep.
-func (f forward) Fire(entry *logrus.Entry) error {
+// Fire implements logrus.Hook. It discards entries without an event.
+func (f forwardHook) Fire(entry *logrus.Entry) error {
 	event, ok := entry.Data[logs.FieldEvent].(string)
 	if !ok {
 		return nil
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -26,12 +26,12 @@
 	require.EqualValues(t, 1, last["answered_well"])
 }
 
-// Whoever reads the logs stops reading. Requests must not wait for it: lines are
-// dropped and counted instead.
-func TestAReaderThatStopsHoldsNobody(t *testing.T) {
+// When the reader of the output stalls, requests must not wait: lines are dropped and
+// counted instead.
+func TestAStalledReaderBlocksNoWriter(t *testing.T) {
 	reader, writer := io.Pipe()
 	l := New(writer, nil)
-	for range 2 * ringDepth {
+	for range 2 * queueCapacity {
 		l.Life("replica_seen", nil)
 	}
 	require.Positive(t, l.Dropped())
@@ -39,21 +39,21 @@
 	l.Close(time.Minute)
 }
 
-func TestAStormOfDecisionsIsHeldToTheRate(t *testing.T) {
+func TestDecisionsAreRateLimited(t *testing.T) {
 	l := New(io.Discard, nil)
-	for range 6 * burst {
+	for range 6 * burstLines {
 		l.Decision("send_failed", nil)
 	}
-	require.Greater(t, l.Dropped(), int64(4*burst))
+	require.Greater(t, l.Dropped(), int64(4*burstLines))
 	dropped := l.Dropped()
-	l.Decisions(make([]Line, burst))
+	l.Decisions(make([]Line, burstLines))
 	l.Close(time.Minute)
-	require.Equal(t, dropped+burst, l.Dropped(), "a story is written whole or not at all")
+	require.Equal(t, dropped+burstLines, l.Dropped(), "the lines about one request must be written all together or not at all")
 }
 
-// BenchmarkCalmRequest is what the log costs a request that ends well; BenchmarkStory what it
-// costs one whose ten lines are written, the writing itself included.
-func BenchmarkCalmRequest(b *testing.B) {
+// BenchmarkSuccessfulRequest measures the cost of the log for a successful request; BenchmarkLoggedRequest
+// measures it for a request with ten lines, including the write.
+func BenchmarkSuccessfulRequest(b *testing.B) {
 	l := New(io.Discard, nil)
 	defer l.Close(time.Minute)
 	for b.Loop() {
@@ -61,7 +61,7 @@
 	}
 }
 
-func BenchmarkStory(b *testing.B) {
+func BenchmarkLoggedRequest(b *testing.B) {
 	l := New(io.Discard, Fields{"node": "vm-1"})
 	defer l.Close(time.Minute)
 	lines := make([]Line, 10)
@@ -69,15 +69,15 @@
 		lines[i] = Line{Event: "send_failed", Fields: Fields{"request": "9c41d07be2a35f68", "at_ms": i, "replica": "i-7f3a91c2", "cause": "connection reset"}}
 	}
 	for b.Loop() {
-		for _, one := range lines {
-			l.write(line{at: time.Now(), event: one.Event, fields: one.Fields})
+		for _, entry := range lines {
+			l.write(line{at: time.Now(), event: entry.Event, fields: entry.Fields})
 		}
 	}
 }
 
-// A library writes a plain line of its own. Whoever reads the output line by line as JSON
-// would stop at it.
-func TestLinesOfLibrariesAreJSONToo(t *testing.T) {
+// Libraries write plain-text lines. In the output, such a line would break readers that parse
+// each line as JSON.
+func TestLibraryLinesAreJSON(t *testing.T) {
 	var out strings.Builder
 	l := New(&out, nil)
 	_, err := io.WriteString(l.LibraryWriter(), "failed to increase receive buffer size\n"+strings.Repeat("stack ", 200))
@@ -86,5 +86,5 @@
 	var line map[string]any
 	require.NoError(t, json.Unmarshal([]byte(out.String()), &line))
 	require.Equal(t, "library_message", line["event"])
-	require.LessOrEqual(t, len(line["text"].(string)), maxLibraryLine)
+	require.LessOrEqual(t, len(line["text"].(string)), maxLibraryLineBytes)
 }
