--- a/internal/logs/buffer.go
+++ b/internal/logs/buffer.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Buffer collects what several goroutines write, for tests that look at logs. The zero
-// value is empty.
+// Buffer is a bytes.Buffer that is safe for concurrent writes, for tests that inspect logs.
+// The zero value is an empty buffer.
 type Buffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -19,7 +19,7 @@
 	return b.text.Write(p)
 }
 
-// String returns what was written so far.
+// String returns the text written so far.
 func (b *Buffer) String() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs makes the project's loggers: JSON lines with stable names.
-// docs/OPERATIONS.md lists the events.
+// Package logs creates the loggers of the project. They write JSON lines with stable
+// event names, which docs/OPERATIONS.md lists.
 package logs
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// FieldEvent is the field that names a line's event.
+// FieldEvent is the field that holds the event name of a line.
 const FieldEvent = "event"
 
-// New makes a logger of JSON lines at the named level.
+// New returns a logger that writes JSON lines at the given level.
 func New(out io.Writer, level string) (*logrus.Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
-		return nil, &fault.Error{Code: fault.CodeSettingsInvalid, Message: "log level " + level + " is not known", Fix: "write error, warn, info or debug", Cause: err}
+		return nil, &fault.Error{Code: fault.CodeSettingsInvalid, Message: "log level " + level + " is unknown", Fix: "use error, warn, info or debug", Cause: err}
 	}
 	logger := logrus.New()
 	logger.SetOutput(out)
@@ -30,7 +30,7 @@
 	return logger, nil
 }
 
-// NewFxLogger writes fx's own events at debug level.
+// NewFxLogger returns a logger that writes the events of fx at debug level.
 func NewFxLogger(logger logrus.FieldLogger) fxevent.Logger { return fxLogger{logger} }
 
 type fxLogger struct{ logger logrus.FieldLogger }
@@ -41,15 +41,16 @@
 	l.logger.WithFields(logrus.Fields{FieldEvent: "fx", "fx_event": name}).Debug("fx " + name)
 }
 
-// NewHTTPErrorLog writes what net/http says of broken callers at debug level.
+// NewHTTPErrorLog returns a logger for http.Server.ErrorLog that writes the errors of
+// net/http about connections of callers at debug level.
 func NewHTTPErrorLog(logger logrus.FieldLogger) *log.Logger {
-	return log.New(httpWriter{logger}, "", 0)
+	return log.New(debugWriter{logger}, "", 0)
 }
 
-type httpWriter struct{ logger logrus.FieldLogger }
+type debugWriter struct{ logger logrus.FieldLogger }
 
 // Write implements io.Writer.
-func (w httpWriter) Write(line []byte) (int, error) {
+func (w debugWriter) Write(line []byte) (int, error) {
 	w.logger.WithField(FieldEvent, "http").Debug(strings.TrimSpace(string(line)))
 	return len(line), nil
 }
