--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault gives every failure a type: a code, the outcome of the work it
-// stands for, and what to do about it.
+// Package fault defines the typed errors of the project. Each has a code, the outcome
+// of the failed work and a suggested fix.
 package fault
 
 import (
@@ -12,10 +12,10 @@
 )
 
 // Code identifies a kind of failure. The texts are part of the callers'
-// interface and stay stable.
+// interface and must not change.
 type Code string
 
-// The failure codes of the project.
+// Failure codes.
 const (
 	CodeBadRequest      Code = "bad_request"
 	CodeUnknownService  Code = "unknown_service"
@@ -46,8 +46,8 @@
 	CodeInternal        Code = "internal"
 )
 
-// Error is a typed failure. Message gives the value and the limit, Fix what
-// would help. RetryAfter is zero when coming back later would not help.
+// Error is a typed failure. Message names the offending value and the limit, Fix the
+// remedy. RetryAfter is zero if a later retry would not help.
 type Error struct {
 	Code       Code
 	Outcome    core.Outcome
@@ -72,12 +72,12 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// NotRun makes a failure whose work is proven not to have run.
+// NotRun returns a failure of work that is proven not to have run.
 func NotRun(code Code, message, fix string) *Error {
 	return &Error{Code: code, Outcome: core.NotRun, Message: message, Fix: fix}
 }
 
-// ListenFailed makes the failure to listen on an address of this VM.
+// ListenFailed returns a failure to listen on an address of this VM.
 func ListenFailed(address string, cause error) *Error {
 	return &Error{
 		Code:    CodeAddress,
@@ -87,7 +87,8 @@
 	}
 }
 
-// Wrap wraps err with the step that failed, keeping its type reachable by As.
+// Wrap adds the name of the failed step to err; a nil err stays nil. As still finds the
+// typed failure in the result.
 func Wrap(step string, err error) error {
 	if err == nil {
 		return nil
@@ -95,8 +96,8 @@
 	return oops.In(step).Wrapf(err, "%s", step)
 }
 
-// As finds the typed failure in err; an untyped one becomes CodeInternal with
-// outcome unknown.
+// As returns the typed failure in err. An error without one becomes CodeInternal with
+// an unknown outcome.
 func As(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
