--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring joins two duties by a bounded ring: a buffered channel with an
-// explicit policy for a full ring and a depth gauge.
+// Package ring provides a bounded queue between goroutines: a buffered channel with
+// an explicit policy for a full queue and statistics of its depth and losses.
 package ring
 
 import (
@@ -7,20 +7,20 @@
 	"sync/atomic"
 )
 
-// Ring is a bounded first-in first-out queue between goroutines. It is never
-// closed; readers stop by their own context.
+// Ring is a bounded FIFO queue between goroutines. It is never closed; readers stop
+// when their own context is cancelled.
 type Ring[T any] struct {
 	items   chan T
 	refused atomic.Int64
 	dropped atomic.Int64
 }
 
-// New makes a ring for at most capacity items.
+// New returns a ring for at most capacity items.
 func New[T any](capacity int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, capacity)}
 }
 
-// TryPut adds an item, or refuses it at once when the ring is full.
+// TryPut adds an item without blocking. It returns false if the ring is full.
 func (r *Ring[T]) TryPut(item T) bool {
 	select {
 	case r.items <- item:
@@ -31,8 +31,8 @@
 	}
 }
 
-// Put adds an item, waiting while the ring is full. It returns the context's
-// error when that ends first.
+// Put adds an item and blocks while the ring is full. It returns the error of the
+// context if that is cancelled first.
 func (r *Ring[T]) Put(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
@@ -43,10 +43,10 @@
 	}
 }
 
-// PutAsync adds an item at once or, while the ring is full, from a goroutine that
-// waits for room until the context ends. It is for the goroutine that reads the
-// ring: were that one to wait itself, nobody would make room and it would hang.
-// Items that wait may come in another order.
+// PutAsync adds an item without blocking. If the ring is full, a new goroutine waits
+// for room until the context is cancelled. It is for the goroutine that reads the
+// ring: with Put, that goroutine would deadlock, as no other one makes room. Waiting
+// items may be reordered.
 func (r *Ring[T]) PutAsync(ctx context.Context, item T) {
 	select {
 	case r.items <- item:
@@ -55,8 +55,8 @@
 	}
 }
 
-// PutDropOldest adds an item, discarding the oldest ones while the ring is
-// full. It suits state where only the newest value counts.
+// PutDropOldest adds an item and drops the oldest items while the ring is full. It is
+// for state of which only the newest value matters.
 func (r *Ring[T]) PutDropOldest(item T) {
 	for {
 		select {
@@ -72,10 +72,10 @@
 	}
 }
 
-// Items is the channel to receive from.
+// Items returns the channel to receive items from.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Stats is a snapshot of a ring's depth and losses, in items.
+// Stats is a snapshot of the depth and the losses of a ring, in items.
 type Stats struct {
 	Depth    int   `json:"depth"`
 	Capacity int   `json:"capacity"`
@@ -83,7 +83,7 @@
 	Dropped  int64 `json:"dropped"`
 }
 
-// Stats reports the ring's present depth and its losses since the start.
+// Stats returns the current depth of the ring and its losses since the start.
 func (r *Ring[T]) Stats() Stats {
 	return Stats{
 		Depth:    len(r.items),
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A duty queues a follow-up event for itself while callers have filled its ring.
-// Waiting for room would stop the only goroutine that makes room: the node would
-// take requests and answer none. The event must come once others were read.
-func TestAReaderOfAFullRingCanPutForItself(t *testing.T) {
+// A goroutine queues a follow-up event for itself while callers have filled its ring.
+// If it waited for room, the only goroutine that makes room would block, and the node
+// would accept requests but answer none. The event must arrive after the queued ones.
+func TestTheReaderOfAFullRingCanPutWithoutBlocking(t *testing.T) {
 	r := New[int](2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
