--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a goroutine for a time that a context can cut short.
+// Package wait pauses a goroutine for a duration that a context can cut short.
 package wait
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for the time to pass. It reports false when the context ended first;
-// without a time left to wait, whether it has ended already.
+// For waits for the duration of pause. It returns false if the context is cancelled
+// first or, with a pause of zero or less, is already cancelled.
 func For(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return ctx.Err() == nil
