--- a/internal/tools/protogen/main.go
+++ b/internal/tools/protogen/main.go
@@ -1,5 +1,5 @@
-// Command protogen writes the Go code of the peer messages. It needs no
-// installed compiler: the schema is compiled by a library.
+// Command protogen generates the Go code of the peer messages. It needs no installed
+// protoc, because it compiles the schema with a library.
 package main
 
 import (
@@ -26,14 +26,14 @@
 func main() {
 	code, err := generate()
 	if err != nil {
-		logrus.WithError(err).Fatal("generation failed")
+		logrus.WithError(err).Fatal("cannot generate the Go code of the peer messages")
 	}
 	if err := os.WriteFile(outputFile, code, outputMode); err != nil {
-		logrus.WithError(err).Fatal("writing failed")
+		logrus.WithError(err).Fatal("cannot write the generated Go code")
 	}
 }
 
-// generate compiles the schema and returns the Go file.
+// generate compiles the schema and returns the generated Go file.
 func generate() ([]byte, error) {
 	compiler := protocompile.Compiler{
 		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{schemaFolder}},
