--- a/internal/app/evidence.go
+++ b/internal/app/evidence.go
@@ -43,7 +43,7 @@
 // handleDroppedReply reports that a replica, or the network path to it, mixes up or
 // truncates replies.
 func (n *Node) handleDroppedReply(address, why string) {
-	n.problems.ReportFor(observe.KindCrossedReply, "upstream "+address, why, crossedReplyExpiry)
+	n.problems.ReportWithTTL(observe.KindCrossedReply, "upstream "+address, why, crossedReplyExpiry)
 }
 
 // knownNodes returns the nodes of the view and of the VM list. Operators need the nodes
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -111,7 +111,7 @@
 	case thin && !chosen(one.Reason, hasty):
 		w.reported[name] = true
 		detail := fmt.Sprintf("shard %d is missing from answers: %s", one.Ref.Shard, one.Reason)
-		w.problems.ReportFor(observe.KindThinService, name, detail, thinQuiet)
+		w.problems.ReportWithTTL(observe.KindThinService, name, detail, thinQuiet)
 	}
 }
 
--- a/internal/observe/problems.go
+++ b/internal/observe/problems.go
@@ -81,10 +81,10 @@
 	p.report(kind, subject, detail, 0)
 }
 
-// ReportFor adds or renews a problem. The problem stays until it is cleared or has
+// ReportWithTTL adds or renews a problem. The problem stays until it is cleared or has
 // not been renewed for ttl. It is for problems that only traffic can detect: without
 // traffic, no event would show that such a problem is over.
-func (p *Problems) ReportFor(kind Kind, subject, detail string, ttl time.Duration) {
+func (p *Problems) ReportWithTTL(kind Kind, subject, detail string, ttl time.Duration) {
 	p.report(kind, subject, detail, ttl)
 }
 
