--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -142,7 +142,7 @@
 	address := d.fleet.Members()[0].Addresses
 	d.printf("Try: pistachiopier query %s --address %s", demoService, address.Caller)
 	d.printf("     pistachiopier status --address %s --fleet", address.Operator)
-	signals, stop := shutdownContext()
+	shutdown, stop := shutdownContext()
 	defer stop()
-	<-signals.Done()
+	<-shutdown.Done()
 }
--- a/internal/command/demo_platform.go
+++ b/internal/command/demo_platform.go
@@ -195,7 +195,7 @@
 	d.printf("Try: pistachiopier load --directory %s --service %s=3,%s=1 --rate 50 --duration 5s", first.DirectoryAddress, tierSearch, tierInvoice)
 	d.printf("     curl -s %s%s?name=%s", first.DirectoryAddress, platform.PathResolve, tierHost)
 	d.printf("     curl -s %s/metrics", first.MetricsAddress)
-	signals, stop := shutdownContext()
+	shutdown, stop := shutdownContext()
 	defer stop()
-	<-signals.Done()
+	<-shutdown.Done()
 }
--- a/internal/command/edge.go
+++ b/internal/command/edge.go
@@ -69,7 +69,7 @@
 	if peerListen != "" {
 		s.PeerListen = peerListen
 	}
-	signals, stop := shutdownContext()
+	shutdown, stop := shutdownContext()
 	defer stop()
 	app, node := edge.New(s, out)
 	log.SetFlags(0)
@@ -77,10 +77,10 @@
 	if err := app.Err(); err != nil {
 		return err
 	}
-	if err := app.Start(signals); err != nil {
+	if err := app.Start(shutdown); err != nil {
 		return err
 	}
-	watchSettings(signals, path, metricsPort, node)
+	watchSettings(shutdown, path, metricsPort, node)
 	return stopEdge(app, s.StopWait)
 }
 
@@ -99,7 +99,7 @@
 	defer signal.Stop(hangup)
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	loaded, _ := os.ReadFile(path)
+	lastRead, _ := os.ReadFile(path)
 	for {
 		requested := false
 		select {
@@ -115,8 +115,8 @@
 			node.SettingsRefused(err)
 		case err != nil:
 			// The file is being replaced or is missing. Only SIGHUP reports a read error.
-		case requested || !bytes.Equal(text, loaded):
-			loaded = text
+		case requested || !bytes.Equal(text, lastRead):
+			lastRead = text
 			reload(node, string(text), metricsPort)
 		}
 	}
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -99,7 +99,7 @@
 
 // read collects the lines of one log. It skips text before the JSON of a line, such as a
 // timestamp of the log collector, and lines of other programs.
-func (s *requestHistory) read(request string, input io.Reader) error {
+func (h *requestHistory) read(request string, input io.Reader) error {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, maxLogLineBytes/16), maxLogLineBytes)
 	for scanner.Scan() {
@@ -114,9 +114,9 @@
 		}
 		switch {
 		case line.Request == request:
-			s.requestLines = append(s.requestLines, line)
+			h.requestLines = append(h.requestLines, line)
 		case line.Request == "" && stateEvents[line.Event]:
-			s.states = append(s.states, line)
+			h.states = append(h.states, line)
 		}
 	}
 	if err := scanner.Err(); err != nil {
@@ -125,26 +125,26 @@
 	return nil
 }
 
-func (s *requestHistory) print(request string, out io.Writer) {
+func (h *requestHistory) print(request string, out io.Writer) {
 	byTime := func(a, b logLine) int { return cmp.Compare(a.Time, b.Time) }
-	slices.SortStableFunc(s.requestLines, byTime)
-	slices.SortStableFunc(s.states, byTime)
-	end := s.requestLines[len(s.requestLines)-1]
+	slices.SortStableFunc(h.requestLines, byTime)
+	slices.SortStableFunc(h.states, byTime)
+	end := h.requestLines[len(h.requestLines)-1]
 	fmt.Fprintf(out, "request %s\n\nwhat the node believed before:\n", request)
-	for _, line := range s.statesBefore(end) {
+	for _, line := range h.statesBefore(end) {
 		fmt.Fprintf(out, "  %s %s\n", line.Time, describeLine(line))
 	}
 	fmt.Fprintln(out, "\nwhat happened (at_ms counts from the request's arrival):")
-	for _, line := range s.requestLines {
+	for _, line := range h.requestLines {
 		fmt.Fprintf(out, "  %s %s\n", line.Time, describeLine(line))
 	}
 }
 
 // statesBefore returns, for each state key, the last line that the node of the request wrote before
 // the end of the request.
-func (s *requestHistory) statesBefore(end logLine) []logLine {
+func (h *requestHistory) statesBefore(end logLine) []logLine {
 	last := map[string]logLine{}
-	for _, line := range s.states {
+	for _, line := range h.states {
 		if line.Node == end.Node && line.Time <= end.Time {
 			last[line.stateKey()] = line
 		}
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -35,16 +35,16 @@
 	if err != nil {
 		return err
 	}
-	signals, stop := shutdownContext()
+	shutdown, stop := shutdownContext()
 	defer stop()
 	node := app.New(s, log)
 	if err := node.Err(); err != nil {
 		return err
 	}
-	if err := node.Start(signals); err != nil {
+	if err := node.Start(shutdown); err != nil {
 		return err
 	}
-	<-signals.Done()
+	<-shutdown.Done()
 	ctx, cancel := context.WithTimeout(context.Background(), s.StopWait)
 	defer cancel()
 	return node.Stop(ctx)
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -51,7 +51,7 @@
 }
 
 func runStandIn(options standInOptions, out io.Writer) error {
-	signals, stop := shutdownContext()
+	shutdown, stop := shutdownContext()
 	defer stop()
 	var started standInStarted
 	var err error
@@ -70,7 +70,7 @@
 		return fault.Wrap("print the addresses", err)
 	}
 	// The sockets are closed when the process exits.
-	<-signals.Done()
+	<-shutdown.Done()
 	return nil
 }
 
