--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -211,7 +211,7 @@
 
 // registerGauges registers the metrics that are computed when they are read.
 func (n *Node) registerGauges() {
-	watch := func(name string, read func() int64) { observe.Watch(n.metrics.reg, name, read) }
+	watch := func(name string, read func() int64) { observe.GaugeFunc(n.metrics.reg, name, read) }
 	watch("requests_in_flight", n.inFlight.Load)
 	watch("delegated_groups_running", n.delegatedGroups.Load)
 	watch("replica_connections", func() int64 { return int64(n.replicas.OpenConnections()) })
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -98,7 +98,7 @@
 func New(s *settings.Edge, out io.Writer) (*fx.App, *Node) {
 	n := newNode(s, out)
 	app := fx.New(
-		fx.WithLogger(func() fxevent.Logger { return logs.Fx(n.log.Logger()) }),
+		fx.WithLogger(func() fxevent.Logger { return logs.NewFxLogger(n.log.Logger()) }),
 		fx.Invoke(func(lifecycle fx.Lifecycle) {
 			lifecycle.Append(fx.Hook{OnStart: n.start, OnStop: n.stop})
 		}),
@@ -141,7 +141,7 @@
 	n.log.Life("node_started", decisionlog.Fields{"data_centre": s.DataCentre, "callers": s.CallerAddress, "peers": s.PeerAddress, "seeds": s.Seeds, "stop_wait_ms": s.StopWait.Milliseconds()})
 	tlsConfig, err := keys.Ephemeral(s.PeerAddress, time.Now())
 	if err != nil {
-		return fault.Step("create the node's key", err)
+		return fault.Wrap("create the node's key", err)
 	}
 	if err := n.startPeers(s, tlsConfig); err != nil {
 		return err
@@ -172,12 +172,12 @@
 	// If the address does not parse, the kernel chooses one here, and listening on the address fails below.
 	host, _, _ := net.SplitHostPort(s.PeerAddress)
 	if n.peerPool, err = peer.NewPoolFrom(tlsConfig, n.identity, n, net.ParseIP(host)); err != nil {
-		return fault.Step("open peer pool", err)
+		return fault.Wrap("open peer pool", err)
 	}
 	n.peerPool.KeepIdle(idleLinkTimeout)
 	n.peerPool.OnBytes(n.countPeerBytes)
 	if n.peerServer, err = peer.Listen(s.PeerListen, tlsConfig, n.identity, n); err != nil {
-		return fault.Step("listen for peers", err)
+		return fault.Wrap("listen for peers", err)
 	}
 	n.peerServer.OnBytes(n.countPeerBytes)
 	self := route.Node{ID: n.identity.Node, DataCentre: s.DataCentre, PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress, OperatorAddress: s.OperatorAddress, Weight: uint32(s.Cores * weightPerCore)}
@@ -263,7 +263,7 @@
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fault.Address(address, err)
+		return fault.ListenFailed(address, err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: initialHeaderTimeout, IdleTimeout: initialIdleTimeout}
 	n.auxiliary = append(n.auxiliary, server)
@@ -396,7 +396,7 @@
 }
 
 // LibraryLogWriter returns a writer that takes the log output of libraries into the node's log.
-func (n *Node) LibraryLogWriter() io.Writer { return n.log.Libraries() }
+func (n *Node) LibraryLogWriter() io.Writer { return n.log.LibraryWriter() }
 
 // LogRefusedSettings logs that reloaded settings are invalid; the previous ones stay in force.
 func (n *Node) LogRefusedSettings(cause error) {
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -111,7 +111,7 @@
 	case thin && !causedByCaller(one.Reason, shortTimeout):
 		r.reported[name] = true
 		detail := fmt.Sprintf("shard %d is missing from answers: %s", one.Ref.Shard, one.Reason)
-		r.problems.ReportFor(observe.KindThinService, name, detail, thinReportFor)
+		r.problems.ReportWithTTL(observe.KindThinService, name, detail, thinReportFor)
 	}
 }
 
