--- a/internal/app/evidence.go
+++ b/internal/app/evidence.go
@@ -10,9 +10,9 @@
 )
 
 // linkNews takes the evidence of data traffic about the node behind a link.
-func (n *Node) linkNews(news peer.LinkNews) {
+func (n *Node) linkNews(news peer.LinkEvent) {
 	switch news.State {
-	case peer.LinkAnswers:
+	case peer.LinkAnswering:
 		n.problems.Clear(observe.KindSilentConnection, "peer "+string(news.Peer.Node))
 		n.members.Answered(news.Peer.Node)
 	case peer.LinkSilent:
--- a/internal/app/expiry.go
+++ b/internal/app/expiry.go
@@ -23,15 +23,15 @@
 // loadTLS reads the node's keys and refuses certificates that are not valid now.
 // It returns their ends too, to be watched.
 func loadTLS(paths settings.TLS, now time.Time) (*tls.Config, []expiry, error) {
-	authority, err := settings.PEM(paths.Authority)
+	authority, err := settings.LoadPEM(paths.Authority)
 	if err != nil {
 		return nil, nil, err
 	}
-	certificate, err := settings.PEM(paths.Certificate)
+	certificate, err := settings.LoadPEM(paths.Certificate)
 	if err != nil {
 		return nil, nil, err
 	}
-	key, err := settings.PEM(paths.Key)
+	key, err := settings.LoadPEM(paths.Key)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	config, err := keys.Config(authority, keys.Pair{Certificate: certificate, Key: key})
+	config, err := keys.TLSConfig(authority, keys.Pair{Certificate: certificate, Key: key})
 	return config, expiries, err
 }
 
--- a/internal/app/handle.go
+++ b/internal/app/handle.go
@@ -9,7 +9,7 @@
 // Handle implements peer.Handler: it hands a peer's request to its duty.
 func (n *Node) Handle(inbound *peer.Inbound) {
 	if !n.ready.Load() {
-		inbound.Reply(peer.Refused(core.ReasonPeerUnreached), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonPeerUnreached), true)
 		return
 	}
 	switch body := inbound.Envelope.GetBody().(type) {
@@ -34,6 +34,6 @@
 		n.gatherer.Answer(inbound)
 	default:
 		// A newer peer may send a body that this node does not know.
-		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
 	}
 }
--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -72,7 +72,7 @@
 	return Dump{
 		Status:      n.Status(),
 		Nodes:       n.belief.View().Nodes(),
-		Links:       n.pool.Links(),
+		Links:       n.pool.LinkCount(),
 		EntryRings:  n.entry.Rings(),
 		OwnerRings:  n.owner.Rings(),
 		Membership:  n.members.Rings(),
--- a/internal/app/metrics.go
+++ b/internal/app/metrics.go
@@ -19,7 +19,7 @@
 	observe.Watch(n.metrics, "problems", func() int64 { return int64(len(n.problems.List())) })
 	observe.Watch(n.metrics, "problems_not_listed_total", func() int64 { return int64(n.problems.Overflow()) })
 	observe.Watch(n.metrics, "view_nodes", func() int64 { return int64(len(n.belief.View().Nodes())) })
-	observe.Watch(n.metrics, "peer_links", func() int64 { return int64(n.pool.Links()) })
+	observe.Watch(n.metrics, "peer_links", func() int64 { return int64(n.pool.LinkCount()) })
 	observe.Watch(n.metrics, "upstream_replies_dropped_total", n.upstream.DroppedReplies)
 	observe.Watch(n.metrics, "requests_suspected", func() int64 { return n.quarantine.Count(corequarantine.Suspect) })
 	observe.Watch(n.metrics, "requests_set_aside", n.SetAsideCount)
--- a/internal/app/stop.go
+++ b/internal/app/stop.go
@@ -60,7 +60,7 @@
 func (n *Node) finishReplies(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishLimit)
 	defer cancel()
-	n.server.Finish(ctx)
+	n.server.FlushReplies(ctx)
 }
 
 // keepAccepting is how long callers with old addresses are still served. Another
@@ -83,7 +83,7 @@
 }
 
 // inFlight counts the questions being answered here and the requests of peers.
-func (n *Node) inFlight() int { return n.entry.InFlight() + n.server.Open() }
+func (n *Node) inFlight() int { return n.entry.InFlight() + n.server.OpenRequests() }
 
 // close ends the duties. It also cleans up after a start that failed half-way,
 // when some of them are nil. The home ends last.
--- a/internal/catalog/bundle.go
+++ b/internal/catalog/bundle.go
@@ -26,7 +26,7 @@
 	c.Bundles = map[core.BundleID]*Bundle{}
 	dependents := c.dependents()
 	open := map[string]*Bundle{}
-	for _, name := range c.Names {
+	for _, name := range c.ServiceNames {
 		service := c.Services[name]
 		family := familyKey(service, dependents[name])
 		for i := range service.Shards {
@@ -71,8 +71,8 @@
 
 // dependents maps each service to those that depend on it, in the text's order.
 func (c *Catalog) dependents() map[string][]string {
-	dependents := make(map[string][]string, len(c.Names))
-	for _, name := range c.Names {
+	dependents := make(map[string][]string, len(c.ServiceNames))
+	for _, name := range c.ServiceNames {
 		for _, dependency := range c.Services[name].DependsOn {
 			dependents[dependency] = append(dependents[dependency], name)
 		}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -78,9 +78,9 @@
 	DefaultCustomer Customer
 	RefuseUnlisted  bool
 	Services        map[string]*Service
-	// Names lists the services in the order of the text.
-	Names   []string
-	Bundles map[core.BundleID]*Bundle
+	// ServiceNames lists the services in the order of the text.
+	ServiceNames []string
+	Bundles      map[core.BundleID]*Bundle
 }
 
 // Customer returns the share of the named customer; false when the text
--- a/internal/catalog/dependencies.go
+++ b/internal/catalog/dependencies.go
@@ -8,7 +8,7 @@
 
 // dependencies replaces group names by their services and checks each name.
 func (b *builder) dependencies() {
-	for _, name := range b.catalog.Names {
+	for _, name := range b.catalog.ServiceNames {
 		service := b.catalog.Services[name]
 		service.DependsOn = b.expand(service.DependsOn)
 		for _, dependency := range service.DependsOn {
@@ -76,7 +76,7 @@
 		delete(place, name)
 		done[name] = true
 	}
-	for _, name := range b.catalog.Names {
+	for _, name := range b.catalog.ServiceNames {
 		visit(name)
 	}
 }
--- a/internal/catalog/diff.go
+++ b/internal/catalog/diff.go
@@ -10,16 +10,16 @@
 
 // Difference is what a change from one text to another does.
 type Difference struct {
-	ServicesAdded   []string        `json:"services_added"`
-	ServicesRemoved []string        `json:"services_removed"`
-	ServicesChanged []ServiceChange `json:"services_changed"`
-	ShardsAdded     []string        `json:"shards_added"`
-	ShardsRemoved   []string        `json:"shards_removed"`
-	ReplicasAdded   []ReplicaPlace  `json:"replicas_added"`
-	ReplicasRemoved []ReplicaPlace  `json:"replicas_removed"`
+	ServicesAdded   []string           `json:"services_added"`
+	ServicesRemoved []string           `json:"services_removed"`
+	ServicesChanged []ServiceChange    `json:"services_changed"`
+	ShardsAdded     []string           `json:"shards_added"`
+	ShardsRemoved   []string           `json:"shards_removed"`
+	ReplicasAdded   []ReplicaPlacement `json:"replicas_added"`
+	ReplicasRemoved []ReplicaPlacement `json:"replicas_removed"`
 	// DrainsBegun and DrainsEnded are replicas that stay in the text.
-	DrainsBegun []ReplicaPlace `json:"drains_begun"`
-	DrainsEnded []ReplicaPlace `json:"drains_ended"`
+	DrainsBegun []ReplicaPlacement `json:"drains_begun"`
+	DrainsEnded []ReplicaPlacement `json:"drains_ended"`
 	// BundlesMoved lists the bundles whose shards or data centre differ, also
 	// those that are new or gone: their owners may change.
 	BundlesMoved []BundleChange  `json:"bundles_moved"`
@@ -42,8 +42,8 @@
 	After  string `json:"after"`
 }
 
-// ReplicaPlace is a replica and the shard that it serves.
-type ReplicaPlace struct {
+// ReplicaPlacement is a replica and the shard that it serves.
+type ReplicaPlacement struct {
 	Shard      string `json:"shard"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
@@ -77,13 +77,13 @@
 }
 
 func (d *Difference) services(before, after *Catalog) {
-	for _, name := range before.Names {
+	for _, name := range before.ServiceNames {
 		if after.Services[name] == nil {
 			d.ServicesRemoved = append(d.ServicesRemoved, name)
 		}
 		d.ShardsRemoved = append(d.ShardsRemoved, shardsMissing(before.Services[name], after)...)
 	}
-	for _, name := range after.Names {
+	for _, name := range after.ServiceNames {
 		d.ShardsAdded = append(d.ShardsAdded, shardsMissing(after.Services[name], before)...)
 		former := before.Services[name]
 		if former == nil {
@@ -109,19 +109,19 @@
 
 // placed is a replica with its place, by which two texts are compared.
 type placed struct {
-	place    ReplicaPlace
+	place    ReplicaPlacement
 	draining bool
 }
 
 func (d *Difference) replicas(before, after *Catalog) {
 	old, now := before.placed(), after.placed()
-	present := map[ReplicaPlace]bool{}
-	draining := map[ReplicaPlace]bool{}
+	present := map[ReplicaPlacement]bool{}
+	draining := map[ReplicaPlacement]bool{}
 	for _, replica := range old {
 		present[replica.place] = true
 		draining[replica.place] = replica.draining
 	}
-	kept := map[ReplicaPlace]bool{}
+	kept := map[ReplicaPlacement]bool{}
 	for _, replica := range now {
 		kept[replica.place] = true
 		switch {
@@ -142,10 +142,10 @@
 
 func (c *Catalog) placed() []placed {
 	var list []placed
-	for _, name := range c.Names {
+	for _, name := range c.ServiceNames {
 		for _, shard := range c.Services[name].Shards {
 			for _, replica := range shard.Replicas {
-				list = append(list, placed{ReplicaPlace{shard.Ref.String(), replica.Address, replica.DataCentre}, replica.Draining})
+				list = append(list, placed{ReplicaPlacement{shard.Ref.String(), replica.Address, replica.DataCentre}, replica.Draining})
 			}
 		}
 	}
--- a/internal/catalog/examples_test.go
+++ b/internal/catalog/examples_test.go
@@ -30,7 +30,7 @@
 	for _, c := range cases {
 		parsed, err := Parse(example(t, c.file))
 		require.NoError(t, err, c.file)
-		assert.Len(t, parsed.Names, 52, c.file)
+		assert.Len(t, parsed.ServiceNames, 52, c.file)
 		replicas, dataCentres := 0, map[string]bool{}
 		for _, service := range parsed.Services {
 			for _, shard := range service.Shards {
--- a/internal/catalog/parse.go
+++ b/internal/catalog/parse.go
@@ -83,7 +83,7 @@
 	for i := range b.written.Groups {
 		b.group(fmt.Sprintf("groups[%d]", i), &b.written.Groups[i])
 	}
-	if len(b.catalog.Names) == 0 {
+	if len(b.catalog.ServiceNames) == 0 {
 		b.doc.Report("services", "no service is written", "write at least one service or group")
 	}
 	b.dependencies()
--- a/internal/catalog/service.go
+++ b/internal/catalog/service.go
@@ -64,7 +64,7 @@
 		b.doc.Report(key+".slots", fmt.Sprintf("%d slots need more than %d connections", service.Slots, service.Connections), "raise connections or lower slots")
 	}
 	b.catalog.Services[service.Name] = service
-	b.catalog.Names = append(b.catalog.Names, service.Name)
+	b.catalog.ServiceNames = append(b.catalog.ServiceNames, service.Name)
 	b.keys[service.Name] = key
 }
 
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -33,11 +33,11 @@
 }
 
 type explainedService struct {
-	Name        string                 `json:"name"`
-	Index       string                 `json:"index"`
-	Slots       int                    `json:"slots"`
-	Connections int                    `json:"connections"`
-	Replicas    []catalog.ReplicaPlace `json:"replicas"`
+	Name        string                     `json:"name"`
+	Index       string                     `json:"index"`
+	Slots       int                        `json:"slots"`
+	Connections int                        `json:"connections"`
+	Replicas    []catalog.ReplicaPlacement `json:"replicas"`
 
 	source *catalog.Service
 }
@@ -66,7 +66,7 @@
 	if err != nil {
 		return refuse(path, err, asJSON, out)
 	}
-	report := checkReport{File: path, Valid: true, Services: len(parsed.Names), Bundles: len(parsed.Bundles), Customers: len(parsed.Customers)}
+	report := checkReport{File: path, Valid: true, Services: len(parsed.ServiceNames), Bundles: len(parsed.Bundles), Customers: len(parsed.Customers)}
 	if explain != "" {
 		report.Explained, err = explainService(parsed, explain)
 		if err != nil {
@@ -105,7 +105,7 @@
 		one := explainedService{Name: service.Name, Index: service.Index, Slots: service.Slots, Connections: service.Connections, source: service}
 		for _, shard := range service.Shards {
 			for _, replica := range shard.Replicas {
-				one.Replicas = append(one.Replicas, catalog.ReplicaPlace{Shard: shard.Ref.String(), Address: replica.Address, DataCentre: replica.DataCentre})
+				one.Replicas = append(one.Replicas, catalog.ReplicaPlacement{Shard: shard.Ref.String(), Address: replica.Address, DataCentre: replica.DataCentre})
 			}
 		}
 		explained.Shards += len(service.Shards)
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -82,9 +82,9 @@
 	}
 	for _, node := range []string{"vm-1", "vm-2"} {
 		pair := keys.Pair{Certificate: read(node + ".crt"), Key: read(node + ".key")}
-		_, err := keys.Config(read("authority.crt"), pair)
+		_, err := keys.TLSConfig(read("authority.crt"), pair)
 		require.NoError(t, err)
-		name, err := keys.Name(pair.Certificate)
+		name, err := keys.CommonName(pair.Certificate)
 		require.NoError(t, err)
 		require.Equal(t, node, name)
 	}
--- a/internal/command/diff.go
+++ b/internal/command/diff.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func printReplicas(out io.Writer, what string, places []catalog.ReplicaPlace) {
+func printReplicas(out io.Writer, what string, places []catalog.ReplicaPlacement) {
 	for _, place := range places {
 		fmt.Fprintf(out, "%s: %s of %s %s\n", what, place.Address, place.Shard, place.DataCentre)
 	}
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -70,7 +70,7 @@
 		if err != nil {
 			return err
 		}
-		name, err := keys.Name(text)
+		name, err := keys.CommonName(text)
 		if err != nil {
 			return err
 		}
--- a/internal/confwatch/asks.go
+++ b/internal/confwatch/asks.go
@@ -39,7 +39,7 @@
 	node   route.Node
 	have   config.Mark
 	at     core.Time
-	ticket peer.Ticket
+	ticket peer.Canceller
 }
 
 // ask sends a request. Its answer comes as an event.
@@ -63,7 +63,7 @@
 	w.asks[one.id] = one
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_ConfigRequest{ConfigRequest: request}}
 	id := one.id
-	one.ticket = w.Peers.Ask(peer.Target{Node: node.ID, Address: node.PeerAddress}, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
+	one.ticket = w.Peers.Send(peer.Target{Node: node.ID, Address: node.PeerAddress}, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
 		w.events.TryPut(answer{ask: id, reply: reply.GetConfigReply()})
 	})
 }
--- a/internal/confwatch/confwatch.go
+++ b/internal/confwatch/confwatch.go
@@ -42,7 +42,7 @@
 	DataCentre string
 	Service    Reader
 	Belief     *belief.Store
-	Peers      peer.Asker
+	Peers      peer.Sender
 	Now        func() core.Time
 	Log        logrus.FieldLogger
 	Problems   *observe.Problems
--- a/internal/confwatch/serve.go
+++ b/internal/confwatch/serve.go
@@ -25,11 +25,11 @@
 // Handle takes a ConfigRequest. It does not block.
 func (w *Watcher) Handle(inbound *peer.Inbound) {
 	if w.ctx.Err() != nil {
-		inbound.Reply(peer.Refused(core.ReasonDraining), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonDraining), true)
 		return
 	}
 	if !w.events.TryPut(request{inbound}) {
-		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonOverloaded), true)
 	}
 }
 
@@ -76,7 +76,7 @@
 	case w.knowsRefusalAbove(refused):
 		r.inbound.Reply(w.unchanged(), true)
 	case wait > 0 && len(w.parked) >= maxParked:
-		r.inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
+		r.inbound.Reply(peer.NewRefusal(core.ReasonOverloaded), true)
 	case wait > 0:
 		w.parked = append(w.parked, &parked{r.inbound, have, refused, w.Now() + wait})
 	default:
@@ -111,7 +111,7 @@
 
 func (w *Watcher) refuseParked() {
 	w.keepParked(func(p *parked) bool {
-		p.inbound.Reply(peer.Refused(core.ReasonDraining), true)
+		p.inbound.Reply(peer.NewRefusal(core.ReasonDraining), true)
 		return false
 	})
 }
--- a/internal/confwatch/world_test.go
+++ b/internal/confwatch/world_test.go
@@ -266,9 +266,9 @@
 
 func (t ticket) Cancel() { t.cancel() }
 
-// Ask implements peer.Asker. A node that is cut off is noticed only after the
+// Send implements peer.Sender. A node that is cut off is noticed only after the
 // dial's time, and what is under way then is lost without a word.
-func (n *node) Ask(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+func (n *node) Send(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	w := n.world
 	ctx, cancel := context.WithCancel(context.Background())
 	w.count(n.ID, request)
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -43,7 +43,7 @@
 	apart bool
 	// heard is set once the helper has replied.
 	heard  atomic.Bool
-	ticket peer.Ticket
+	ticket peer.Canceller
 
 	mutex sync.Mutex
 	// members are the sends that have not ended, by id.
@@ -188,7 +188,7 @@
 		message.Sends = append(message.Sends, &peerpb.DelegatedSend{Id: uint32(one.send.ID), Service: to.Service, Replica: to.ID, Address: to.Address, Born: to.Born})
 	}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_DelegateRequest{DelegateRequest: message}}
-	g.ticket = q.node.pool.Ask(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	g.ticket = q.node.pool.Send(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		q.helperReplied(g, reply, failure)
 	})
 	go q.endGroup(g)
--- a/internal/edge/delegated.go
+++ b/internal/edge/delegated.go
@@ -29,7 +29,7 @@
 func (n *Node) handleDelegate(inbound *peer.Inbound) {
 	if n.delegated.Add(1) > maxDelegated {
 		n.delegated.Add(-1)
-		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonOverloaded), true)
 		return
 	}
 	go func() {
@@ -43,7 +43,7 @@
 	message := inbound.Envelope.GetDelegateRequest()
 	q := n.delegatedRequest(message)
 	if q == nil {
-		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
 		return
 	}
 	ctx, cancel := context.WithDeadline(inbound.Context, time.Now().Add(q.plan.Deadline-n.now()))
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -218,8 +218,8 @@
 	watch("replica_connections_opened_total", n.replicas.Opened)
 	watch("replica_connection_waiters", func() int64 { return int64(n.replicas.Waiting()) })
 	watch("log_lines_dropped_total", n.log.Dropped)
-	watch("peer_links", func() int64 { return int64(n.pool.Links()) })
-	watch("peer_links_inbound", n.server.Links)
+	watch("peer_links", func() int64 { return int64(n.pool.LinkCount()) })
+	watch("peer_links_inbound", n.server.LinkCount)
 	watch("nodes_live", func() int64 { return int64(len(n.view().Nodes())) })
 	watch("data_centres_evacuated", func() (count int64) {
 		n.beliefs.note(func(book *replica.Table, _ core.Time) { count = int64(len(book.Evacuated())) })
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -140,7 +140,7 @@
 func (n *Node) start(context.Context) error {
 	s := n.settings.Load()
 	n.log.Life("node_started", decisionlog.Fields{"data_centre": s.DataCentre, "callers": s.CallerAddress, "peers": s.PeerAddress, "seeds": s.Seeds, "stop_wait_ms": s.StopWait.Milliseconds()})
-	tlsConfig, err := keys.Ephemeral(s.PeerAddress, time.Now())
+	tlsConfig, err := keys.EphemeralTLSConfig(s.PeerAddress, time.Now())
 	if err != nil {
 		return fault.Step("make the node's key", err)
 	}
@@ -172,10 +172,10 @@
 	var err error
 	// An address that cannot be taken apart leaves the choice to the kernel, and fails below.
 	host, _, _ := net.SplitHostPort(s.PeerAddress)
-	if n.pool, err = peer.NewPoolFrom(tlsConfig, n.identity, n, net.ParseIP(host)); err != nil {
+	if n.pool, err = peer.NewPoolWithSource(tlsConfig, n.identity, n, net.ParseIP(host)); err != nil {
 		return fault.Step("open peer pool", err)
 	}
-	n.pool.KeepIdle(idleLink)
+	n.pool.SetLinkIdleTimeout(idleLink)
 	n.pool.OnBytes(n.sentToNode)
 	if n.server, err = peer.Listen(s.PeerListen, tlsConfig, n.identity, n); err != nil {
 		return fault.Step("listen for peers", err)
@@ -234,8 +234,8 @@
 }
 
 // linkNews takes the evidence of data traffic about the node behind a link.
-func (n *Node) linkNews(news peer.LinkNews) {
-	if news.State == peer.LinkAnswers {
+func (n *Node) linkNews(news peer.LinkEvent) {
+	if news.State == peer.LinkAnswering {
 		n.members.Answered(news.Peer.Node)
 		return
 	}
@@ -275,7 +275,7 @@
 func (n *Node) Handle(inbound *peer.Inbound) {
 	switch {
 	case !n.ready.Load():
-		inbound.Reply(peer.Refused(core.ReasonPeerUnreached), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonPeerUnreached), true)
 	case inbound.Envelope.GetHeartbeat() != nil:
 		n.members.HandleHeartbeat(inbound)
 	case inbound.Envelope.GetMirrorRequest() != nil:
@@ -285,7 +285,7 @@
 	case inbound.Envelope.GetQuarantineNews() != nil:
 		n.quarantine.Handle(inbound)
 	default:
-		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -69,7 +69,7 @@
 	Self        core.NodeID
 	Incarnation uint64
 	Belief      *belief.Store
-	Peers       peer.Asker
+	Peers       peer.Sender
 	// Now reads the node's monotonic clock.
 	Now      func() core.Time
 	Log      logrus.FieldLogger
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -47,17 +47,17 @@
 // nodes answers by the node that is asked.
 type nodes map[core.NodeID]owners
 
-// Ask implements peer.Asker.
-func (n nodes) Ask(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
-	return n[target.Node].Ask(target, request, sink)
+// Send implements peer.Sender.
+func (n nodes) Send(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
+	return n[target.Node].Send(target, request, sink)
 }
 
 type noTicket struct{}
 
 func (noTicket) Cancel() {}
 
-// Ask implements peer.Asker.
-func (o owners) Ask(_ peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+// Send implements peer.Sender.
+func (o owners) Send(_ peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	o(request.GetBundleRequest(), sink)
 	return noTicket{}
 }
@@ -95,7 +95,7 @@
 	metrics  observe.Registry
 }
 
-func start(t *testing.T, first *belief.Config, peers peer.Asker, alter ...func(*Options)) *fixture {
+func start(t *testing.T, first *belief.Config, peers peer.Sender, alter ...func(*Options)) *fixture {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -315,7 +315,7 @@
 	f = start(t, config(t, 1, 2), nodes{
 		"vm-1": func(_ *peerpb.BundleRequest, sink peer.Sink) {
 			f.belief.SetView(route.NewView([]route.Node{{ID: "vm-2"}}))
-			refused := peer.Refused(core.ReasonNotOwner)
+			refused := peer.NewRefusal(core.ReasonNotOwner)
 			refused.Last = true
 			sink(refused, nil)
 		},
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -83,7 +83,7 @@
 type open struct {
 	begun
 	machine *query.Machine
-	tickets map[query.SendID]peer.Ticket
+	tickets map[query.SendID]peer.Canceller
 }
 
 func newLoop(ctx context.Context, options Options, shared *shared) *loop {
@@ -162,7 +162,7 @@
 			Budget:        customerBudget{group: l.budget, customer: e.question.Customer},
 			Precautions:   precautions,
 		}),
-		tickets: map[query.SendID]peer.Ticket{},
+		tickets: map[query.SendID]peer.Canceller{},
 	}
 	l.step(e.id, query.Started{})
 }
@@ -287,7 +287,7 @@
 	target := peer.Target{Node: node.ID, Address: node.PeerAddress}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_BundleRequest{BundleRequest: message}}
 	replies := &replies{loop: l, deadline: q.deadline, asking: true}
-	q.tickets[a.ID] = l.options.Peers.Ask(target, envelope, l.sink(q, a, replies))
+	q.tickets[a.ID] = l.options.Peers.Send(target, envelope, l.sink(q, a, replies))
 	l.own = append(l.own, replies.asked()...)
 }
 
--- a/internal/experiment/slopes_node.go
+++ b/internal/experiment/slopes_node.go
@@ -66,15 +66,15 @@
 
 func (noTicket) Cancel() {}
 
-// Ask implements peer.Asker.
-func (p instantPeers) Ask(_ peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+// Send implements peer.Sender.
+func (p instantPeers) Send(_ peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	if !p.silent {
 		answerAll(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
 	}
 	return noTicket{}
 }
 
-func newEntry(text []byte, peers peer.Asker) (*entry.Entry, error) {
+func newEntry(text []byte, peers peer.Sender) (*entry.Entry, error) {
 	p, err := newParts(text)
 	if err != nil {
 		return nil, err
--- a/internal/experiment/slopes_peer.go
+++ b/internal/experiment/slopes_peer.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return keys.Config(l.authority.Certificate, pair)
+	return keys.TLSConfig(l.authority.Certificate, pair)
 }
 
 func (l *links) serve(count int) error {
@@ -161,7 +161,7 @@
 	for i := range parts / bundle {
 		slots <- struct{}{}
 		open.Add(1)
-		l.pool.Ask(targets[i%len(targets)], exampleRequest(bundle), func(reply *peerpb.Envelope, failure *peer.LinkError) {
+		l.pool.Send(targets[i%len(targets)], exampleRequest(bundle), func(reply *peerpb.Envelope, failure *peer.LinkError) {
 			if failure == nil && !reply.GetLast() {
 				return
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -102,7 +102,7 @@
 		EntriesTTL:      entriesTTL,
 		TLS:             settings.TLS{Authority: string(f.authority.Certificate), Certificate: string(pair.Certificate), Key: string(pair.Key)},
 	}
-	settings.Fill(s)
+	settings.ApplyDefaults(s)
 	if f.alter != nil {
 		f.alter(s)
 	}
--- a/internal/fleet/shape.go
+++ b/internal/fleet/shape.go
@@ -84,7 +84,7 @@
 // number of replicas of its first one.
 func ShapeOf(text *catalog.Catalog) Shape {
 	shape := Shape{Versions: []uint64{41, 42}, Time: DefaultServiceTime()}
-	for _, name := range text.Names {
+	for _, name := range text.ServiceNames {
 		service := text.Services[name]
 		shape.Services = append(shape.Services, ServiceShape{
 			Name:        name,
--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -137,7 +137,7 @@
 
 func ask(pool *peer.Pool, node route.Node, out chan<- answer) {
 	request := &peerpb.Envelope{Body: &peerpb.Envelope_ProblemsRequest{ProblemsRequest: &peerpb.ProblemsRequest{}}}
-	pool.Ask(peer.Target{Node: node.ID, Address: node.PeerAddress}, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	pool.Send(peer.Target{Node: node.ID, Address: node.PeerAddress}, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		got := answer{reply: reply.GetProblemsReply()}
 		switch {
 		case failure != nil:
--- a/internal/home/handover.go
+++ b/internal/home/handover.go
@@ -103,7 +103,7 @@
 	replies := make(chan int, 1)
 	message := &peerpb.HandoverRequest{Node: string(h.options.Self), Finished: finished}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_HandoverRequest{HandoverRequest: message}}
-	ticket := h.options.Peers.Ask(to, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
+	ticket := h.options.Peers.Send(to, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
 		select {
 		case replies <- int(reply.GetHandoverReply().GetTaken()):
 		default:
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -30,7 +30,7 @@
 type Options struct {
 	Self   core.NodeID
 	Belief *belief.Store
-	Peers  peer.Asker
+	Peers  peer.Sender
 	// Now reads the node's monotonic clock.
 	Now    func() core.Time
 	Log    logrus.FieldLogger
@@ -91,14 +91,14 @@
 		return
 	}
 	if !h.loop.events.TryPut(arrived{inbound: inbound, key: key, at: at}) {
-		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonOverloaded), true)
 	}
 }
 
 // HandleHandover takes the outcomes of a home that stops.
 func (h *Home) HandleHandover(inbound *peer.Inbound) {
 	if !h.loop.events.TryPut(handedOver{inbound: inbound}) {
-		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonOverloaded), true)
 	}
 }
 
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -44,7 +44,7 @@
 
 func (noTicket) Cancel() {}
 
-func (f *fakePeers) Ask(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+func (f *fakePeers) Send(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	message := request.GetSubmitRequest()
 	if !message.GetToOwner() {
 		f.home.HandleSubmit(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
--- a/internal/home/loop.go
+++ b/internal/home/loop.go
@@ -53,7 +53,7 @@
 	events  *ring.Ring[event]
 	ledger  *once.Ledger
 	waiters map[once.WaiterID]waiter
-	tickets map[once.SendID]peer.Ticket
+	tickets map[once.SendID]peer.Canceller
 	next    once.WaiterID
 	wakeAt  core.Time
 	idle    chan<- struct{}
@@ -67,7 +67,7 @@
 		events:  ring.New[event](ringDepth),
 		ledger:  once.NewLedger(issuer, options.Limits),
 		waiters: map[once.WaiterID]waiter{},
-		tickets: map[once.SendID]peer.Ticket{},
+		tickets: map[once.SendID]peer.Canceller{},
 		gauges:  newLedgerGauges(options.Metrics),
 	}
 }
--- a/internal/home/paired_test.go
+++ b/internal/home/paired_test.go
@@ -40,9 +40,9 @@
 	asks map[core.NodeID]int
 }
 
-// Ask implements peer.Asker. What is under way when the link is cut may have
+// Send implements peer.Sender. What is under way when the link is cut may have
 // arrived; what comes later has not.
-func (p *pair) Ask(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+func (p *pair) Send(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	if !request.GetSubmitRequest().GetToOwner() {
 		p.home.HandleSubmit(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
 		return noTicket{}
--- a/internal/home/send.go
+++ b/internal/home/send.go
@@ -56,7 +56,7 @@
 		ToOwner:    true,
 	}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_SubmitRequest{SubmitRequest: message}}
-	l.tickets[a.Send] = l.options.Peers.Ask(to.owner, envelope, l.sink(a))
+	l.tickets[a.Send] = l.options.Peers.Send(to.owner, envelope, l.sink(a))
 }
 
 func notSent(a once.Send, err error) once.SendEnded {
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -89,7 +89,7 @@
 		return once.HolderResult{Outcome: core.NotRun}, true
 	}
 	ends := make(chan once.HolderResult, 1)
-	ticket := s.home.options.Peers.Ask(target(node), s.envelope(), func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	ticket := s.home.options.Peers.Send(target(node), s.envelope(), func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
 		case ends <- toAnswered(reply, failure):
 		default:
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -97,9 +97,9 @@
 	return sign(template, a.certificate, key, a.key)
 }
 
-// Config builds the TLS configuration of a node, for both ends of a peer
+// TLSConfig builds the TLS configuration of a node, for both ends of a peer
 // connection. Both ends must show a certificate of the authority.
-func Config(authority []byte, node Pair) (*tls.Config, error) {
+func TLSConfig(authority []byte, node Pair) (*tls.Config, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
 		return nil, tlsFault("the authority PEM holds no certificate", nil)
@@ -163,8 +163,8 @@
 	return from, until, err
 }
 
-// Name returns the common name of the first certificate of a PEM text.
-func Name(certificate []byte) (string, error) {
+// CommonName returns the common name of the first certificate of a PEM text.
+func CommonName(certificate []byte) (string, error) {
 	parsed, err := first(certificate)
 	if err != nil {
 		return "", err
@@ -223,11 +223,11 @@
 // the key.
 const ephemeralLife = 10 * 365 * 24 * time.Hour
 
-// Ephemeral builds the TLS configuration of a node where no operator issues
+// EphemeralTLSConfig builds the TLS configuration of a node where no operator issues
 // certificates. Each process signs its own, and any is accepted. This keeps the
 // links' contents from who only listens and ties a link to one process; it does
 // not tell a node from an intruder who can reach its port.
-func Ephemeral(id string, now time.Time) (*tls.Config, error) {
+func EphemeralTLSConfig(id string, now time.Time) (*tls.Config, error) {
 	authority, err := NewAuthority(now.Add(-ephemeralLife), 2*ephemeralLife)
 	if err != nil {
 		return nil, err
@@ -236,7 +236,7 @@
 	if err != nil {
 		return nil, err
 	}
-	config, err := Config(authority.Certificate, pair)
+	config, err := TLSConfig(authority.Certificate, pair)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -19,14 +19,14 @@
 	message := Decode(heartbeat)
 	if message.From.ID != inbound.From.Node {
 		// Only the node that its certificate names speaks for itself.
-		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
 		return
 	}
 	d.heard(message, heartbeat.GetQuarantine())
 	ticket := d.keep(inbound)
 	if !d.events.TryPut(member.HeartbeatReceived{ReplyID: ticket, Message: message}) {
 		d.take(ticket)
-		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonOverloaded), true)
 	}
 }
 
@@ -70,7 +70,7 @@
 func (d *Duty) send(a member.Send) {
 	envelope := d.heartbeat(a.Message)
 	target := peer.Target{Node: a.To.ID, Address: a.To.PeerAddress}
-	ticket := d.options.Peers.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	ticket := d.options.Peers.Send(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		if failure != nil || reply.GetHeartbeat() == nil {
 			d.events.TryPut(member.ProbeFailed{Probe: a.Probe})
 			return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -36,7 +36,7 @@
 	// List is read for the nodes that there may be.
 	List   Lister
 	Belief *belief.Store
-	Peers  peer.Asker
+	Peers  peer.Sender
 	// Now reads the node's monotonic clock.
 	Now      func() core.Time
 	Log      logrus.FieldLogger
@@ -78,7 +78,7 @@
 
 // asked is a heartbeat that was handed to the peers' pool.
 type asked struct {
-	ticket peer.Ticket
+	ticket peer.Canceller
 	at     core.Time
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -38,7 +38,7 @@
 
 func (noTicket) Cancel() {}
 
-func (o *others) Ask(target peer.Target, _ *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+func (o *others) Send(target peer.Target, _ *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	if o.quiet.Load() {
 		return noTicket{}
 	}
--- a/internal/mirror/peers.go
+++ b/internal/mirror/peers.go
@@ -20,7 +20,7 @@
 const unconfirmed = time.Hour
 
 // Links asks peers for their copies.
-type Links struct{ Asker peer.Asker }
+type Links struct{ Asker peer.Sender }
 
 // Fetch is Peers.Fetch over the links between nodes.
 func (l Links) Fetch(ctx context.Context, from peer.Target, reached Reached, waiting time.Duration) (Delta, time.Duration, error) {
@@ -35,7 +35,7 @@
 		failure *peer.LinkError
 	}
 	answers := make(chan answer, 1)
-	ticket := l.Asker.Ask(from, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	ticket := l.Asker.Send(from, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
 		case answers <- answer{reply, failure}:
 		default:
@@ -110,7 +110,7 @@
 			s.answer(inbound)
 		}()
 	default:
-		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonOverloaded), true)
 	}
 }
 
--- a/internal/night/owned.go
+++ b/internal/night/owned.go
@@ -64,7 +64,7 @@
 // targets lists the replicas of the node's bundles, in the order of the text.
 func (o *owners) targets(text *catalog.Catalog, self core.NodeID) []night.Target {
 	var list []night.Target
-	for _, name := range text.Names {
+	for _, name := range text.ServiceNames {
 		for _, shard := range text.Services[name].Shards {
 			bundle := text.Bundles[shard.Bundle]
 			if o.owners[place{bundle.ID, bundle.DataCentre}].ID != self {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -146,13 +146,13 @@
 // refusePaused refuses work while the beliefs may have expired. The reason makes
 // the entry ask the next node of the bundle's order.
 func refusePaused(inbound *peer.Inbound) {
-	reply := peer.Refused(core.ReasonPeerUnreached)
+	reply := peer.NewRefusal(core.ReasonPeerUnreached)
 	reply.GetRefusal().RetryAfterMs = uint64(pausedRetryAfter.Milliseconds())
 	inbound.Reply(reply, true)
 }
 
 func refuse(inbound *peer.Inbound, reason core.Reason, view uint64) {
-	reply := peer.Refused(reason)
+	reply := peer.NewRefusal(reason)
 	reply.GetRefusal().View = view
 	inbound.Reply(reply, true)
 }
--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -16,7 +16,7 @@
 	require.NoError(b, err)
 	pair, err := authority.Issue("b", time.Now(), time.Hour)
 	require.NoError(b, err)
-	config, err := keys.Config(authority.Certificate, pair)
+	config, err := keys.TLSConfig(authority.Certificate, pair)
 	require.NoError(b, err)
 	server, err := Listen("127.0.0.1:0", config, Identity{Node: "b", Incarnation: 1}, HandlerFunc(echo))
 	require.NoError(b, err)
--- a/internal/peer/hostile_test.go
+++ b/internal/peer/hostile_test.go
@@ -29,7 +29,7 @@
 
 var mirror = HandlerFunc(func(inbound *Inbound) {
 	if inbound.Envelope.GetBody() == nil {
-		inbound.Reply(Refused(core.ReasonNotAsked), true)
+		inbound.Reply(NewRefusal(core.ReasonNotAsked), true)
 		return
 	}
 	inbound.Reply(&peerpb.Envelope{Body: inbound.Envelope.GetBody()}, true)
@@ -52,7 +52,7 @@
 	target := Target{Node: "a", Address: server.Address()}
 	asked := func(envelope *peerpb.Envelope) received {
 		replies := make(chan received, 1)
-		pool.Ask(target, envelope, func(reply *peerpb.Envelope, failure *LinkError) { replies <- received{reply, failure} })
+		pool.Send(target, envelope, func(reply *peerpb.Envelope, failure *LinkError) { replies <- received{reply, failure} })
 		return await(t, replies)
 	}
 	heartbeat := &peerpb.Heartbeat{Node: "b"}
@@ -138,7 +138,7 @@
 	for _, envelope := range []*peerpb.Envelope{
 		helloEnvelope(Identity{Node: "a", Incarnation: 1}),
 		newer(&peerpb.Envelope{Id: 7, Last: true}, newBody),
-		newer(Refused(core.ReasonNotOwner), newField),
+		newer(NewRefusal(core.ReasonNotOwner), newField),
 		{Id: 1, Body: &peerpb.Envelope_BundleRequest{BundleRequest: &peerpb.BundleRequest{Customer: "c", Asks: []*peerpb.ShardAsk{{Service: "s"}}}}},
 	} {
 		var seed bytes.Buffer
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -104,17 +104,17 @@
 // Unwrap returns the cause.
 func (e *LinkError) Unwrap() error { return e.Cause }
 
-// Asker sends requests to peers.
-type Asker interface {
-	// Ask queues a request and returns at once; the ticket withdraws it.
-	Ask(target Target, request *peerpb.Envelope, sink Sink) Ticket
+// Sender sends requests to peers.
+type Sender interface {
+	// Send queues a request and returns at once; the ticket withdraws it.
+	Send(target Target, request *peerpb.Envelope, sink Sink) Canceller
 }
 
-// Ticket withdraws a request. Its sink may still be called once more.
-type Ticket interface{ Cancel() }
+// Canceller withdraws a request. Its sink may still be called once more.
+type Canceller interface{ Cancel() }
 
-// Refused makes the reply that a whole request was not run.
-func Refused(reason core.Reason) *peerpb.Envelope {
+// NewRefusal makes the reply that a whole request was not run.
+func NewRefusal(reason core.Reason) *peerpb.Envelope {
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Refusal{Refusal: &peerpb.Refusal{Reason: string(reason)}}}
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	pair, err := authority.Issue(string(id), time.Now(), time.Hour)
 	require.NoError(t, err)
-	config, err := keys.Config(authority.Certificate, pair)
+	config, err := keys.TLSConfig(authority.Certificate, pair)
 	require.NoError(t, err)
 	server, err := Listen("127.0.0.1:0", config, Identity{Node: id, Incarnation: 1}, handler)
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	t.Helper()
 	pair, err := authority.Issue(string(id), time.Now(), time.Hour)
 	require.NoError(t, err)
-	config, err := keys.Config(authority.Certificate, pair)
+	config, err := keys.TLSConfig(authority.Certificate, pair)
 	require.NoError(t, err)
 	pool, err := NewPool(config, Identity{Node: id, Incarnation: 1}, nil)
 	require.NoError(t, err)
@@ -50,9 +50,9 @@
 	failure *LinkError
 }
 
-func ask(pool *Pool, target Target) (<-chan received, Ticket) {
+func ask(pool *Pool, target Target) (<-chan received, Canceller) {
 	replies := make(chan received, 8)
-	ticket := pool.Ask(target, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: &peerpb.Heartbeat{Node: "a"}}},
+	ticket := pool.Send(target, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: &peerpb.Heartbeat{Node: "a"}}},
 		func(reply *peerpb.Envelope, failure *LinkError) { replies <- received{reply, failure} })
 	return replies, ticket
 }
@@ -131,7 +131,7 @@
 	pool := startPool(t, authority, "a")
 	replies := make(chan received, requests)
 	for range requests {
-		pool.Ask(Target{Node: "b", Address: server.Address()}, &peerpb.Envelope{Body: &peerpb.Envelope_SubmitRequest{SubmitRequest: &peerpb.SubmitRequest{}}},
+		pool.Send(Target{Node: "b", Address: server.Address()}, &peerpb.Envelope{Body: &peerpb.Envelope_SubmitRequest{SubmitRequest: &peerpb.SubmitRequest{}}},
 			func(reply *peerpb.Envelope, failure *LinkError) { replies <- received{reply, failure} })
 	}
 	var open []*Inbound
@@ -143,7 +143,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
 	defer cancel()
-	server.Finish(ctx)
+	server.FlushReplies(ctx)
 	require.NoError(t, ctx.Err())
 	require.NoError(t, server.Close())
 	for range requests {
@@ -157,11 +157,11 @@
 	authority := newAuthority(t)
 	server := startServer(t, authority, "a", HandlerFunc(echo))
 	pool := startPool(t, authority, "b")
-	pool.KeepIdle(time.Millisecond)
+	pool.SetLinkIdleTimeout(time.Millisecond)
 	target := Target{Node: "a", Address: server.Address()}
 	for range 2 {
 		replies, _ := ask(pool, target)
 		require.Nil(t, await(t, replies).failure)
-		require.Eventually(t, func() bool { return pool.Links() == 0 && server.Links() == 0 }, awaitLimit, time.Millisecond)
+		require.Eventually(t, func() bool { return pool.LinkCount() == 0 && server.LinkCount() == 0 }, awaitLimit, time.Millisecond)
 	}
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -38,7 +38,7 @@
 	links  map[string]*link
 	// moved are the addresses to which the next link uses a socket of its own.
 	moved  map[string]bool
-	onLink func(LinkNews)
+	onLink func(LinkEvent)
 	done   sync.WaitGroup
 	// broken is told why a link ended, unless the pool was closed.
 	broken func(Target, error)
@@ -47,9 +47,9 @@
 	meter    meter
 }
 
-// KeepIdle sets how long a link without requests is kept. It must be called before the first
+// SetLinkIdleTimeout sets how long a link without requests is kept. It must be called before the first
 // request.
-func (p *Pool) KeepIdle(limit time.Duration) { p.keepIdle = limit }
+func (p *Pool) SetLinkIdleTimeout(limit time.Duration) { p.keepIdle = limit }
 
 // OnBroken sets who is told why a link ended. It must be called before the
 // first request.
@@ -57,13 +57,13 @@
 
 // NewPool makes a pool that asks as self; local serves requests to self.
 func NewPool(tlsConfig *tls.Config, self Identity, local Handler) (*Pool, error) {
-	return NewPoolFrom(tlsConfig, self, local, nil)
+	return NewPoolWithSource(tlsConfig, self, local, nil)
 }
 
-// NewPoolFrom is NewPool with the IP address that its datagrams come from. On a VM with
+// NewPoolWithSource is NewPool with the IP address that its datagrams come from. On a VM with
 // several, the operators' filters then see the one by which the other nodes know this one;
 // nil lets the kernel choose.
-func NewPoolFrom(tlsConfig *tls.Config, self Identity, local Handler, source net.IP) (*Pool, error) {
+func NewPoolWithSource(tlsConfig *tls.Config, self Identity, local Handler, source net.IP) (*Pool, error) {
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: source})
 	if err != nil {
 		return nil, fault.Step("open a socket towards peers", err)
@@ -97,8 +97,8 @@
 	return errors.Join(p.quic.Close(), p.udp.Close())
 }
 
-// Links is the number of peers with a link.
-func (p *Pool) Links() int {
+// LinkCount is the number of peers with a link.
+func (p *Pool) LinkCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.links)
@@ -115,8 +115,8 @@
 	return targets
 }
 
-// Ask implements Asker.
-func (p *Pool) Ask(target Target, request *peerpb.Envelope, sink Sink) Ticket {
+// Send implements Sender.
+func (p *Pool) Send(target Target, request *peerpb.Envelope, sink Sink) Canceller {
 	request.Id = p.nextID.Add(1)
 	if target.Node == p.self.Node {
 		return p.askSelf(request, sink)
@@ -132,7 +132,7 @@
 
 // askSelf hands a request to the local handler. A reply after the ticket was
 // cancelled is dropped, as on a link.
-func (p *Pool) askSelf(request *peerpb.Envelope, sink Sink) Ticket {
+func (p *Pool) askSelf(request *peerpb.Envelope, sink Sink) Canceller {
 	ctx, cancel := context.WithCancel(p.ctx)
 	ticket := localTicket{cancel: cancel}
 	p.local.Handle(NewInbound(ctx, p.self, request, func(reply *peerpb.Envelope) {
--- a/internal/peer/replay_test.go
+++ b/internal/peer/replay_test.go
@@ -20,7 +20,7 @@
 	server := startServer(t, authority, "b", HandlerFunc(func(*Inbound) {}))
 	pair, err := authority.Issue("a", time.Now(), time.Hour)
 	require.NoError(t, err)
-	config, err := keys.Config(authority.Certificate, pair)
+	config, err := keys.TLSConfig(authority.Certificate, pair)
 	require.NoError(t, err)
 	cache := &ticketCache{ClientSessionCache: tls.NewLRUClientSessionCache(1), stored: make(chan struct{}, 8)}
 	config.ClientSessionCache = cache
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -62,18 +62,18 @@
 // Address is the UDP address in use, with the port chosen for port 0.
 func (s *Server) Address() string { return s.udp.LocalAddr().String() }
 
-// Open is the number of peers' questions and must-not-repeat requests that are
+// OpenRequests is the number of peers' questions and must-not-repeat requests that are
 // not yet answered.
-func (s *Server) Open() int { return int(s.open.Load()) }
+func (s *Server) OpenRequests() int { return int(s.open.Load()) }
 
-// Links is the number of peers that have a link to this node.
-func (s *Server) Links() int64 { return s.streams.Load() }
+// LinkCount is the number of peers that have a link to this node.
+func (s *Server) LinkCount() int64 { return s.streams.Load() }
 
-// Finish sends the replies that are queued, ends each stream and waits until the
+// FlushReplies sends the replies that are queued, ends each stream and waits until the
 // peers have read to the end, or the context is over. Closing a connection
 // discards what it has not sent yet: without this, a reply given just before a
 // planned stop would be lost and its request's outcome unknown.
-func (s *Server) Finish(ctx context.Context) {
+func (s *Server) FlushReplies(ctx context.Context) {
 	s.finishOnce.Do(func() { close(s.finish) })
 	for s.streams.Load() > 0 && wait.For(ctx, finishPoll) {
 	}
--- a/internal/peer/silent_test.go
+++ b/internal/peer/silent_test.go
@@ -105,8 +105,8 @@
 	server := startServer(t, authority, "b", HandlerFunc(echo))
 	f := startForwarder(t, server.Address())
 	pool := startPool(t, authority, "a")
-	news := make(chan LinkNews, 64)
-	pool.OnLink(func(one LinkNews) { news <- one })
+	news := make(chan LinkEvent, 64)
+	pool.OnLink(func(one LinkEvent) { news <- one })
 	target := Target{Node: "b", Address: f.socket.LocalAddr().String()}
 
 	replies, _ := ask(pool, target)
--- a/internal/peer/watch.go
+++ b/internal/peer/watch.go
@@ -30,8 +30,8 @@
 
 // The states of a link that are told to the listener.
 const (
-	// LinkAnswers means that a reply came within the last second or so.
-	LinkAnswers LinkState = iota
+	// LinkAnswering means that a reply came within the last second or so.
+	LinkAnswering LinkState = iota
 	// LinkLost means that the link could not be opened or broke.
 	LinkLost
 	// LinkSilent means that the link looked open, answered nothing and was
@@ -39,20 +39,20 @@
 	LinkSilent
 )
 
-// LinkNews is evidence about a peer from requests to it.
-type LinkNews struct {
+// LinkEvent is evidence about a peer from requests to it.
+type LinkEvent struct {
 	Peer  Target
 	State LinkState
 }
 
 // OnLink sets the listener, which must not block.
-func (p *Pool) OnLink(listener func(LinkNews)) {
+func (p *Pool) OnLink(listener func(LinkEvent)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.onLink = listener
 }
 
-func (p *Pool) tell(news LinkNews) {
+func (p *Pool) tell(news LinkEvent) {
 	p.mutex.Lock()
 	listener := p.onLink
 	p.mutex.Unlock()
@@ -129,7 +129,7 @@
 func (p *Pool) look(l *link) {
 	switch l.judge(time.Now()) {
 	case verdictTell:
-		p.tell(LinkNews{Peer: l.target, State: LinkAnswers})
+		p.tell(LinkEvent{Peer: l.target, State: LinkAnswering})
 	case verdictCheck:
 		l.out.TryPut(helloEnvelope(p.self))
 	case verdictSilent:
@@ -200,9 +200,9 @@
 	switch cause {
 	case errIdle:
 	case errSilent:
-		p.tell(LinkNews{Peer: l.target, State: LinkSilent})
+		p.tell(LinkEvent{Peer: l.target, State: LinkSilent})
 	default:
-		p.tell(LinkNews{Peer: l.target, State: LinkLost})
+		p.tell(LinkEvent{Peer: l.target, State: LinkLost})
 	}
 }
 
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -23,7 +23,7 @@
 
 // Links are the other nodes that this one has links to, and asks.
 type Links interface {
-	peer.Asker
+	peer.Sender
 	Linked() []peer.Target
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -111,8 +111,8 @@
 
 func (noTicket) Cancel() {}
 
-// Ask implements peer.Asker. A message that is lost has no reply.
-func (l *links) Ask(to peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+// Send implements peer.Sender. A message that is lost has no reply.
+func (l *links) Send(to peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	number := 0
 	_, _ = fmt.Sscan(string(to.Node), &number)
 	if l.net.passes(l.at, number) {
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -83,7 +83,7 @@
 
 func (d *Duty) ask(target peer.Target, message *peerpb.QuarantineNews) {
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_QuarantineNews{QuarantineNews: message}}
-	d.links.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	d.links.Send(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		// What a lost link did not carry is found by comparing digests.
 		if failure == nil {
 			d.takeUp(target.Node, reply.GetQuarantineNews())
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -8,8 +8,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/once"
 )
 
-// Entry describes one setting. Default is "required" when there is none.
-type Entry struct {
+// Setting describes one setting. Default is "required" when there is none.
+type Setting struct {
 	Key     string `json:"key"`
 	Default string `json:"default"`
 	Unit    string `json:"unit"`
@@ -21,9 +21,9 @@
 const required = "required"
 
 // Reference lists every setting. docs/SETTINGS.md is written from it.
-func Reference() []Entry {
+func Reference() []Setting {
 	limits := once.DefaultLimits()
-	return []Entry{
+	return []Setting{
 		{"node", required, "name", "this node's id, as the VM list and its certificate name it", ""},
 		{"data_centre", required, "name", "the data centre that this VM is in", ""},
 		{"caller_address", required, "IP:PORT, TCP", "where callers ask; port 0 takes a free one", ""},
@@ -37,16 +37,16 @@
 		{"tls.certificate", required, "PEM file or text", "this node's certificate", "certificate_days_left"},
 		{"tls.key", required, "PEM file or text", "this node's private key", ""},
 		{"tls.warn_before", DefaultWarnBefore.String(), "duration", "how long before its end a certificate is reported as a problem", "certificate_days_left"},
-		{"limits.max_body_bytes", fmt.Sprint(DefaultMaxBody), "bytes", "the largest body of a caller's request", "caller_bodies_too_large_total"},
-		{"limits.header_timeout", DefaultHeaderWait.String(), "duration", "the time for a request's headers to arrive", ""},
-		{"limits.body_timeout", DefaultBodyWait.String(), "duration", "the time for a request's body to arrive", "caller_bodies_late_total"},
-		{"limits.idle_timeout", DefaultIdleWait.String(), "duration", "how long an idle caller's connection is kept", "caller_connections"},
+		{"limits.max_body_bytes", fmt.Sprint(DefaultMaxBodyBytes), "bytes", "the largest body of a caller's request", "caller_bodies_too_large_total"},
+		{"limits.header_timeout", DefaultHeaderTimeout.String(), "duration", "the time for a request's headers to arrive", ""},
+		{"limits.body_timeout", DefaultBodyTimeout.String(), "duration", "the time for a request's body to arrive", "caller_bodies_late_total"},
+		{"limits.idle_timeout", DefaultIdleTimeout.String(), "duration", "how long an idle caller's connection is kept", "caller_connections"},
 		{"limits.connections", fmt.Sprint(DefaultConnections), "count", "callers' connections at once; operators have as many of their own", "caller_connections_refused_total"},
 		{"limits.entries", fmt.Sprint(DefaultEntries), "count", "the most addresses in the address answer", ""},
 		{"limits.in_flight", fmt.Sprint(entrylimit.DefaultMaxInFlight), "count", "queries and submits that this entry has in work at once", "entry_in_flight"},
 		{"limits.headroom", fmt.Sprint(entrylimit.DefaultHeadroom), "count", "how many times the free places one customer may hold at this entry", "entry_refused_share_total"},
-		{"probing.report_within", DefaultReport.String(), "duration", "a dead replica without traffic is reported within this time", "probes_total"},
-		{"probing.in_flight", fmt.Sprint(DefaultProbes), "count", "probes of idle replicas at once", "probes_in_flight"},
+		{"probing.report_within", DefaultReportWithin.String(), "duration", "a dead replica without traffic is reported within this time", "probes_total"},
+		{"probing.in_flight", fmt.Sprint(DefaultMaxProbesInFlight), "count", "probes of idle replicas at once", "probes_in_flight"},
 		{"once.accept", limits.AcceptAge.String(), "duration", "how long after its issue a key prefix starts new must-not-repeat requests", ""},
 		{"once.retain", limits.RetainAge.String(), "duration", "how long after its prefix's issue an outcome is kept; above accept and max_run together", ""},
 		{"once.max_run", limits.MaxRunTime.String(), "duration", "the longest that one must-not-repeat request may take", "once_running"},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,18 +16,18 @@
 
 // Defaults of the settings.
 const (
-	DefaultEntriesTTL  = 10 * time.Second
-	DefaultMaxBody     = 1 << 20
-	DefaultHeaderWait  = 5 * time.Second
-	DefaultBodyWait    = 10 * time.Second
-	DefaultIdleWait    = time.Minute
-	DefaultStopWait    = 30 * time.Second
-	DefaultConnections = 4096
-	DefaultEntries     = 16
-	DefaultLogLevel    = "info"
-	DefaultWarnBefore  = 14 * 24 * time.Hour
-	DefaultReport      = time.Minute
-	DefaultProbes      = 16
+	DefaultEntriesTTL        = 10 * time.Second
+	DefaultMaxBodyBytes      = 1 << 20
+	DefaultHeaderTimeout     = 5 * time.Second
+	DefaultBodyTimeout       = 10 * time.Second
+	DefaultIdleTimeout       = time.Minute
+	DefaultStopWait          = 30 * time.Second
+	DefaultConnections       = 4096
+	DefaultEntries           = 16
+	DefaultLogLevel          = "info"
+	DefaultWarnBefore        = 14 * 24 * time.Hour
+	DefaultReportWithin      = time.Minute
+	DefaultMaxProbesInFlight = 16
 )
 
 // Settings are one node's settings. docs/SETTINGS.md lists them with defaults
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	Fill(&s)
+	ApplyDefaults(&s)
 	s.validate(doc)
 	if err := doc.Err(); err != nil {
 		return nil, err
@@ -131,22 +131,22 @@
 	return Parse(text)
 }
 
-// Fill sets the default of each setting that is not written.
-func Fill(s *Settings) {
+// ApplyDefaults sets the default of each setting that is not written.
+func ApplyDefaults(s *Settings) {
 	setDefault(&s.EntriesTTL, DefaultEntriesTTL)
 	setDefault(&s.StopWait, DefaultStopWait)
 	setDefault(&s.LogLevel, DefaultLogLevel)
-	setDefault(&s.Limits.MaxBodyBytes, DefaultMaxBody)
-	setDefault(&s.Limits.HeaderTimeout, DefaultHeaderWait)
-	setDefault(&s.Limits.BodyTimeout, DefaultBodyWait)
-	setDefault(&s.Limits.IdleTimeout, DefaultIdleWait)
+	setDefault(&s.Limits.MaxBodyBytes, DefaultMaxBodyBytes)
+	setDefault(&s.Limits.HeaderTimeout, DefaultHeaderTimeout)
+	setDefault(&s.Limits.BodyTimeout, DefaultBodyTimeout)
+	setDefault(&s.Limits.IdleTimeout, DefaultIdleTimeout)
 	setDefault(&s.Limits.Connections, DefaultConnections)
 	setDefault(&s.Limits.Entries, DefaultEntries)
 	setDefault(&s.Limits.InFlight, entrylimit.DefaultMaxInFlight)
 	setDefault(&s.Limits.Headroom, entrylimit.DefaultHeadroom)
 	setDefault(&s.TLS.WarnBefore, DefaultWarnBefore)
-	setDefault(&s.Probing.ReportWithin, DefaultReport)
-	setDefault(&s.Probing.InFlight, DefaultProbes)
+	setDefault(&s.Probing.ReportWithin, DefaultReportWithin)
+	setDefault(&s.Probing.InFlight, DefaultMaxProbesInFlight)
 	limits := once.DefaultLimits()
 	setDefault(&s.Once.Accept, limits.AcceptAge)
 	setDefault(&s.Once.Retain, limits.RetainAge)
@@ -229,8 +229,8 @@
 	}
 }
 
-// PEM returns the text itself when it is PEM, or else the file that it names.
-func PEM(value string) ([]byte, error) {
+// LoadPEM returns the text itself when it is LoadPEM, or else the file that it names.
+func LoadPEM(value string) ([]byte, error) {
 	if strings.HasPrefix(strings.TrimSpace(value), "-----BEGIN") {
 		return []byte(value), nil
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,7 +24,7 @@
 
 func TestTheReferenceListsEverySettingWithItsDefault(t *testing.T) {
 	var filled Settings
-	Fill(&filled)
+	ApplyDefaults(&filled)
 	defaults := map[string]string{}
 	written(reflect.ValueOf(filled), "", defaults)
 	listed := map[string]string{}
--- a/test/e2e/harness/shipped.go
+++ b/test/e2e/harness/shipped.go
@@ -37,7 +37,7 @@
 func (s *Shipped) At(addresses []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\nindexes: [%s]\nservices:\n", strings.Join(s.text.Indexes, ", "))
-	for _, name := range s.text.Names {
+	for _, name := range s.text.ServiceNames {
 		service := s.text.Services[name]
 		fmt.Fprintf(&b, "  - name: %s\n    index: %s\n    idempotent: %t\n", name, service.Index, service.Idempotent)
 		fmt.Fprintf(&b, "    slots: %d\n    connections: %d\n    timeout: 4s\n", service.Slots, service.Connections)
