--- a/internal/catalog/bundle.go
+++ b/internal/catalog/bundle.go
@@ -8,33 +8,33 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Bundle is a group of shards owned and asked together. DataCentre is where
-// most of its replicas are.
+// Bundle is a group of shards that have one owner and are queried together.
+// DataCentre is the data centre with the most replicas of the bundle.
 type Bundle struct {
 	ID         core.BundleID
 	DataCentre string
 	Shards     []core.ShardRef
 }
 
-// makeBundles groups shards that are asked together: shards of services with
-// the same index, dependencies and dependents, in the order of the text. A
-// bundle ends where the hash of the next shard's name says so, within half and
-// one and a half times BundleSize. So the ends follow from names, not from
-// counts: a service added in the middle of a family changes the bundle around
-// it and the few up to the next common end, and all later bundles stay.
+// makeBundles groups shards that are queried together: shards of services with
+// the same index, dependencies and dependents, in the order of the text. The
+// hash of the next shard's name decides where a bundle ends, between half and
+// one and a half times BundleSize. Boundaries thus depend on names, not on
+// counts: an added service changes the bundle around it and those up to the
+// next boundary common to both texts; all later bundles stay the same.
 func (c *Catalog) makeBundles() {
 	c.Bundles = map[core.BundleID]*Bundle{}
 	dependents := c.dependents()
-	open := map[string]*Bundle{}
+	current := map[string]*Bundle{}
 	for _, name := range c.ServiceNames {
 		service := c.Services[name]
-		family := familyKey(service, dependents[name])
+		affinity := affinityKey(service, dependents[name])
 		for i := range service.Shards {
 			shard := &service.Shards[i]
-			bundle := open[family]
-			if bundle == nil || c.endsBefore(bundle, shard.Ref) {
+			bundle := current[affinity]
+			if bundle == nil || c.isCompleteBefore(bundle, shard.Ref) {
 				bundle = c.newBundle(shard.Ref)
-				open[family] = bundle
+				current[affinity] = bundle
 			}
 			bundle.Shards = append(bundle.Shards, shard.Ref)
 			shard.Bundle = bundle.ID
@@ -45,8 +45,8 @@
 	}
 }
 
-// endsBefore reports whether the bundle is complete without the next shard.
-func (c *Catalog) endsBefore(bundle *Bundle, next core.ShardRef) bool {
+// isCompleteBefore reports whether the bundle ends before the next shard.
+func (c *Catalog) isCompleteBefore(bundle *Bundle, next core.ShardRef) bool {
 	half := max(1, c.Policy.BundleSize/2)
 	most := c.Policy.BundleSize + c.Policy.BundleSize/2
 	switch {
@@ -58,9 +58,9 @@
 	return xxhash.Sum64String(next.String())%uint64(half) == 0
 }
 
-// newBundle makes a bundle whose id follows from its first shard's name.
+// newBundle creates a bundle whose id is derived from its first shard's name.
 func (c *Catalog) newBundle(first core.ShardRef) *Bundle {
-	id := hashID(first.String())
+	id := bundleID(first.String())
 	for c.Bundles[id] != nil {
 		id++
 	}
@@ -69,7 +69,8 @@
 	return bundle
 }
 
-// dependents maps each service to those that depend on it, in the text's order.
+// dependents maps each service to the services that depend on it, in the order
+// of the text.
 func (c *Catalog) dependents() map[string][]string {
 	dependents := make(map[string][]string, len(c.ServiceNames))
 	for _, name := range c.ServiceNames {
@@ -80,8 +81,8 @@
 	return dependents
 }
 
-// mainDataCentre is where most replicas of a bundle are; of equals, the first by
-// name, so that all nodes agree.
+// mainDataCentre returns the data centre with the most replicas of a bundle. A
+// tie goes to the first by name, so that all nodes agree.
 func (c *Catalog) mainDataCentre(bundle *Bundle) string {
 	counts := map[string]int{}
 	best := ""
@@ -98,13 +99,14 @@
 	return best
 }
 
-// hashID is the id of a bundle by the name of its first shard.
-func hashID(name string) core.BundleID {
+// bundleID derives the id of a bundle from the name of its first shard.
+func bundleID(name string) core.BundleID {
 	return core.BundleID(xxhash.Sum64String(name))
 }
 
-// familyKey is equal for services whose shards are asked together.
-func familyKey(service *Service, dependents []string) string {
+// affinityKey returns a key that is equal for services whose shards are queried
+// together.
+func affinityKey(service *Service, dependents []string) string {
 	parts := []string{service.Index, strings.Join(service.DependsOn, ","), strings.Join(dependents, ",")}
 	return strings.Join(parts, "|")
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,7 @@
-// Package catalog parses and validates the operators' text: services, what
-// each depends on, their shards and replicas, and the customers' shares.
-// Validation is a pure function of the text, so all nodes judge alike.
+// Package catalog parses and validates the operators' configuration text:
+// services with their dependencies, shards and replicas, and the customers'
+// shares. Validation is a pure function of the text, so that all nodes accept
+// or reject the same texts.
 package catalog
 
 import (
@@ -9,29 +10,30 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// MaxTextBytes is the largest text accepted, the platform's limit for a value.
+// MaxTextBytes is the maximum size of a text: the platform's limit for a value.
 const MaxTextBytes = 1 << 20
 
-// Routing says who talks to a replica.
+// Routing selects the nodes that connect to a replica.
 type Routing string
 
 // The routing policies.
 const (
-	// RoutingOwner gives each bundle one owner that holds its connections.
+	// RoutingOwner gives each bundle one owner, which holds all connections to
+	// its replicas.
 	RoutingOwner Routing = "owner"
-	// RoutingDirect lets every node connect with its share 1/n. It is the
-	// baseline that owners were measured against.
+	// RoutingDirect lets each of n nodes connect with 1/n of the capacity. It
+	// is the baseline that RoutingOwner was measured against.
 	RoutingDirect Routing = "direct"
 )
 
-// Policy holds the fleet-wide choices of the text.
+// Policy holds the fleet-wide settings of the text.
 type Policy struct {
 	Routing    Routing
 	BundleSize int
 }
 
-// Customer is a customer's share: its weight in queues and the most requests
-// an entry runs for it at once.
+// Customer is a customer's share: its weight in queues and the maximum number
+// of its requests that an entry runs at once.
 type Customer struct {
 	Name     core.Customer
 	Weight   float64
@@ -45,7 +47,7 @@
 	Draining   bool
 }
 
-// Shard is one shard of a service, with the bundle that it belongs to.
+// Shard is one shard of a service and the bundle that it belongs to.
 type Shard struct {
 	Ref      core.ShardRef
 	Bundle   core.BundleID
@@ -56,21 +58,22 @@
 type Service struct {
 	Name  string
 	Index string
-	// DependsOn names services; those of a group are listed one by one.
+	// DependsOn names services; a group is replaced by its services.
 	DependsOn []string
-	// Slots is how many requests a replica runs at once, Connections how many
-	// connections it accepts and ConnectCost how long a new one takes.
+	// Slots is the number of requests that a replica runs at once, Connections
+	// the number of connections that it accepts, and ConnectCost the time that
+	// a new connection takes.
 	Slots       int
 	Connections int
 	ConnectCost time.Duration
-	// Timeout is the time of a question whose caller states none.
+	// Timeout applies to queries whose caller states none.
 	Timeout time.Duration
 	// Idempotent is false when a request must not be repeated.
 	Idempotent bool
 	Shards     []Shard
 }
 
-// Catalog is an accepted text.
+// Catalog is a parsed and validated text.
 type Catalog struct {
 	Policy          Policy
 	Indexes         []string
@@ -83,8 +86,8 @@
 	Bundles      map[core.BundleID]*Bundle
 }
 
-// Customer returns the share of the named customer; false when the text
-// refuses unlisted customers and does not list it.
+// Customer returns the share of the named customer, and false if the customer
+// is not listed and the text refuses unlisted customers.
 func (c *Catalog) Customer(name core.Customer) (Customer, bool) {
 	if customer, ok := c.Customers[name]; ok {
 		return customer, true
@@ -94,7 +97,8 @@
 	return customer, !c.RefuseUnlisted
 }
 
-// Closure returns the service and all it depends on, dependencies first.
+// Closure returns the service and its transitive dependencies, dependencies
+// first.
 func (c *Catalog) Closure(name string) []*Service {
 	var ordered []*Service
 	seen := map[string]bool{}
@@ -114,7 +118,7 @@
 	return ordered
 }
 
-// Shard finds a shard by reference, or nil.
+// Shard returns the referenced shard, or nil if there is none.
 func (c *Catalog) Shard(ref core.ShardRef) *Shard {
 	service := c.Services[ref.Service]
 	if service == nil || ref.Shard < 0 || ref.Shard >= len(service.Shards) {
--- a/internal/catalog/diff.go
+++ b/internal/catalog/diff.go
@@ -8,7 +8,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Difference is what a change from one text to another does.
+// Difference describes the effect of a change from one text to another.
 type Difference struct {
 	ServicesAdded   []string           `json:"services_added"`
 	ServicesRemoved []string           `json:"services_removed"`
@@ -17,25 +17,25 @@
 	ShardsRemoved   []string           `json:"shards_removed"`
 	ReplicasAdded   []ReplicaPlacement `json:"replicas_added"`
 	ReplicasRemoved []ReplicaPlacement `json:"replicas_removed"`
-	// DrainsBegun and DrainsEnded are replicas that stay in the text.
+	// DrainsBegun and DrainsEnded list replicas that are in both texts.
 	DrainsBegun []ReplicaPlacement `json:"drains_begun"`
 	DrainsEnded []ReplicaPlacement `json:"drains_ended"`
-	// BundlesMoved lists the bundles whose shards or data centre differ, also
-	// those that are new or gone: their owners may change.
+	// BundlesMoved lists the bundles whose shards or data centre differ,
+	// including added and removed ones. Their owners may change.
 	BundlesMoved []BundleChange  `json:"bundles_moved"`
 	BundlesKept  int             `json:"bundles_kept"`
 	Customers    []SettingChange `json:"customers_changed"`
 	Policy       []SettingChange `json:"policy_changed"`
 }
 
-// ServiceChange is a service that stays with other settings.
+// ServiceChange is a service that is in both texts with different settings.
 type ServiceChange struct {
 	Service  string          `json:"service"`
 	Settings []SettingChange `json:"settings"`
 }
 
-// SettingChange is a setting with its value before and after, as text. A value
-// of a customer that is not listed is empty.
+// SettingChange is a setting with its value before and after, as text. The value
+// is empty on the side that does not list the customer.
 type SettingChange struct {
 	Key    string `json:"key"`
 	Before string `json:"before"`
@@ -49,14 +49,14 @@
 	DataCentre string `json:"data_centre"`
 }
 
-// BundleChange is a bundle with its shards before and after.
+// BundleChange lists a bundle's shards before and after.
 type BundleChange struct {
 	Bundle core.BundleID `json:"bundle"`
 	Before []string      `json:"before"`
 	After  []string      `json:"after"`
 }
 
-// Empty reports whether the two texts mean the same.
+// Empty reports whether the two texts are equivalent.
 func (d *Difference) Empty() bool {
 	return len(d.ServicesAdded)+len(d.ServicesRemoved)+len(d.ServicesChanged) == 0 &&
 		len(d.ShardsAdded)+len(d.ShardsRemoved)+len(d.ReplicasAdded)+len(d.ReplicasRemoved) == 0 &&
@@ -64,27 +64,27 @@
 		len(d.Customers)+len(d.Policy) == 0
 }
 
-// Diff compares two accepted texts. The lists are in the order of the texts,
-// what the old one has first.
+// Diff compares two accepted texts. Lists follow the order of the texts, with
+// entries of the old text first.
 func Diff(before, after *Catalog) *Difference {
 	d := &Difference{}
-	d.services(before, after)
-	d.replicas(before, after)
-	d.bundles(before, after)
+	d.compareServices(before, after)
+	d.compareReplicas(before, after)
+	d.compareBundles(before, after)
 	d.Customers = settingChanges(customerSettings(before), customerSettings(after))
 	d.Policy = settingChanges(policySettings(before), policySettings(after))
 	return d
 }
 
-func (d *Difference) services(before, after *Catalog) {
+func (d *Difference) compareServices(before, after *Catalog) {
 	for _, name := range before.ServiceNames {
 		if after.Services[name] == nil {
 			d.ServicesRemoved = append(d.ServicesRemoved, name)
 		}
-		d.ShardsRemoved = append(d.ShardsRemoved, shardsMissing(before.Services[name], after)...)
+		d.ShardsRemoved = append(d.ShardsRemoved, missingShards(before.Services[name], after)...)
 	}
 	for _, name := range after.ServiceNames {
-		d.ShardsAdded = append(d.ShardsAdded, shardsMissing(after.Services[name], before)...)
+		d.ShardsAdded = append(d.ShardsAdded, missingShards(after.Services[name], before)...)
 		former := before.Services[name]
 		if former == nil {
 			d.ServicesAdded = append(d.ServicesAdded, name)
@@ -96,8 +96,8 @@
 	}
 }
 
-// shardsMissing lists the shards of a service that the other text lacks.
-func shardsMissing(service *Service, other *Catalog) []string {
+// missingShards lists the shards of a service that are not in the other text.
+func missingShards(service *Service, other *Catalog) []string {
 	var missing []string
 	for _, shard := range service.Shards {
 		if other.Shard(shard.Ref) == nil {
@@ -107,52 +107,52 @@
 	return missing
 }
 
-// placed is a replica with its place, by which two texts are compared.
-type placed struct {
-	place    ReplicaPlacement
-	draining bool
+// placedReplica is a replica with its placement, the key for comparing two texts.
+type placedReplica struct {
+	placement ReplicaPlacement
+	draining  bool
 }
 
-func (d *Difference) replicas(before, after *Catalog) {
-	old, now := before.placed(), after.placed()
+func (d *Difference) compareReplicas(before, after *Catalog) {
+	old, current := before.placedReplicas(), after.placedReplicas()
 	present := map[ReplicaPlacement]bool{}
 	draining := map[ReplicaPlacement]bool{}
 	for _, replica := range old {
-		present[replica.place] = true
-		draining[replica.place] = replica.draining
+		present[replica.placement] = true
+		draining[replica.placement] = replica.draining
 	}
 	kept := map[ReplicaPlacement]bool{}
-	for _, replica := range now {
-		kept[replica.place] = true
+	for _, replica := range current {
+		kept[replica.placement] = true
 		switch {
-		case !present[replica.place]:
-			d.ReplicasAdded = append(d.ReplicasAdded, replica.place)
-		case replica.draining && !draining[replica.place]:
-			d.DrainsBegun = append(d.DrainsBegun, replica.place)
-		case !replica.draining && draining[replica.place]:
-			d.DrainsEnded = append(d.DrainsEnded, replica.place)
+		case !present[replica.placement]:
+			d.ReplicasAdded = append(d.ReplicasAdded, replica.placement)
+		case replica.draining && !draining[replica.placement]:
+			d.DrainsBegun = append(d.DrainsBegun, replica.placement)
+		case !replica.draining && draining[replica.placement]:
+			d.DrainsEnded = append(d.DrainsEnded, replica.placement)
 		}
 	}
 	for _, replica := range old {
-		if !kept[replica.place] {
-			d.ReplicasRemoved = append(d.ReplicasRemoved, replica.place)
+		if !kept[replica.placement] {
+			d.ReplicasRemoved = append(d.ReplicasRemoved, replica.placement)
 		}
 	}
 }
 
-func (c *Catalog) placed() []placed {
-	var list []placed
+func (c *Catalog) placedReplicas() []placedReplica {
+	var list []placedReplica
 	for _, name := range c.ServiceNames {
 		for _, shard := range c.Services[name].Shards {
 			for _, replica := range shard.Replicas {
-				list = append(list, placed{ReplicaPlacement{shard.Ref.String(), replica.Address, replica.DataCentre}, replica.Draining})
+				list = append(list, placedReplica{ReplicaPlacement{shard.Ref.String(), replica.Address, replica.DataCentre}, replica.Draining})
 			}
 		}
 	}
 	return list
 }
 
-func (d *Difference) bundles(before, after *Catalog) {
+func (d *Difference) compareBundles(before, after *Catalog) {
 	ids := slices.Collect(maps.Keys(before.Bundles))
 	for id := range after.Bundles {
 		if before.Bundles[id] == nil {
@@ -161,17 +161,17 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		old, now := before.Bundles[id], after.Bundles[id]
-		if old != nil && now != nil && old.DataCentre == now.DataCentre && slices.Equal(old.Shards, now.Shards) {
+		old, current := before.Bundles[id], after.Bundles[id]
+		if old != nil && current != nil && old.DataCentre == current.DataCentre && slices.Equal(old.Shards, current.Shards) {
 			d.BundlesKept++
 			continue
 		}
-		d.BundlesMoved = append(d.BundlesMoved, BundleChange{id, old.names(), now.names()})
+		d.BundlesMoved = append(d.BundlesMoved, BundleChange{id, old.shardNames(), current.shardNames()})
 	}
 }
 
-// names lists a bundle's shards; a nil bundle has none.
-func (b *Bundle) names() []string {
+// shardNames lists a bundle's shards; the list is empty for a nil bundle.
+func (b *Bundle) shardNames() []string {
 	names := []string{}
 	if b == nil {
 		return names
@@ -182,7 +182,7 @@
 	return names
 }
 
-// setting is one setting, as text.
+// setting is a key and its value as text.
 type setting struct{ key, value string }
 
 func policySettings(c *Catalog) []setting {
@@ -208,36 +208,37 @@
 func customerSettings(c *Catalog) []setting {
 	var list []setting
 	for _, name := range slices.Sorted(maps.Keys(c.Customers)) {
-		list = append(list, setting{string(name), c.Customers[name].share()})
+		list = append(list, setting{string(name), c.Customers[name].shareText()})
 	}
-	unlisted := c.DefaultCustomer.share()
+	unlisted := c.DefaultCustomer.shareText()
 	if c.RefuseUnlisted {
 		unlisted = "refused"
 	}
 	return append(list, setting{"(unlisted)", unlisted})
 }
 
-func (c Customer) share() string {
+func (c Customer) shareText() string {
 	return fmt.Sprintf("weight %g, in_flight %d", c.Weight, c.InFlight)
 }
 
-// settingChanges lists the settings whose values differ, the old ones first.
+// settingChanges lists the settings whose values differ, in the order of before,
+// followed by those only in after.
 func settingChanges(before, after []setting) []SettingChange {
 	values := map[string]string{}
-	for _, one := range after {
-		values[one.key] = one.value
+	for _, s := range after {
+		values[s.key] = s.value
 	}
 	var changes []SettingChange
 	seen := map[string]bool{}
-	for _, one := range before {
-		seen[one.key] = true
-		if values[one.key] != one.value {
-			changes = append(changes, SettingChange{one.key, one.value, values[one.key]})
+	for _, s := range before {
+		seen[s.key] = true
+		if values[s.key] != s.value {
+			changes = append(changes, SettingChange{s.key, s.value, values[s.key]})
 		}
 	}
-	for _, one := range after {
-		if !seen[one.key] {
-			changes = append(changes, SettingChange{one.key, "", one.value})
+	for _, s := range after {
+		if !seen[s.key] {
+			changes = append(changes, SettingChange{s.key, "", s.value})
 		}
 	}
 	return changes
--- a/internal/catalog/diff_test.go
+++ b/internal/catalog/diff_test.go
@@ -30,7 +30,7 @@
       - replicas: [{address: "10.0.0.4:1"}]
 `
 
-func TestDiffNamesWhatAChangeDoes(t *testing.T) {
+func TestDiffListsTheEffectsOfAChange(t *testing.T) {
 	after := strings.NewReplacer(
 		`{address: "10.0.0.1:1"}`, `{address: "10.0.0.1:1", draining: true}`,
 		`{address: "10.0.0.2:1"}`, `{address: "10.0.0.5:1"}`,
--- a/internal/catalog/examples_test.go
+++ b/internal/catalog/examples_test.go
@@ -16,8 +16,8 @@
 	return data
 }
 
-// The shipped examples are the first thing that an operator copies: each must
-// parse and have the sizes and the services that it is described with.
+// Guards against broken shipped examples, which operators copy first: each must
+// parse and have the documented numbers of services, replicas and data centres.
 func TestExamples(t *testing.T) {
 	cases := []struct {
 		file, lead, records string
--- a/internal/catalog/group.go
+++ b/internal/catalog/group.go
@@ -7,41 +7,41 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// group writes out the like services of a group. With lead, the first service
-// carries the group's name and depends on all the others.
-func (b *builder) group(key string, written *groupText) {
-	services := b.count(key+".services", written.Services, 1)
-	shards := b.count(key+".shards", written.Shards, 1)
-	replicas := b.count(key+".replicas", written.Replicas, 1)
-	b.between(key+".services", services, 1, maxGroupServices)
-	b.between(key+".shards", shards, 1, maxShardsPerService)
-	b.between(key+".replicas", replicas, 1, maxReplicasPerShard)
+// buildGroup adds the services of a group. With lead, the first service carries
+// the group's name and depends on all the others.
+func (b *builder) buildGroup(key string, source *groupText) {
+	services := b.positiveCount(key+".services", source.Services, 1)
+	shards := b.positiveCount(key+".shards", source.Shards, 1)
+	replicas := b.positiveCount(key+".replicas", source.Replicas, 1)
+	b.checkRange(key+".services", services, 1, maxGroupServices)
+	b.checkRange(key+".shards", shards, 1, maxShardsPerService)
+	b.checkRange(key+".replicas", replicas, 1, maxReplicasPerShard)
 	if b.doc.Err() == nil && len(b.addresses)+services*shards*replicas > maxReplicas {
-		b.doc.Report(key+".services", fmt.Sprintf("%d services of %d shards of %d replicas are more than a text's %d replicas", services, shards, replicas, maxReplicas), "lower services, shards or replicas")
+		b.doc.Report(key+".services", fmt.Sprintf("%d services of %d shards of %d replicas exceed the limit of %d replicas in a text", services, shards, replicas, maxReplicas), "lower services, shards or replicas")
 	}
-	next, ok := b.addressSequence(key, written)
+	next, ok := b.addressSequence(key, source)
 	if !ok || b.doc.Err() != nil {
 		return
 	}
-	names := groupNames(written, services)
-	b.groups[written.Name] = names
+	names := groupNames(source, services)
+	b.groups[source.Name] = names
 	for i, name := range names {
-		service := b.newService(key, name, written.commonText)
-		service.Shards = b.groupShards(key, name, rotate(written.DataCentres, i), shards, replicas, next)
-		if written.Lead && i == 0 {
+		service := b.newService(key, name, source.commonText)
+		service.Shards = b.groupShards(key, name, rotate(source.DataCentres, i), shards, replicas, next)
+		if source.Lead && i == 0 {
 			service.DependsOn = append(service.DependsOn, names[1:]...)
 		}
-		b.add(key, service)
+		b.addService(key, service)
 	}
 }
 
-func groupNames(written *groupText, services int) []string {
+func groupNames(source *groupText, services int) []string {
 	names := make([]string, services)
 	for i := range names {
-		names[i] = fmt.Sprintf("%s-%02d", written.Name, i+1)
+		names[i] = fmt.Sprintf("%s-%02d", source.Name, i+1)
 	}
-	if written.Lead || services == 1 {
-		names[0] = written.Name
+	if source.Lead || services == 1 {
+		names[0] = source.Name
 	}
 	return names
 }
@@ -55,15 +55,15 @@
 			if len(dataCentres) > 0 {
 				replica.DataCentre = dataCentres[(i+j)%len(dataCentres)]
 			}
-			b.address(key+".first_address", replica.Address)
+			b.checkAddress(key+".first_address", replica.Address)
 			list[i].Replicas = append(list[i].Replicas, replica)
 		}
 	}
 	return list
 }
 
-// rotate starts the list at the given place, so that the first replicas of
-// like services are spread over the data centres.
+// rotate returns the list rotated to begin at start, so that the first replicas
+// of a group's services are spread over the data centres.
 func rotate(dataCentres []string, start int) []string {
 	if len(dataCentres) == 0 {
 		return nil
@@ -72,17 +72,17 @@
 	return append(append([]string(nil), dataCentres[start:]...), dataCentres[:start]...)
 }
 
-// addressSequence returns the generator of a group's replica addresses: the
-// host or the port goes up by one each time.
-func (b *builder) addressSequence(key string, written *groupText) (func() string, bool) {
-	address, err := netip.ParseAddrPort(written.FirstAddress)
+// addressSequence returns a generator of a group's replica addresses, which
+// increments the host or the port by one at each call.
+func (b *builder) addressSequence(key string, source *groupText) (func() string, bool) {
+	address, err := netip.ParseAddrPort(source.FirstAddress)
 	if err != nil {
-		b.doc.Report(key+".first_address", fmt.Sprintf("%q is not IP:PORT", written.FirstAddress), "write the first replica's address, such as 10.1.0.7:8080")
+		b.doc.Report(key+".first_address", fmt.Sprintf("%q is not IP:PORT", source.FirstAddress), "write the first replica's address, such as 10.1.0.7:8080")
 		return nil, false
 	}
-	step := orDefault(written.AddressStep, stepHost)
+	step := orDefault(source.AddressStep, stepHost)
 	if step != stepHost && step != stepPort {
-		b.doc.Report(key+".address_step", fmt.Sprintf("%q is not a step", step), "write host or port")
+		b.doc.Report(key+".address_step", fmt.Sprintf("%q is not an address step", step), "write host or port")
 		return nil, false
 	}
 	return func() string {
--- a/internal/catalog/parse.go
+++ b/internal/catalog/parse.go
@@ -21,8 +21,8 @@
 	maxGroupServices    = 1000
 	maxShardsPerService = 1000
 	maxReplicasPerShard = 100
-	// maxReplicas bounds the whole text: a few digits too many in a group would
-	// otherwise make every node of the fleet run out of memory at once.
+	// maxReplicas is the limit for the whole text: without it, a few extra
+	// digits in a group would make all nodes run out of memory at once.
 	maxReplicas = 50_000
 )
 
@@ -31,21 +31,21 @@
 	stepPort = "port"
 )
 
-// Parse reads and validates a text. The error is a strictyaml.Problems.
+// Parse parses and validates a text. The error is a strictyaml.Problems.
 func Parse(data []byte) (*Catalog, error) {
 	if len(data) > MaxTextBytes {
 		return nil, strictyaml.Problems{{
 			Line: 1, Column: 1, Key: "",
 			Message: fmt.Sprintf("the text has %d bytes, the limit is %d", len(data), MaxTextBytes),
-			Fix:     "use groups to write like services once",
+			Fix:     "use groups to define similar services once",
 		}}
 	}
-	var written text
-	doc, err := strictyaml.Decode(data, &written)
+	var source configText
+	doc, err := strictyaml.Decode(data, &source)
 	if err != nil {
 		return nil, err
 	}
-	b := &builder{doc: doc, written: &written, addresses: map[string]string{}, keys: map[string]string{}}
+	b := &builder{doc: doc, source: &source, addresses: map[string]string{}, keys: map[string]string{}}
 	catalog := b.build()
 	if err := doc.Err(); err != nil {
 		return nil, err
@@ -53,15 +53,15 @@
 	return catalog, nil
 }
 
-// builder turns the written text into a catalog and reports what is wrong.
+// builder builds a catalog from the decoded text and reports its problems.
 type builder struct {
 	doc     *strictyaml.Document
-	written *text
+	source  *configText
 	catalog *Catalog
-	// groups maps a group's name to its services.
+	// groups maps a group's name to the names of its services.
 	groups    map[string][]string
 	addresses map[string]string
-	// keys maps a service to the key of its text.
+	// keys maps a service's name to its key in the text, such as services[0].
 	keys map[string]string
 }
 
@@ -69,75 +69,75 @@
 	b.catalog = &Catalog{
 		Customers: map[core.Customer]Customer{},
 		Services:  map[string]*Service{},
-		Indexes:   b.written.Indexes,
+		Indexes:   b.source.Indexes,
 	}
 	b.groups = map[string][]string{}
-	if b.written.Version != textVersion {
-		b.doc.Report("version", fmt.Sprintf("version is %d, only %d is known", b.written.Version, textVersion), "write version: 1")
+	if b.source.Version != textVersion {
+		b.doc.Report("version", fmt.Sprintf("version is %d, only %d is supported", b.source.Version, textVersion), "write version: 1")
 	}
-	b.policy()
-	b.customers()
-	for i := range b.written.Services {
-		b.service(fmt.Sprintf("services[%d]", i), &b.written.Services[i])
+	b.buildPolicy()
+	b.buildCustomers()
+	for i := range b.source.Services {
+		b.buildService(fmt.Sprintf("services[%d]", i), &b.source.Services[i])
 	}
-	for i := range b.written.Groups {
-		b.group(fmt.Sprintf("groups[%d]", i), &b.written.Groups[i])
+	for i := range b.source.Groups {
+		b.buildGroup(fmt.Sprintf("groups[%d]", i), &b.source.Groups[i])
 	}
 	if len(b.catalog.ServiceNames) == 0 {
-		b.doc.Report("services", "no service is written", "write at least one service or group")
+		b.doc.Report("services", "no service is defined", "write at least one service or group")
 	}
-	b.dependencies()
-	b.cycles()
+	b.resolveDependencies()
+	b.checkCycles()
 	if b.doc.Err() == nil {
 		b.catalog.makeBundles()
 	}
 	return b.catalog
 }
 
-func (b *builder) policy() {
+func (b *builder) buildPolicy() {
 	policy := &b.catalog.Policy
-	policy.Routing = Routing(b.written.Policy.Routing)
+	policy.Routing = Routing(b.source.Policy.Routing)
 	if policy.Routing == "" {
 		policy.Routing = RoutingOwner
 	}
 	if policy.Routing != RoutingOwner && policy.Routing != RoutingDirect {
-		b.doc.Report("policy.routing", fmt.Sprintf("%q is not a routing", policy.Routing), "write owner or direct")
+		b.doc.Report("policy.routing", fmt.Sprintf("%q is not a routing policy", policy.Routing), "write owner or direct")
 	}
-	scope := b.written.Policy.OwnershipScope
+	scope := b.source.Policy.OwnershipScope
 	if scope != "" && scope != "fleet" {
-		b.doc.Report("policy.ownership_scope", fmt.Sprintf("%q is not a scope", scope), "write fleet")
+		b.doc.Report("policy.ownership_scope", fmt.Sprintf("%q is not an ownership scope", scope), "write fleet")
 	}
-	policy.BundleSize = orDefault(b.written.Policy.BundleSize, defaultBundleSize)
-	b.between("policy.bundle_size", policy.BundleSize, 1, maxBundleSize)
+	policy.BundleSize = orDefault(b.source.Policy.BundleSize, defaultBundleSize)
+	b.checkRange("policy.bundle_size", policy.BundleSize, 1, maxBundleSize)
 }
 
-func (b *builder) customers() {
-	for i, written := range b.written.Customers {
+func (b *builder) buildCustomers() {
+	for i, source := range b.source.Customers {
 		key := fmt.Sprintf("customers[%d]", i)
-		customer := b.customer(key, written)
-		if written.Name == "" {
+		customer := b.buildCustomer(key, source)
+		if source.Name == "" {
 			b.doc.Report(key+".name", "the customer has no name", "write name: NAME")
 		}
 		if _, ok := b.catalog.Customers[customer.Name]; ok {
-			b.doc.Report(key+".name", fmt.Sprintf("customer %q stands twice", customer.Name), "keep one")
+			b.doc.Report(key+".name", fmt.Sprintf("duplicate customer %q", customer.Name), "keep one")
 		}
 		b.catalog.Customers[customer.Name] = customer
 	}
-	b.catalog.DefaultCustomer = b.customer("default_customer", b.written.DefaultCustomer)
-	switch b.written.UnlistedCustomers {
+	b.catalog.DefaultCustomer = b.buildCustomer("default_customer", b.source.DefaultCustomer)
+	switch b.source.UnlistedCustomers {
 	case "", "default":
 	case "refuse":
 		b.catalog.RefuseUnlisted = true
 	default:
-		b.doc.Report("unlisted_customers", fmt.Sprintf("%q is not a choice", b.written.UnlistedCustomers), "write default or refuse")
+		b.doc.Report("unlisted_customers", fmt.Sprintf("%q is not a policy for unlisted customers", b.source.UnlistedCustomers), "write default or refuse")
 	}
 }
 
-func (b *builder) customer(key string, written customerText) Customer {
+func (b *builder) buildCustomer(key string, source customerText) Customer {
 	customer := Customer{
-		Name:     core.Customer(written.Name),
-		Weight:   orDefault(written.Weight, defaultWeight),
-		InFlight: orDefault(written.InFlight, defaultInFlight),
+		Name:     core.Customer(source.Name),
+		Weight:   orDefault(source.Weight, defaultWeight),
+		InFlight: orDefault(source.InFlight, defaultInFlight),
 	}
 	if customer.Weight < 0 {
 		b.doc.Report(key+".weight", fmt.Sprintf("weight is %g", customer.Weight), "write a number above 0")
--- a/internal/catalog/text.go
+++ b/internal/catalog/text.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// text is the operators' text as written. Fields are described in
-// docs/INTERFACE.md; a zero duration or number takes the default.
-type text struct {
+// configText is the decoded configuration text. docs/INTERFACE.md describes the
+// fields; the default applies to a duration or number that is zero.
+type configText struct {
 	Version           int            `yaml:"version"`
 	Policy            policyText     `yaml:"policy"`
 	Indexes           []string       `yaml:"indexes"`
@@ -27,7 +27,7 @@
 	InFlight int     `yaml:"in_flight"`
 }
 
-// commonText is what services and groups have in common.
+// commonText holds the keys that services and groups share.
 type commonText struct {
 	Index       string        `yaml:"index"`
 	DependsOn   []string      `yaml:"depends_on"`
@@ -54,7 +54,7 @@
 	Draining   bool   `yaml:"draining"`
 }
 
-// groupText writes many like services at once: name-01, name-02 and so on.
+// groupText defines several similar services: name-01, name-02 and so on.
 type groupText struct {
 	Name     string `yaml:"name"`
 	Services int    `yaml:"services"`
--- a/internal/catalog/values.go
+++ b/internal/catalog/values.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// count returns a count of at least 1, or the default when it is not written.
-func (b *builder) count(key string, value, fallback int) int {
+// positiveCount returns the value, which must be at least 1, or the default if the
+// text does not set the key.
+func (b *builder) positiveCount(key string, value, fallback int) int {
 	if !b.doc.Has(key) {
 		return fallback
 	}
@@ -16,8 +17,9 @@
 	return value
 }
 
-// duration returns a duration above 0, or the default when it is not written.
-func (b *builder) duration(key string, value, fallback time.Duration) time.Duration {
+// positiveDuration returns the value, which must be above 0, or the default if the
+// text does not set the key.
+func (b *builder) positiveDuration(key string, value, fallback time.Duration) time.Duration {
 	if !b.doc.Has(key) {
 		return fallback
 	}
@@ -27,9 +29,9 @@
 	return value
 }
 
-func (b *builder) between(key string, value, least, most int) {
+func (b *builder) checkRange(key string, value, least, most int) {
 	if value < least || value > most {
-		b.doc.Report(key, fmt.Sprintf("%d is outside %d to %d", value, least, most), "choose a value inside")
+		b.doc.Report(key, fmt.Sprintf("%d is not between %d and %d", value, least, most), "write a value in this range")
 	}
 }
 
--- a/internal/strictyaml/fields.go
+++ b/internal/strictyaml/fields.go
@@ -7,43 +7,44 @@
 	"sync"
 )
 
-// field is a field that can be written, by its key. Those of an embedded struct
-// count as fields of the outer one.
+// field is a struct field with a yaml key. Fields of an embedded struct count as
+// fields of the outer struct.
 type field struct {
 	key   string
 	index []int
 }
 
-// knownFields holds the []field of each struct type decoded so far.
-var knownFields sync.Map
+// fieldCache caches the []field of each struct type.
+var fieldCache sync.Map
 
-// fieldsOf lists the fields of a struct that have a key.
+// fieldsOf lists the fields of a struct that have a yaml key.
 func fieldsOf(structType reflect.Type) []field {
-	if cached, ok := knownFields.Load(structType); ok {
+	if cached, ok := fieldCache.Load(structType); ok {
 		return cached.([]field)
 	}
 	var list []field
-	for _, one := range reflect.VisibleFields(structType) {
-		key, _, _ := strings.Cut(one.Tag.Get("yaml"), ",")
+	for _, f := range reflect.VisibleFields(structType) {
+		key, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 		if key != "" && key != "-" {
-			list = append(list, field{key: key, index: one.Index})
+			list = append(list, field{key: key, index: f.Index})
 		}
 	}
-	knownFields.Store(structType, list)
+	fieldCache.Store(structType, list)
 	return list
 }
 
-// keysOf lists the keys that can be written.
+// keysOf lists the keys of the fields.
 func keysOf(fields []field) []string {
 	keys := make([]string, len(fields))
-	for i, one := range fields {
-		keys[i] = one.key
+	for i, f := range fields {
+		keys[i] = f.key
 	}
 	return keys
 }
 
-// unknownFix suggests the known key that shares the longest prefix.
-func unknownFix(name string, known []string) string {
+// unknownKeyFix suggests the known key with the longest common prefix, of at least
+// three bytes.
+func unknownKeyFix(name string, known []string) string {
 	best, bestLength := "", 2
 	for _, candidate := range known {
 		length := 0
--- a/internal/strictyaml/problem.go
+++ b/internal/strictyaml/problem.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Problem is one fault in a text. Line and Column count from 1 and are 0 when
-// the place is not known.
+// Problem is one fault in a text. Line and Column count from 1 and are 0 if the
+// position is unknown.
 type Problem struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
@@ -20,10 +20,10 @@
 	return fmt.Sprintf("line %d, column %d: %s: %s; fix: %s", p.Line, p.Column, p.Key, p.Message, p.Fix)
 }
 
-// Problems is a failed decoding or validation.
+// Problems is the error of a failed decoding or validation.
 type Problems []Problem
 
-// Error implements error, one problem a line.
+// Error implements error, with one line per problem.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p))
 	for _, problem := range p {
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,5 +1,5 @@
 // Package strictyaml decodes YAML into structs and reports every problem with
-// its line, column, key and a fix. Unknown and repeated keys are problems.
+// its line, column, key and a fix. Unknown and duplicate keys are problems.
 package strictyaml
 
 import (
@@ -10,17 +10,17 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Position is a place in a text, counted from 1.
+// Position is a line and a column of a text, counted from 1.
 type Position struct{ Line, Column int }
 
-// Document is a decoded text, to report further problems by key.
+// Document is a decoded text. Validation reports further problems to it by key.
 type Document struct {
 	root     *yaml.Node
 	problems Problems
 }
 
-// Decode fills out, a pointer to a struct, from text. The document is
-// returned also when there are problems, to report further ones by key.
+// Decode decodes text into out, a pointer to a struct. It returns the document
+// even if there are problems, so that further ones can be reported by key.
 func Decode(text []byte, out any) (*Document, error) {
 	doc := &Document{}
 	var root yaml.Node
@@ -33,11 +33,12 @@
 		return doc, doc.Err()
 	}
 	doc.root = root.Content[0]
-	doc.value(nil, doc.root, reflect.ValueOf(out).Elem())
+	doc.decodeValue(nil, doc.root, reflect.ValueOf(out).Elem())
 	return doc, doc.Err()
 }
 
-// Report adds a problem at the key's place, or at the nearest known parent.
+// Report adds a problem at the position of the key, or of its nearest parent in
+// the text.
 func (d *Document) Report(key, message, fix string) {
 	at := Position{Line: 1, Column: 1}
 	if node, _ := d.find(key); node != nil {
@@ -50,7 +51,7 @@
 	d.problems = append(d.problems, Problem{Line: at.Line, Column: at.Column, Key: key, Message: message, Fix: fix})
 }
 
-// Err returns the Problems so far, or nil.
+// Err returns the Problems reported so far, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.problems) == 0 {
 		return nil
@@ -58,22 +59,22 @@
 	return d.problems
 }
 
-// Has reports whether the text names the key.
+// Has reports whether the text contains the key.
 func (d *Document) Has(key string) bool {
-	_, whole := d.find(key)
-	return whole
+	_, found := d.find(key)
+	return found
 }
 
 // find walks from the root along a key such as services[0].slots. It returns
-// the last node on the way, and whether that is the key's. Walking when a key
-// is asked for is cheaper than noting each key's place: a large text has tens
-// of thousands and few are asked for.
-func (d *Document) find(key string) (node *yaml.Node, whole bool) {
+// the last node that it reached, and whether that is the key's. Walking on demand
+// is cheaper than recording the position of each key: a large text has tens of
+// thousands of keys and few of them are looked up.
+func (d *Document) find(key string) (node *yaml.Node, found bool) {
 	node = d.root
 	for key != "" && node != nil {
-		var step string
-		step, key = cutKey(key)
-		next := child(node, step)
+		var segment string
+		segment, key = cutKey(key)
+		next := child(node, segment)
 		if next == nil {
 			return node, false
 		}
@@ -82,8 +83,8 @@
 	return node, node != nil
 }
 
-// cutKey cuts the first step off a key: a name, or an index such as [3].
-func cutKey(key string) (step, rest string) {
+// cutKey splits the first segment off a key: a name, or an index such as [3].
+func cutKey(key string) (segment, rest string) {
 	key = strings.TrimPrefix(key, ".")
 	end := strings.IndexAny(key[1:], ".[")
 	if end < 0 {
@@ -92,16 +93,16 @@
 	return key[:end+1], key[end+1:]
 }
 
-func child(node *yaml.Node, step string) *yaml.Node {
+func child(node *yaml.Node, segment string) *yaml.Node {
 	switch node.Kind {
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(node.Content); i += 2 {
-			if node.Content[i].Value == step {
+			if node.Content[i].Value == segment {
 				return node.Content[i+1]
 			}
 		}
 	case yaml.SequenceNode:
-		index, err := strconv.Atoi(strings.Trim(step, "[]"))
+		index, err := strconv.Atoi(strings.Trim(segment, "[]"))
 		if err == nil && index >= 0 && index < len(node.Content) {
 			return node.Content[index]
 		}
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// path is the way to a value, made into a key only when there is a problem.
+// path is the location of a value; it is rendered as a key only for a problem.
 type path struct {
 	parent *path
 	name   string
@@ -130,6 +131,6 @@
 	}
 }
 
-func (d *Document) problem(at *path, node *yaml.Node, message, fix string) {
+func (d *Document) reportNode(at *path, node *yaml.Node, message, fix string) {
 	d.reportAt(Position{Line: node.Line, Column: node.Column}, at.String(), message, fix)
 }
