--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestFireTakesTheFirstGuardThatHolds(t *testing.T) {
+func TestFireTakesTheFirstTransitionWhoseGuardHolds(t *testing.T) {
 	m, err := Parse([]byte(lamp), lampBindings())
 	require.NoError(t, err)
 	subject := &lampState{}
@@ -40,7 +40,7 @@
 	require.Equal(t, 1, subject.presses)
 }
 
-func TestFaultyChartsFailAtTheStart(t *testing.T) {
+func TestParseRejectsInvalidCharts(t *testing.T) {
 	cases := map[string]struct {
 		source  string
 		message string
@@ -48,17 +48,17 @@
 		"unbound guard":     {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e, when: nobody}, {event: e}]}]", "guard nobody is not bound"},
 		"unbound action":    {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e, do: [nothing]}]}]", "action nothing is not bound"},
 		"unreachable state": {"name: a\ninitial: s\nevents: []\nstates: [{name: s}, {name: t}]", "state t cannot be reached"},
-		"no answer":         {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s}]", "no answer to event e"},
-		"unused binding":    {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e, do: [count]}]}]", "guard powered is bound but not written"},
-		"unused action":     {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e, when: powered}, {event: e}]}]", "action count is bound but not written"},
-		"never taken":       {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e}, {event: e, when: powered}]}]", "an answer to event e that is never taken"},
-		"ignored and taken": {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e}], ignore: [e]}]", "an answer to event e that is never taken"},
-		"guarded only":      {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e, when: powered}]}]", "no answer to event e"},
+		"unhandled event":   {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s}]", "state s does not handle event e"},
+		"unused binding":    {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e, do: [count]}]}]", "guard powered is bound but not used"},
+		"unused action":     {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e, when: powered}, {event: e}]}]", "action count is bound but not used"},
+		"never taken":       {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e}, {event: e, when: powered}]}]", "a transition for event e that is never taken"},
+		"ignored and taken": {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e}], ignore: [e]}]", "a transition for event e that is never taken"},
+		"guarded only":      {"name: a\ninitial: s\nevents: [e]\nstates: [{name: s, on: [{event: e, when: powered}]}]", "state s does not handle event e"},
 	}
-	for name, one := range cases {
+	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse([]byte(one.source), lampBindings())
-			require.ErrorContains(t, err, one.message)
+			_, err := Parse([]byte(c.source), lampBindings())
+			require.ErrorContains(t, err, c.message)
 		})
 	}
 }
--- a/internal/chart/definition.go
+++ b/internal/chart/definition.go
@@ -1,9 +1,9 @@
-// Package chart interprets state charts: life cycles written in YAML files under
-// charts/, whose guards and actions are names bound in code.
+// Package chart interprets state charts, which are defined in YAML files under
+// charts/. Guards and actions are names that are bound to functions in code.
 //
-// A chart with an unbound name, a bound name that it does not use, an unreachable
-// state, a transition that is never taken or an event that some state does not
-// answer fails when it is parsed, which is at start-up.
+// Parsing, which happens at start-up, fails for a chart with an unbound name, an
+// unused binding, an unreachable state, a transition that is never taken or a
+// state that does not handle some event.
 package chart
 
 import (
@@ -20,10 +20,10 @@
 //go:embed charts/*.yaml
 var files embed.FS
 
-// folder holds the embedded charts, a file each.
-const folder = "charts"
+// chartsDir is the directory of the embedded charts, one file per chart.
+const chartsDir = "charts"
 
-// definition is a chart as written.
+// definition is a decoded chart.
 type definition struct {
 	Name    string   `yaml:"name"`
 	About   string   `yaml:"about"`
@@ -32,8 +32,8 @@
 	States  []state  `yaml:"states"`
 }
 
-// state is one state with its answers to events. Ignore lists the events that
-// change nothing in it.
+// state is one state with its transitions. Ignore lists the events that have no
+// effect in it.
 type state struct {
 	Name   string       `yaml:"name"`
 	About  string       `yaml:"about"`
@@ -41,7 +41,8 @@
 	Ignore []string     `yaml:"ignore"`
 }
 
-// transition answers an event: the first one whose guard holds is taken.
+// transition handles an event. Of the transitions for an event, the first whose
+// guard holds is taken.
 type transition struct {
 	Event string   `yaml:"event"`
 	When  string   `yaml:"when"`
@@ -51,16 +52,16 @@
 
 // Source returns the text of an embedded chart.
 func Source(name string) []byte {
-	text, err := files.ReadFile(folder + "/" + name + ".yaml")
+	text, err := files.ReadFile(chartsDir + "/" + name + ".yaml")
 	if err != nil {
 		panic(invalid(name, "no such chart"))
 	}
 	return text
 }
 
-// Names lists the embedded charts.
+// Names returns the sorted names of the embedded charts.
 func Names() []string {
-	entries, _ := files.ReadDir(folder)
+	entries, _ := files.ReadDir(chartsDir)
 	var names []string
 	for _, entry := range entries {
 		names = append(names, strings.TrimSuffix(entry.Name(), ".yaml"))
@@ -71,7 +72,7 @@
 
 // Mermaid renders an embedded chart as a Mermaid state diagram.
 func Mermaid(name string) (string, error) {
-	d, err := read(Source(name))
+	d, err := parseDefinition(Source(name))
 	if err != nil {
 		return "", err
 	}
@@ -85,7 +86,7 @@
 	return b.String(), nil
 }
 
-// target is the state after the transition from the given one.
+// target returns the state after the transition from the given state.
 func (t transition) target(from string) string {
 	if t.To == "" {
 		return from
@@ -104,7 +105,7 @@
 	return label
 }
 
-func read(source []byte) (*definition, error) {
+func parseDefinition(source []byte) (*definition, error) {
 	var d definition
 	if _, err := strictyaml.Decode(source, &d); err != nil {
 		return nil, fault.Step("read chart", err)
@@ -112,33 +113,33 @@
 	return &d, d.validate()
 }
 
-// validate checks what does not depend on bindings.
+// validate checks the rules that do not depend on bindings.
 func (d *definition) validate() error {
 	names := make([]string, 0, len(d.States))
 	for _, s := range d.States {
 		if slices.Contains(names, s.Name) {
-			return invalid(d.Name, "state "+s.Name+" stands twice")
+			return invalid(d.Name, "state "+s.Name+" is defined twice")
 		}
 		names = append(names, s.Name)
 	}
 	if !slices.Contains(names, d.Initial) {
-		return invalid(d.Name, "initial state "+d.Initial+" is not written")
+		return invalid(d.Name, "initial state "+d.Initial+" is not defined")
 	}
 	for _, s := range d.States {
 		if err := d.validateState(s, names); err != nil {
 			return err
 		}
 	}
-	return d.validateReach()
+	return d.validateReachability()
 }
 
 func (d *definition) validateState(s state, names []string) error {
 	for _, t := range s.On {
 		if !slices.Contains(d.Events, t.Event) {
-			return invalid(d.Name, "state "+s.Name+" answers event "+t.Event+", which is not listed")
+			return invalid(d.Name, "state "+s.Name+" handles event "+t.Event+", which is not listed")
 		}
 		if t.To != "" && !slices.Contains(names, t.To) {
-			return invalid(d.Name, "state "+s.Name+" goes to "+t.To+", which is not written")
+			return invalid(d.Name, "state "+s.Name+" has a transition to "+t.To+", which is not defined")
 		}
 	}
 	for _, event := range s.Ignore {
@@ -146,46 +147,46 @@
 			return invalid(d.Name, "state "+s.Name+" ignores event "+event+", which is not listed")
 		}
 	}
-	if event, ok := s.answeredTwice(); ok {
-		return invalid(d.Name, "state "+s.Name+" has an answer to event "+event+" that is never taken")
+	if event, ok := s.eventNeverTaken(); ok {
+		return invalid(d.Name, "state "+s.Name+" has a transition for event "+event+" that is never taken")
 	}
 	for _, event := range d.Events {
-		if !s.answers(event) {
-			return invalid(d.Name, "state "+s.Name+" has no answer to event "+event)
+		if !s.handles(event) {
+			return invalid(d.Name, "state "+s.Name+" does not handle event "+event)
 		}
 	}
 	return nil
 }
 
-// answers reports whether the state always has an answer: it ignores the event,
-// or the last transition for it has no guard.
-func (s state) answers(event string) bool {
-	answered := slices.Contains(s.Ignore, event)
+// handles reports whether the state always handles the event: it ignores the event,
+// or one of the transitions for it has no guard.
+func (s state) handles(event string) bool {
+	handled := slices.Contains(s.Ignore, event)
 	for _, t := range s.On {
 		if t.Event == event {
-			answered = answered || t.When == ""
+			handled = handled || t.When == ""
 		}
 	}
-	return answered
+	return handled
 }
 
-// answeredTwice finds an event that a state answers again after an answer that
-// always holds.
-func (s state) answeredTwice() (string, bool) {
-	always := slices.Clone(s.Ignore)
+// eventNeverTaken returns an event with a transition that is never taken, because
+// the state ignores the event or has an earlier transition for it without a guard.
+func (s state) eventNeverTaken() (string, bool) {
+	handled := slices.Clone(s.Ignore)
 	for _, t := range s.On {
-		if slices.Contains(always, t.Event) {
+		if slices.Contains(handled, t.Event) {
 			return t.Event, true
 		}
 		if t.When == "" {
-			always = append(always, t.Event)
+			handled = append(handled, t.Event)
 		}
 	}
 	return "", false
 }
 
-// validateReach refuses states that no transition leads to from the initial one.
-func (d *definition) validateReach() error {
+// validateReachability rejects states that cannot be reached from the initial state.
+func (d *definition) validateReachability() error {
 	targets := map[string][]string{}
 	for _, s := range d.States {
 		for _, t := range s.On {
@@ -193,11 +194,11 @@
 		}
 	}
 	reached := map[string]bool{d.Initial: true}
-	for open := []string{d.Initial}; len(open) > 0; open = open[1:] {
-		for _, to := range targets[open[0]] {
+	for queue := []string{d.Initial}; len(queue) > 0; queue = queue[1:] {
+		for _, to := range targets[queue[0]] {
 			if !reached[to] {
 				reached[to] = true
-				open = append(open, to)
+				queue = append(queue, to)
 			}
 		}
 	}
--- a/internal/chart/machine.go
+++ b/internal/chart/machine.go
@@ -6,33 +6,34 @@
 // Event is an event of one chart.
 type Event int
 
-// Bindings give the guards and actions of a chart. T is what they work on.
+// Bindings map the names of a chart's guards and actions to functions. T is the type
+// of the subject that they operate on.
 type Bindings[T any] struct {
 	Guards  map[string]func(T) bool
 	Actions map[string]func(T)
 }
 
-// Machine is a chart bound to code. It holds no state of its own and is safe
-// for concurrent use.
+// Machine is a chart with its bindings. It does not hold a current state and is
+// safe for concurrent use.
 type Machine[T any] struct {
 	name   string
 	states []string
 	events map[string]Event
-	// table lists the transitions of each state and event, by state times the
-	// number of events plus event.
-	table [][]step[T]
+	// table lists the transitions of each state and event. The index is the state
+	// times the number of events, plus the event.
+	table [][]boundTransition[T]
 }
 
-// step is a bound transition. A nil guard always holds.
-type step[T any] struct {
+// boundTransition is a transition with its functions. A nil guard always holds.
+type boundTransition[T any] struct {
 	guard   func(T) bool
 	actions []func(T)
 	to      State
 }
 
-// Parse reads a chart and binds its names.
+// Parse parses a chart and binds its guards and actions.
 func Parse[T any](source []byte, bindings Bindings[T]) (*Machine[T], error) {
-	d, err := read(source)
+	d, err := parseDefinition(source)
 	if err != nil {
 		return nil, err
 	}
@@ -44,7 +45,7 @@
 	for _, s := range order {
 		m.states = append(m.states, s.Name)
 	}
-	m.table = make([][]step[T], len(order)*len(d.Events))
+	m.table = make([][]boundTransition[T], len(order)*len(d.Events))
 	for from, s := range order {
 		for _, t := range s.On {
 			bound, err := bind(d, t, bindings)
@@ -56,10 +57,11 @@
 			m.table[cell] = append(m.table[cell], bound)
 		}
 	}
-	return m, allNamed(d, bindings)
+	return m, checkUnused(d, bindings)
 }
 
-// Must is Parse for a package's own chart: a fault in it ends the start.
+// Must is like Parse but panics if the chart is invalid. It is for the embedded
+// charts, so that the program does not start with an invalid one.
 func Must[T any](source []byte, bindings Bindings[T]) *Machine[T] {
 	m, err := Parse(source, bindings)
 	if err != nil {
@@ -68,7 +70,7 @@
 	return m
 }
 
-// stateOrder puts the initial state first.
+// stateOrder returns the states with the initial state first.
 func stateOrder(d *definition) []state {
 	var order []state
 	for _, s := range d.States {
@@ -81,8 +83,8 @@
 	return order
 }
 
-func bind[T any](d *definition, t transition, bindings Bindings[T]) (step[T], error) {
-	var bound step[T]
+func bind[T any](d *definition, t transition, bindings Bindings[T]) (boundTransition[T], error) {
+	var bound boundTransition[T]
 	if t.When != "" {
 		bound.guard = bindings.Guards[t.When]
 		if bound.guard == nil {
@@ -99,8 +101,8 @@
 	return bound, nil
 }
 
-// allNamed refuses bindings that no transition names: such code never runs.
-func allNamed[T any](d *definition, bindings Bindings[T]) error {
+// checkUnused rejects bindings that no transition uses: their code would never run.
+func checkUnused[T any](d *definition, bindings Bindings[T]) error {
 	guards, actions := map[string]bool{}, map[string]bool{}
 	for _, s := range d.States {
 		for _, t := range s.On {
@@ -112,18 +114,18 @@
 	}
 	for name := range bindings.Guards {
 		if !guards[name] {
-			return invalid(d.Name, "guard "+name+" is bound but not written")
+			return invalid(d.Name, "guard "+name+" is bound but not used")
 		}
 	}
 	for name := range bindings.Actions {
 		if !actions[name] {
-			return invalid(d.Name, "action "+name+" is bound but not written")
+			return invalid(d.Name, "action "+name+" is bound but not used")
 		}
 	}
 	return nil
 }
 
-// State finds a state by name; a name that the chart lacks ends the start.
+// State returns the state with the given name and panics if there is none.
 func (m *Machine[T]) State(name string) State {
 	for i, state := range m.states {
 		if state == name {
@@ -133,7 +135,7 @@
 	panic(invalid(m.name, "no state "+name))
 }
 
-// Event finds an event by name; a name that the chart lacks ends the start.
+// Event returns the event with the given name and panics if there is none.
 func (m *Machine[T]) Event(name string) Event {
 	event, ok := m.events[name]
 	if !ok {
@@ -142,11 +144,11 @@
 	return event
 }
 
-// Name returns a state's name.
+// Name returns the name of a state.
 func (m *Machine[T]) Name(state State) string { return m.states[state] }
 
-// Fire answers an event: it runs the actions of the first transition whose
-// guard holds and returns the next state.
+// Fire handles an event: it runs the actions of the first transition whose guard
+// holds and returns the next state. An ignored event leaves the state as it is.
 func (m *Machine[T]) Fire(from State, event Event, subject T) State {
 	for _, candidate := range m.table[int(from)*len(m.events)+int(event)] {
 		if candidate.guard != nil && !candidate.guard(subject) {
