--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,4 +1,4 @@
-// Package keys makes the certificate authority and the node certificates for
+// Package keys creates the certificate authority and the node certificates for
 // mutual TLS between nodes, and builds TLS configurations from PEM texts.
 package keys
 
@@ -17,18 +17,18 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// NodeServerName is the DNS name in every node certificate. Nodes are dialled
-// by IP number, so that the name stands for "a node of this fleet".
+// NodeServerName is the DNS name in every node certificate. Nodes are dialled by
+// IP address, so that the name identifies any node of the fleet.
 const NodeServerName = "node.pistachiopier"
 
-// ProtocolName is the ALPN name between nodes.
+// ProtocolName is the ALPN protocol name of connections between nodes.
 const ProtocolName = "pistachiopier-peer/1"
 
 const (
-	certificateBlock = "CERTIFICATE"
-	keyBlock         = "EC PRIVATE KEY"
-	serialBits       = 120
-	clockSlack       = 5 * time.Minute
+	certificateBlock   = "CERTIFICATE"
+	keyBlock           = "EC PRIVATE KEY"
+	serialBits         = 120
+	clockSkewAllowance = 5 * time.Minute
 )
 
 // Pair is a certificate and its private key, both as PEM.
@@ -44,7 +44,8 @@
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes a self-signed authority valid from now for the given time.
+// NewAuthority creates a self-signed authority that is valid from now for the given
+// time.
 func NewAuthority(now time.Time, validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -64,15 +65,15 @@
 	return &Authority{Pair: pair, certificate: template, key: key}, nil
 }
 
-// LoadAuthority reads an authority back from its PEM texts.
+// LoadAuthority loads an authority from its PEM texts.
 func LoadAuthority(pair Pair) (*Authority, error) {
 	loaded, err := tls.X509KeyPair(pair.Certificate, pair.Key)
 	if err != nil {
-		return nil, tlsFault("the authority's certificate and key do not fit", err)
+		return nil, tlsFault("the authority's certificate and key do not match", err)
 	}
 	certificate, err := x509.ParseCertificate(loaded.Certificate[0])
 	if err != nil {
-		return nil, tlsFault("the authority's certificate cannot be read", err)
+		return nil, tlsFault("the authority's certificate cannot be parsed", err)
 	}
 	key, ok := loaded.PrivateKey.(*ecdsa.PrivateKey)
 	if !ok {
@@ -81,7 +82,7 @@
 	return &Authority{Pair: pair, certificate: certificate, key: key}, nil
 }
 
-// Issue makes a certificate for the node named id.
+// Issue creates a key and a certificate for the node named id.
 func (a *Authority) Issue(id string, now time.Time, validity time.Duration) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -98,7 +99,7 @@
 }
 
 // TLSConfig builds the TLS configuration of a node, for both ends of a peer
-// connection. Both ends must show a certificate of the authority.
+// connection. Both ends must present a certificate signed by the authority.
 func TLSConfig(authority []byte, node Pair) (*tls.Config, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
@@ -106,7 +107,7 @@
 	}
 	certificate, err := tls.X509KeyPair(node.Certificate, node.Key)
 	if err != nil {
-		return nil, tlsFault("the node's certificate and key do not fit", err)
+		return nil, tlsFault("the node's certificate and key do not match", err)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -119,37 +120,37 @@
 	}, nil
 }
 
-// Validity returns the validity of the first certificate of a PEM text.
+// Validity returns the validity period of the first certificate of a PEM text.
 func Validity(certificate []byte) (from, until time.Time, err error) {
-	parsed, err := first(certificate)
+	parsed, err := parseFirst(certificate)
 	if err != nil {
 		return from, until, err
 	}
 	return parsed.NotBefore, parsed.NotAfter, nil
 }
 
-func first(certificate []byte) (*x509.Certificate, error) {
+func parseFirst(certificate []byte) (*x509.Certificate, error) {
 	block, _ := pem.Decode(certificate)
 	if block == nil || block.Type != certificateBlock {
 		return nil, tlsFault("the PEM holds no certificate", nil)
 	}
 	parsed, err := x509.ParseCertificate(block.Bytes)
 	if err != nil {
-		return nil, tlsFault("the certificate cannot be read", err)
+		return nil, tlsFault("the certificate cannot be parsed", err)
 	}
 	return parsed, nil
 }
 
-// AuthorityValidity returns the validity of the certificate of an authority PEM
-// that ends last. While an authority is replaced, the PEM holds the old one and
-// the new one, in any order.
+// AuthorityValidity returns the validity period of the certificate in an authority
+// PEM that expires last. While an authority is replaced, the PEM holds the old and
+// the new certificate, in any order.
 func AuthorityValidity(authority []byte) (from, until time.Time, err error) {
 	for rest := authority; ; {
 		var block *pem.Block
 		if block, rest = pem.Decode(rest); block == nil {
 			break
 		}
-		parsed, err := first(pem.EncodeToMemory(block))
+		parsed, err := parseFirst(pem.EncodeToMemory(block))
 		if err != nil {
 			return from, until, err
 		}
@@ -165,14 +166,14 @@
 
 // CommonName returns the common name of the first certificate of a PEM text.
 func CommonName(certificate []byte) (string, error) {
-	parsed, err := first(certificate)
+	parsed, err := parseFirst(certificate)
 	if err != nil {
 		return "", err
 	}
 	return parsed.Subject.CommonName, nil
 }
 
-// CheckValid fails when a validity does not include the given time.
+// CheckValid returns an error if now is outside the validity period.
 func CheckValid(from, until, now time.Time) error {
 	if now.After(until) {
 		return tlsFault("the certificate expired at "+until.UTC().Format(time.RFC3339), nil)
@@ -191,7 +192,7 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-clockSlack),
+		NotBefore:    now.Add(-clockSkewAllowance),
 		NotAfter:     now.Add(validity),
 	}, nil
 }
@@ -205,34 +206,34 @@
 	if err != nil {
 		return Pair{}, fault.Step("encode key", err)
 	}
-	return Pair{Certificate: encode(certificateBlock, der), Key: encode(keyBlock, keyBytes)}, nil
+	return Pair{Certificate: encodePEM(certificateBlock, der), Key: encodePEM(keyBlock, keyBytes)}, nil
 }
 
-func encode(block string, der []byte) []byte {
+func encodePEM(block string, der []byte) []byte {
 	var out bytes.Buffer
 	_ = pem.Encode(&out, &pem.Block{Type: block, Bytes: der})
 	return out.Bytes()
 }
 
 func tlsFault(message string, cause error) error {
-	return &fault.Error{Code: fault.CodeTLS, Message: message, Fix: "make new ones with pistachiopier keys", Cause: cause}
+	return &fault.Error{Code: fault.CodeTLS, Message: message, Fix: "create new certificates with pistachiopier keys", Cause: cause}
 }
 
-// ephemeralLife is the validity of an ephemeral certificate, in both directions
-// of the clock: the time of day may jump, and nothing but the process's life ends
-// the key.
-const ephemeralLife = 10 * 365 * 24 * time.Hour
+// ephemeralValidity is how long before and after its creation an ephemeral
+// certificate is valid. The system clock may jump, and the key is used until the
+// process ends.
+const ephemeralValidity = 10 * 365 * 24 * time.Hour
 
-// EphemeralTLSConfig builds the TLS configuration of a node where no operator issues
-// certificates. Each process signs its own, and any is accepted. This keeps the
-// links' contents from who only listens and ties a link to one process; it does
-// not tell a node from an intruder who can reach its port.
+// EphemeralTLSConfig builds the TLS configuration of a node if no operator issues
+// certificates. Each process signs its own, and any certificate is accepted. This
+// protects links against passive eavesdropping and ties a link to one process. It
+// does not authenticate nodes: an attacker who can reach the port can connect.
 func EphemeralTLSConfig(id string, now time.Time) (*tls.Config, error) {
-	authority, err := NewAuthority(now.Add(-ephemeralLife), 2*ephemeralLife)
+	authority, err := NewAuthority(now.Add(-ephemeralValidity), 2*ephemeralValidity)
 	if err != nil {
 		return nil, err
 	}
-	pair, err := authority.Issue(id, now.Add(-ephemeralLife), 2*ephemeralLife)
+	pair, err := authority.Issue(id, now.Add(-ephemeralValidity), 2*ephemeralValidity)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/strictyaml"
 )
 
-const wholeSettings = `
+const validSettings = `
 node: vm-1
 data_centre: dc1
 caller_address: 10.0.0.1:7001
@@ -20,10 +20,10 @@
 entries_ttl: 3s
 `
 
-// FuzzSettings looks for settings that make a node panic at its start, or that
-// are accepted without what a node cannot do without.
+// FuzzSettings looks for settings that make Parse panic, or that are accepted
+// without the required keys.
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(wholeSettings))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("node: [1]\ntls: x\nlimits: {max_body_bytes: -1}\n"))
 	f.Add([]byte("nodee: vm-1\n? {a: b}\n: c\n"))
 	f.Add([]byte(""))
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestWholeSettingsAreTaken(t *testing.T) {
-	_, err := Parse([]byte(wholeSettings))
+func TestValidSettingsAreAccepted(t *testing.T) {
+	_, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
 }
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -8,19 +8,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/once"
 )
 
-// Setting describes one setting. Default is "required" when there is none.
+// Setting documents one setting. Default is "required" if it has no default.
 type Setting struct {
 	Key     string `json:"key"`
 	Default string `json:"default"`
 	Unit    string `json:"unit"`
 	About   string `json:"about"`
-	// Metric shows the limit at work, or is empty.
+	// Metric is the metric that shows the effect of the setting, or is empty.
 	Metric string `json:"metric,omitempty"`
 }
 
 const required = "required"
 
-// Reference lists every setting. docs/SETTINGS.md is written from it.
+// Reference lists every setting. docs/SETTINGS.md is generated from it.
 func Reference() []Setting {
 	limits := once.DefaultLimits()
 	return []Setting{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads one process's YAML settings.
+// Package settings reads and validates the YAML settings of a node.
 package settings
 
 import (
@@ -30,48 +30,49 @@
 	DefaultMaxProbesInFlight = 16
 )
 
-// Settings are one node's settings. docs/SETTINGS.md lists them with defaults
-// and units.
+// Settings are the settings of one node. docs/SETTINGS.md lists them with their
+// defaults and units.
 type Settings struct {
 	Node            string `yaml:"node"`
 	DataCentre      string `yaml:"data_centre"`
 	CallerAddress   string `yaml:"caller_address"`
 	PeerAddress     string `yaml:"peer_address"`
 	OperatorAddress string `yaml:"operator_address"`
-	// Platform is the base URL of the configuration service and VM list.
+	// Platform is the base URL of the configuration service and the VM list.
 	Platform string  `yaml:"platform"`
 	LogLevel string  `yaml:"log_level"`
 	TLS      TLS     `yaml:"tls"`
 	Limits   Limits  `yaml:"limits"`
 	Probing  Probing `yaml:"probing"`
 	Once     Once    `yaml:"once"`
-	// EntriesTTL is how long callers keep the address answer.
+	// EntriesTTL is how long callers may cache the list of entry addresses.
 	EntriesTTL time.Duration `yaml:"entries_ttl"`
-	// StopWait bounds a planned stop.
+	// StopWait is the maximum duration of a planned stop.
 	StopWait time.Duration `yaml:"stop_wait"`
 }
 
-// TLS names the PEM files of the node, or holds the PEM texts themselves.
+// TLS holds the paths of the node's PEM files, or the PEM texts themselves.
 type TLS struct {
 	Authority   string `yaml:"authority"`
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
-	// WarnBefore is how long before its end a certificate is a problem.
+	// WarnBefore is how long before its expiry a certificate is reported as a problem.
 	WarnBefore time.Duration `yaml:"warn_before"`
 }
 
-// Limits bound what callers may take.
+// Limits bound the resources that callers may use.
 type Limits struct {
 	MaxBodyBytes  int           `yaml:"max_body_bytes"`
 	HeaderTimeout time.Duration `yaml:"header_timeout"`
 	BodyTimeout   time.Duration `yaml:"body_timeout"`
 	IdleTimeout   time.Duration `yaml:"idle_timeout"`
 	Connections   int           `yaml:"connections"`
-	// Entries is how many addresses the address answer holds at most.
+	// Entries is the maximum number of entry addresses returned to a caller.
 	Entries int `yaml:"entries"`
-	// InFlight is how many callers' requests this entry has in work at once.
+	// InFlight is the maximum number of callers' requests in flight at this entry.
 	InFlight int `yaml:"in_flight"`
-	// Headroom is how many times the free places one customer may hold.
+	// Headroom is the maximum ratio of one customer's requests in flight to the free
+	// places.
 	Headroom int `yaml:"headroom"`
 }
 
@@ -79,34 +80,36 @@
 type Probing struct {
 	// ReportWithin is the time within which a dead idle replica is reported.
 	ReportWithin time.Duration `yaml:"report_within"`
-	// InFlight is how many probes run at once.
+	// InFlight is the maximum number of probes in flight.
 	InFlight int `yaml:"in_flight"`
 }
 
-// Once bounds what this node remembers of must-not-repeat requests.
+// Once bounds this node's records of non-idempotent requests, which must not be
+// repeated.
 type Once struct {
-	// Accept is how long after its issue a key prefix starts new requests.
+	// Accept is how long after its issue a key prefix may start new requests.
 	Accept time.Duration `yaml:"accept"`
-	// Retain is how long after its prefix's issue an outcome is kept.
+	// Retain is how long after the issue of its key prefix an outcome is kept.
 	Retain time.Duration `yaml:"retain"`
-	// MaxRun is the longest that one request may take.
+	// MaxRun is the maximum duration of a request.
 	MaxRun  time.Duration `yaml:"max_run"`
 	Entries int           `yaml:"entries"`
 	Bytes   int           `yaml:"bytes"`
 }
 
-// Limits are the bounds of the node's ledger. A customer has half of its places.
+// Limits returns the limits of the node's ledger. One customer may use half of its
+// entries and bytes.
 func (o Once) Limits() once.Limits {
 	limits := once.DefaultLimits()
 	limits.AcceptAge, limits.RetainAge, limits.MaxRunTime = o.Accept, o.Retain, o.MaxRun
 	limits.MaxEntries, limits.MaxBytes = o.Entries, o.Bytes
-	limits.MaxCustomerEntries, limits.MaxCustomerBytes = o.Entries/customerShare, o.Bytes/customerShare
+	limits.MaxCustomerEntries, limits.MaxCustomerBytes = o.Entries/customerShareDivisor, o.Bytes/customerShareDivisor
 	return limits
 }
 
-const customerShare = 2
+const customerShareDivisor = 2
 
-// Parse reads settings and fills in defaults. The error is a
+// Parse parses and validates settings and applies the defaults. The error is a
 // strictyaml.Problems.
 func Parse(text []byte) (*Settings, error) {
 	var s Settings
@@ -126,12 +129,12 @@
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &fault.Error{Code: fault.CodeSettingsInvalid, Message: "cannot read the settings", Fix: "give a readable file", Cause: err}
+		return nil, &fault.Error{Code: fault.CodeSettingsInvalid, Message: "cannot read the settings file", Fix: "pass the path of a readable file", Cause: err}
 	}
 	return Parse(text)
 }
 
-// ApplyDefaults sets the default of each setting that is not written.
+// ApplyDefaults sets each setting that is zero to its default.
 func ApplyDefaults(s *Settings) {
 	setDefault(&s.EntriesTTL, DefaultEntriesTTL)
 	setDefault(&s.StopWait, DefaultStopWait)
@@ -171,9 +174,9 @@
 		{"tls.certificate", s.TLS.Certificate},
 		{"tls.key", s.TLS.Key},
 	}
-	for _, one := range required {
-		if one.value == "" {
-			doc.Report(one.key, "the key is required", "write "+one.key)
+	for _, setting := range required {
+		if setting.value == "" {
+			doc.Report(setting.key, "the key is required", "write "+setting.key)
 		}
 	}
 	addresses := []struct{ key, value string }{
@@ -181,62 +184,64 @@
 		{"peer_address", s.PeerAddress},
 		{"operator_address", s.OperatorAddress},
 	}
-	for _, one := range addresses {
-		if _, _, err := net.SplitHostPort(one.value); err != nil {
-			doc.Report(one.key, fmt.Sprintf("%q is not IP:PORT", one.value), "write an address such as 10.0.0.1:7001")
+	for _, setting := range addresses {
+		if _, _, err := net.SplitHostPort(setting.value); err != nil {
+			doc.Report(setting.key, fmt.Sprintf("%q is not IP:PORT", setting.value), "write an address such as 10.0.0.1:7001")
 		}
 	}
 	s.validateLimits(doc)
 }
 
-// validateLimits refuses durations and counts below 0; a 0 took its default.
+// validateLimits rejects negative durations and counts. Zero values have already
+// been replaced by the defaults.
 func (s *Settings) validateLimits(doc *strictyaml.Document) {
 	const duration, count = "write a duration above 0", "write a number above 0"
-	notNegative(doc, "entries_ttl", s.EntriesTTL, duration)
-	notNegative(doc, "stop_wait", s.StopWait, duration)
-	notNegative(doc, "tls.warn_before", s.TLS.WarnBefore, duration)
-	notNegative(doc, "limits.header_timeout", s.Limits.HeaderTimeout, duration)
-	notNegative(doc, "limits.body_timeout", s.Limits.BodyTimeout, duration)
-	notNegative(doc, "limits.idle_timeout", s.Limits.IdleTimeout, duration)
-	notNegative(doc, "limits.max_body_bytes", s.Limits.MaxBodyBytes, count)
-	notNegative(doc, "limits.connections", s.Limits.Connections, count)
-	notNegative(doc, "limits.entries", s.Limits.Entries, count)
-	notNegative(doc, "limits.in_flight", s.Limits.InFlight, count)
-	notNegative(doc, "limits.headroom", s.Limits.Headroom, count)
-	notNegative(doc, "probing.report_within", s.Probing.ReportWithin, duration)
-	notNegative(doc, "probing.in_flight", s.Probing.InFlight, count)
-	notNegative(doc, "once.accept", s.Once.Accept, duration)
-	notNegative(doc, "once.retain", s.Once.Retain, duration)
-	notNegative(doc, "once.max_run", s.Once.MaxRun, duration)
-	notNegative(doc, "once.entries", s.Once.Entries, count)
-	notNegative(doc, "once.bytes", s.Once.Bytes, count)
-	s.validateRetain(doc)
+	checkNotNegative(doc, "entries_ttl", s.EntriesTTL, duration)
+	checkNotNegative(doc, "stop_wait", s.StopWait, duration)
+	checkNotNegative(doc, "tls.warn_before", s.TLS.WarnBefore, duration)
+	checkNotNegative(doc, "limits.header_timeout", s.Limits.HeaderTimeout, duration)
+	checkNotNegative(doc, "limits.body_timeout", s.Limits.BodyTimeout, duration)
+	checkNotNegative(doc, "limits.idle_timeout", s.Limits.IdleTimeout, duration)
+	checkNotNegative(doc, "limits.max_body_bytes", s.Limits.MaxBodyBytes, count)
+	checkNotNegative(doc, "limits.connections", s.Limits.Connections, count)
+	checkNotNegative(doc, "limits.entries", s.Limits.Entries, count)
+	checkNotNegative(doc, "limits.in_flight", s.Limits.InFlight, count)
+	checkNotNegative(doc, "limits.headroom", s.Limits.Headroom, count)
+	checkNotNegative(doc, "probing.report_within", s.Probing.ReportWithin, duration)
+	checkNotNegative(doc, "probing.in_flight", s.Probing.InFlight, count)
+	checkNotNegative(doc, "once.accept", s.Once.Accept, duration)
+	checkNotNegative(doc, "once.retain", s.Once.Retain, duration)
+	checkNotNegative(doc, "once.max_run", s.Once.MaxRun, duration)
+	checkNotNegative(doc, "once.entries", s.Once.Entries, count)
+	checkNotNegative(doc, "once.bytes", s.Once.Bytes, count)
+	s.validateOnceRetain(doc)
 }
 
-// validateRetain guards against a second run. A key that is not remembered
-// between the two ages has provably never run; with less to remember by, a late
-// retry would be taken for new.
-func (s *Settings) validateRetain(doc *strictyaml.Document) {
+// validateOnceRetain prevents a second run of a request. A key of an age between
+// once.accept and once.retain that has no record has provably never run. With a
+// shorter once.retain, a late retry could be taken for a new request.
+func (s *Settings) validateOnceRetain(doc *strictyaml.Document) {
 	limits := s.Once.Limits()
 	if limits.RetainAge <= limits.AcceptAge+limits.MaxRunTime+limits.ReplyGrace {
-		doc.Report("once.retain", limits.RetainAge.String()+" is too short for once.accept and once.max_run", "write more than their sum and "+limits.ReplyGrace.String())
+		doc.Report("once.retain", limits.RetainAge.String()+" is too short for once.accept and once.max_run", "write more than their sum plus "+limits.ReplyGrace.String())
 	}
 }
 
-func notNegative[T int | time.Duration](doc *strictyaml.Document, key string, value T, fix string) {
+func checkNotNegative[T int | time.Duration](doc *strictyaml.Document, key string, value T, fix string) {
 	if value < 0 {
 		doc.Report(key, fmt.Sprintf("%v is negative", value), fix)
 	}
 }
 
-// LoadPEM returns the text itself when it is LoadPEM, or else the file that it names.
+// LoadPEM returns value itself if it is a PEM text, or else reads the file that it
+// names.
 func LoadPEM(value string) ([]byte, error) {
 	if strings.HasPrefix(strings.TrimSpace(value), "-----BEGIN") {
 		return []byte(value), nil
 	}
 	text, err := os.ReadFile(value)
 	if err != nil {
-		return nil, &fault.Error{Code: fault.CodeTLS, Message: "cannot read the PEM file " + value, Fix: "make it with pistachiopier keys", Cause: err}
+		return nil, &fault.Error{Code: fault.CodeTLS, Message: "cannot read the PEM file " + value, Fix: "create it with pistachiopier keys", Cause: err}
 	}
 	return text, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// written collects each leaf key of a settings struct with its value.
-func written(value reflect.Value, prefix string, into map[string]string) {
+// leafValues adds each leaf key of a settings struct with its value to into.
+func leafValues(value reflect.Value, prefix string, into map[string]string) {
 	for i := range value.NumField() {
 		key := prefix + value.Type().Field(i).Tag.Get("yaml")
 		if field := value.Field(i); field.Kind() == reflect.Struct {
-			written(field, key+".", into)
+			leafValues(field, key+".", into)
 		} else {
 			into[key] = fmt.Sprint(field.Interface())
 		}
@@ -26,7 +26,7 @@
 	var filled Settings
 	ApplyDefaults(&filled)
 	defaults := map[string]string{}
-	written(reflect.ValueOf(filled), "", defaults)
+	leafValues(reflect.ValueOf(filled), "", defaults)
 	listed := map[string]string{}
 	for _, entry := range Reference() {
 		listed[entry.Key] = strings.Replace(entry.Default, required, "", 1)
@@ -37,10 +37,10 @@
 func TestTheSettingsPageIsUpToDate(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	require.NoError(t, err)
-	require.Equal(t, Markdown(), string(page), "write it with: go run ./cmd/pistachiopier settings --markdown > docs/SETTINGS.md")
+	require.Equal(t, Markdown(), string(page), "generate it with: go run ./cmd/pistachiopier settings --markdown > docs/SETTINGS.md")
 }
 
-func TestBadSettingsNameTheKeyAndTheFix(t *testing.T) {
+func TestInvalidSettingsNameTheKeyAndTheProblem(t *testing.T) {
 	_, err := Parse([]byte("node: a\ncaller_address: here\nlimits: {connections: -1, body_timeout: -1s}\nnights: 1\n"))
 	require.Error(t, err)
 	for _, part := range []string{"nights", "line 4"} {
@@ -52,8 +52,8 @@
 	}
 }
 
-// An operator keeps outcomes for a shorter time than keys may run. A late retry
-// would find nothing remembered and run an invoice a second time.
+// Guards against settings that keep outcomes for a shorter time than keys may run:
+// a late retry would find no record and run a non-idempotent request again.
 func TestOutcomesAreKeptLongerThanKeysMayRun(t *testing.T) {
 	_, err := Parse([]byte("once: {accept: 5m, max_run: 1m, retain: 6m}\n"))
 	require.ErrorContains(t, err, "once.retain")
