--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -9,8 +9,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/keys"
 )
 
-// BenchmarkHeartbeatPath compares a request on an open link with one that opens
-// its link: what probing the same neighbours and probing others each time cost.
+// BenchmarkHeartbeatPath compares a request on an open link with one that first
+// opens its link: the cost of probing fixed neighbours and of probing changing ones.
 func BenchmarkHeartbeatPath(b *testing.B) {
 	authority, err := keys.NewAuthority(time.Now(), time.Hour)
 	require.NoError(b, err)
@@ -23,7 +23,7 @@
 	defer func() { _ = server.Close() }()
 	target := Target{Node: "b", Address: server.Address()}
 	once := func(pool *Pool) {
-		replies, _ := ask(pool, target)
+		replies, _ := sendHeartbeat(pool, target)
 		if got := <-replies; got.failure != nil {
 			b.Fatal(got.failure)
 		}
--- a/internal/peer/hostile_test.go
+++ b/internal/peer/hostile_test.go
@@ -21,13 +21,13 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// Numbers that a newer version of the messages may use.
+// Field numbers that a newer version of the messages may use.
 const (
 	newField = 900
 	newBody  = 901
 )
 
-var mirror = HandlerFunc(func(inbound *Inbound) {
+var echoBody = HandlerFunc(func(inbound *Inbound) {
 	if inbound.Envelope.GetBody() == nil {
 		inbound.Reply(NewRefusal(core.ReasonNotAsked), true)
 		return
@@ -35,40 +35,40 @@
 	inbound.Reply(&peerpb.Envelope{Body: inbound.Envelope.GetBody()}, true)
 })
 
-// newer adds what a newer node might: a field unknown here.
-func newer(envelope *peerpb.Envelope, number protowire.Number) *peerpb.Envelope {
+// withUnknownField adds a field that this version does not define.
+func withUnknownField(envelope *peerpb.Envelope, number protowire.Number) *peerpb.Envelope {
 	unknown := protowire.AppendTag(nil, number, protowire.BytesType)
 	envelope.ProtoReflect().SetUnknown(protowire.AppendString(unknown, "from the future"))
 	return envelope
 }
 
-// During a rolling replacement of all VMs a newer node talks to an older one.
-// Fields that the older one does not know must not end the stream, and a request
-// of an unknown kind must get a refusal, not silence.
+// Guards against failures while all VMs are replaced one by one and a newer node
+// sends to an older one: unknown fields must not end the stream, and a request
+// of an unknown kind must get a refusal instead of no reply.
 func TestNewerMessagesAreTolerated(t *testing.T) {
 	authority := newAuthority(t)
-	server := startServer(t, authority, "a", mirror)
+	server := startServer(t, authority, "a", echoBody)
 	pool := startPool(t, authority, "b")
 	target := Target{Node: "a", Address: server.Address()}
-	asked := func(envelope *peerpb.Envelope) received {
+	roundTrip := func(envelope *peerpb.Envelope) received {
 		replies := make(chan received, 1)
 		pool.Send(target, envelope, func(reply *peerpb.Envelope, failure *LinkError) { replies <- received{reply, failure} })
 		return await(t, replies)
 	}
 	heartbeat := &peerpb.Heartbeat{Node: "b"}
-	withField := newer(&peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: heartbeat}}, newField)
-	require.Equal(t, "b", asked(withField).reply.GetHeartbeat().GetNode())
-	unknownBody := newer(&peerpb.Envelope{}, newBody)
-	require.Equal(t, string(core.ReasonNotAsked), asked(unknownBody).reply.GetRefusal().GetReason())
+	withField := withUnknownField(&peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: heartbeat}}, newField)
+	require.Equal(t, "b", roundTrip(withField).reply.GetHeartbeat().GetNode())
+	unknownBody := withUnknownField(&peerpb.Envelope{}, newBody)
+	require.Equal(t, string(core.ReasonNotAsked), roundTrip(unknownBody).reply.GetRefusal().GetReason())
 	again := &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: heartbeat}}
-	require.Equal(t, "b", asked(again).reply.GetHeartbeat().GetNode())
+	require.Equal(t, "b", roundTrip(again).reply.GetHeartbeat().GetNode())
 }
 
-// Something on the network sends garbage to the peer port. Nodes that ask in
-// between must not notice.
+// Guards against random packets on the peer port disturbing the requests of
+// other nodes.
 func TestGarbageOnThePeerPortDisturbsNobody(t *testing.T) {
 	authority := newAuthority(t)
-	server := startServer(t, authority, "a", mirror)
+	server := startServer(t, authority, "a", echoBody)
 	pool := startPool(t, authority, "b")
 	noise, err := net.Dial("udp", server.Address())
 	require.NoError(t, err)
@@ -82,15 +82,15 @@
 		_, err := noise.Write(packet)
 		require.NoError(t, err)
 		if i%100 == 0 {
-			replies, _ := ask(pool, Target{Node: "a", Address: server.Address()})
+			replies, _ := sendHeartbeat(pool, Target{Node: "a", Address: server.Address()})
 			require.Nil(t, await(t, replies).failure)
 		}
 	}
-	replies, _ := ask(pool, Target{Node: "a", Address: server.Address()})
+	replies, _ := sendHeartbeat(pool, Target{Node: "a", Address: server.Address()})
 	require.Nil(t, await(t, replies).failure)
 }
 
-// dialRaw opens a QUIC connection by hand and waits for its end.
+// dialRaw opens a QUIC connection without a Pool and returns the error that ends it.
 func dialRaw(t *testing.T, server *Server, config *tls.Config) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	// The server judges the client's certificate after the client is done with
+	// The server verifies the client's certificate after the client has completed
 	// its own part of the handshake.
 	stream, err := connection.AcceptStream(ctx)
 	require.Nil(t, stream)
@@ -107,7 +107,7 @@
 }
 
 func TestStrangersAreRefused(t *testing.T) {
-	server := startServer(t, newAuthority(t), "a", mirror)
+	server := startServer(t, newAuthority(t), "a", echoBody)
 	plain := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{keys.ProtocolName}, MinVersion: tls.VersionTLS13}
 	require.ErrorContains(t, dialRaw(t, server, plain), "certificate required")
 	stranger, err := newAuthority(t).Issue("b", time.Now(), time.Hour)
@@ -118,27 +118,28 @@
 	require.ErrorContains(t, dialRaw(t, server, plain), "unknown certificate authority")
 }
 
-// A node is given the certificates of another fleet. Its requests must fail as
-// not run, with a cause that names the authority.
+// Guards against an unclear failure of a node with the certificates of another
+// fleet: its requests must fail as not run, with a cause that names the authority.
 func TestAnotherFleetsNodeIsRefusedWithAClearCause(t *testing.T) {
-	server := startServer(t, newAuthority(t), "a", mirror)
+	server := startServer(t, newAuthority(t), "a", echoBody)
 	pool := startPool(t, newAuthority(t), "b")
 	broken := make(chan error, 1)
 	pool.OnBroken(func(_ Target, cause error) { broken <- cause })
-	replies, _ := ask(pool, Target{Node: "a", Address: server.Address()})
+	replies, _ := sendHeartbeat(pool, Target{Node: "a", Address: server.Address()})
 	failure := await(t, replies).failure
 	require.Equal(t, core.NotRun, failure.Outcome)
 	require.ErrorContains(t, failure, "unknown authority")
 	require.ErrorContains(t, <-broken, "unknown authority")
 }
 
-// FuzzEnvelope feeds bytes to the reader of peer messages: it fails or gives a
-// message that survives being written again, unknown fields included.
+// FuzzEnvelope passes bytes to the reader of peer messages: it must either fail or
+// return a message that is the same after writing and reading it again, including
+// unknown fields.
 func FuzzEnvelope(f *testing.F) {
 	for _, envelope := range []*peerpb.Envelope{
 		helloEnvelope(Identity{Node: "a", Incarnation: 1}),
-		newer(&peerpb.Envelope{Id: 7, Last: true}, newBody),
-		newer(NewRefusal(core.ReasonNotOwner), newField),
+		withUnknownField(&peerpb.Envelope{Id: 7, Last: true}, newBody),
+		withUnknownField(NewRefusal(core.ReasonNotOwner), newField),
 		{Id: 1, Body: &peerpb.Envelope_BundleRequest{BundleRequest: &peerpb.BundleRequest{Customer: "c", Asks: []*peerpb.ShardAsk{{Service: "s"}}}}},
 	} {
 		var seed bytes.Buffer
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -15,19 +15,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/ring"
 )
 
-// link is one connection to a peer and the requests open on it.
+// link is one connection to a peer with its open requests.
 type link struct {
-	pool   *Pool
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	target Target
-	out    *ring.Ring[*peerpb.Envelope]
-	mutex  sync.Mutex
-	calls  map[uint64]*call
-	broken error
-	watch  linkWatch
-	// carried is guarded by mutex.
-	carried sampled
+	pool     *Pool
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	target   Target
+	outgoing *ring.Ring[*peerpb.Envelope]
+	mutex    sync.Mutex
+	calls    map[uint64]*call
+	endCause error
+	liveness linkLiveness
+	// traffic is guarded by mutex.
+	traffic trafficSample
 }
 
 // call is one open request.
@@ -35,71 +35,71 @@
 	link *link
 	id   uint64
 	sink Sink
-	// written is set before any byte of the request may leave.
+	// written is set before any byte of the request can be sent.
 	written bool
 }
 
-// Cancel implements Ticket.
+// Cancel implements Canceller.
 func (c *call) Cancel() {
 	removed := c.link.remove(c.id)
 	if removed != nil && removed.written {
-		c.link.out.TryPut(&peerpb.Envelope{Id: c.id, Body: &peerpb.Envelope_Cancel{Cancel: &peerpb.Cancel{}}})
+		c.link.outgoing.TryPut(&peerpb.Envelope{Id: c.id, Body: &peerpb.Envelope_Cancel{Cancel: &peerpb.Cancel{}}})
 	}
 }
 
-// start queues a call. It reports false when the link was closed for not being
-// used: the call then belongs on a new one.
-func (l *link) start(c *call, request *peerpb.Envelope) bool {
+// enqueue queues a call. It reports false if the link was closed as idle: the call
+// must then use a new link.
+func (l *link) enqueue(c *call, request *peerpb.Envelope) bool {
 	l.mutex.Lock()
-	broken := l.broken
-	if broken == nil {
+	cause := l.endCause
+	if cause == nil {
 		l.calls[c.id] = c
-		l.watch.usedAt = time.Now()
+		l.liveness.lastRequestAt = time.Now()
 	}
 	l.mutex.Unlock()
-	if broken == errIdle {
+	if cause == errIdle {
 		return false
 	}
-	if broken != nil {
-		c.sink(nil, l.failure(core.NotRun, broken))
+	if cause != nil {
+		c.sink(nil, l.newLinkError(core.NotRun, cause))
 		return true
 	}
-	if !l.out.TryPut(request) && l.remove(c.id) != nil {
-		c.sink(nil, l.failure(core.NotRun, errRingFull))
+	if !l.outgoing.TryPut(request) && l.remove(c.id) != nil {
+		c.sink(nil, l.newLinkError(core.NotRun, errRingFull))
 	}
 	return true
 }
 
-// run opens the link and serves it until it ends. Who waits learns of the end
-// only after the pool has forgotten the link: a retry then opens a new one.
+// run opens the link and serves it until it ends. The open calls fail only after
+// the pool has removed the link, so that a retry opens a new one.
 func (l *link) run() {
 	defer l.pool.done.Done()
 	defer l.cancel(nil)
-	err := l.talk()
+	err := l.connectAndServe()
 	if cause := context.Cause(l.ctx); cause != nil {
 		err = cause
 	}
 	if l.pool.ctx.Err() != nil || err == nil {
 		err = errPoolClosed
 	}
-	l.pool.remember(l.target.Address, err)
-	l.pool.forget(l)
-	if l.pool.broken != nil && err != errIdle && l.pool.ctx.Err() == nil {
-		l.pool.broken(l.target, err)
+	l.pool.recordEnd(l.target.Address, err)
+	l.pool.removeLink(l)
+	if l.pool.onBroken != nil && err != errIdle && l.pool.ctx.Err() == nil {
+		l.pool.onBroken(l.target, err)
 	}
 	l.fail(err)
-	l.pool.ended(l, err)
+	l.pool.notifyEnd(l, err)
 }
 
-// talk dials, then reads and writes until either fails.
-func (l *link) talk() error {
+// connectAndServe dials, then reads and writes until one of them fails.
+func (l *link) connectAndServe() error {
 	connection, release, err := l.dial()
 	if err != nil {
 		return err
 	}
 	defer release()
-	l.carries(connection)
-	defer l.sample()
+	l.startSampling(connection)
+	defer l.sampleTraffic()
 	defer func() { _ = connection.CloseWithError(codeClosing, "closing") }()
 	stream, err := connection.OpenStreamSync(l.ctx)
 	if err != nil {
@@ -123,8 +123,8 @@
 	return readError
 }
 
-// dial connects, by the pool's socket or after a failure by one of its own, which
-// release then closes.
+// dial connects through the pool's socket or, after a failed link, through a
+// separate socket, which the returned function closes.
 func (l *link) dial() (*quic.Conn, func(), error) {
 	address, err := net.ResolveUDPAddr("udp", l.target.Address)
 	if err != nil {
@@ -149,13 +149,13 @@
 	if _, err := protodelim.MarshalTo(writer, helloEnvelope(l.pool.self)); err != nil {
 		return err
 	}
-	out := outbox{queue: l.out.Items(), writer: writer, wanted: l.markWritten, wrote: l.pool.meter.message(l.target.Node)}
+	out := outbox{queue: l.outgoing.Items(), writer: writer, shouldWrite: l.markWritten, onWritten: l.pool.meter.messageCounter(l.target.Node)}
 	return out.write(ctx)
 }
 
-// markWritten decides whether a queued message is still wanted. A request that
-// was withdrawn while the link was being opened is past its time: it is never
-// sent, and neither is its cancellation.
+// markWritten reports whether a queued message is still to be sent and marks its
+// call as written. A request that was cancelled before it was written, such as
+// while the link was being opened, is never sent, nor is its cancellation.
 func (l *link) markWritten(envelope *peerpb.Envelope) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -167,7 +167,7 @@
 		return false
 	}
 	c.written = true
-	l.watch.wrote()
+	l.liveness.requestWritten()
 	return true
 }
 
@@ -181,11 +181,11 @@
 	}
 }
 
-// deliver hands a reply to its call. A reply to a call that was cancelled or has
-// ended is dropped.
+// deliver passes a reply to its call and drops it if the call was cancelled or has
+// ended.
 func (l *link) deliver(envelope *peerpb.Envelope) {
 	l.mutex.Lock()
-	l.watch.heard()
+	l.liveness.messageReceived()
 	c := l.calls[envelope.GetId()]
 	if c != nil && envelope.GetLast() {
 		delete(l.calls, envelope.GetId())
@@ -196,7 +196,8 @@
 	}
 }
 
-// remove ends a call without telling its sink; nil means that it had ended.
+// remove ends a call without calling its sink. It returns nil if the call had
+// already ended.
 func (l *link) remove(id uint64) *call {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -205,10 +206,11 @@
 	return c
 }
 
-// fail ends every open request. A request that was never written did not run.
+// fail ends every open request. A request that was never written has not run; any
+// other may have run.
 func (l *link) fail(cause error) {
 	l.mutex.Lock()
-	l.broken = cause
+	l.endCause = cause
 	calls := l.calls
 	l.calls = nil
 	l.mutex.Unlock()
@@ -217,10 +219,10 @@
 		if c.written {
 			outcome = core.Unknown
 		}
-		c.sink(nil, l.failure(outcome, cause))
+		c.sink(nil, l.newLinkError(outcome, cause))
 	}
 }
 
-func (l *link) failure(outcome core.Outcome, cause error) *LinkError {
+func (l *link) newLinkError(outcome core.Outcome, cause error) *LinkError {
 	return &LinkError{Peer: l.target, Outcome: outcome, Cause: cause}
 }
--- a/internal/peer/meter.go
+++ b/internal/peer/meter.go
@@ -10,24 +10,24 @@
 	"github.com/pistachiopier/pistachiopier/internal/traffic"
 )
 
-// Meter is told the bytes that went to a node, or for traffic.Links also came from it. It must not
-// block.
+// Meter counts the bytes sent to a node, and for traffic.Links also those received from it. It
+// must not block.
 type Meter func(node core.NodeID, purpose traffic.Purpose, bytes int)
 
-// meter holds a Meter that may be set while links are open.
-type meter struct{ told atomic.Pointer[Meter] }
+// meter holds a Meter that can be set while links are open.
+type meter struct{ report atomic.Pointer[Meter] }
 
-func (m *meter) set(told Meter) { m.told.Store(&told) }
+func (m *meter) set(report Meter) { m.report.Store(&report) }
 
-func (m *meter) add(node core.NodeID, purpose traffic.Purpose, bytes int) {
-	if told := m.told.Load(); told != nil && bytes > 0 {
-		(*told)(node, purpose, bytes)
+func (m *meter) countBytes(node core.NodeID, purpose traffic.Purpose, bytes int) {
+	if report := m.report.Load(); report != nil && bytes > 0 {
+		(*report)(node, purpose, bytes)
 	}
 }
 
-// message is the counting of messages written to a node.
-func (m *meter) message(node core.NodeID) func(*peerpb.Envelope, int) {
-	return func(envelope *peerpb.Envelope, bytes int) { m.add(node, purposeOf(envelope), bytes) }
+// messageCounter returns a function that counts the messages written to a node.
+func (m *meter) messageCounter(node core.NodeID) func(*peerpb.Envelope, int) {
+	return func(envelope *peerpb.Envelope, bytes int) { m.countBytes(node, purposeOf(envelope), bytes) }
 }
 
 func purposeOf(envelope *peerpb.Envelope) traffic.Purpose {
@@ -43,34 +43,35 @@
 	}
 }
 
-// OnBytes sets who is told what is sent to peers.
-func (p *Pool) OnBytes(told Meter) { p.meter.set(told) }
+// OnBytes sets the Meter for the traffic with peers.
+func (p *Pool) OnBytes(report Meter) { p.meter.set(report) }
 
-// OnBytes sets who is told what is sent to peers.
-func (s *Server) OnBytes(told Meter) { s.meter.set(told) }
+// OnBytes sets the Meter for the messages sent to peers.
+func (s *Server) OnBytes(report Meter) { s.meter.set(report) }
 
-// sampled is what a link's connection had carried when it was last looked at.
-type sampled struct {
+// trafficSample is a link's connection and the number of bytes that it had carried
+// at the last sample.
+type trafficSample struct {
 	connection *quic.Conn
 	bytes      uint64
 }
 
-// sample tells what a link has carried since the last time.
-func (l *link) sample() {
+// sampleTraffic counts the bytes that the link has carried since the last sample.
+func (l *link) sampleTraffic() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.carried.connection == nil {
+	if l.traffic.connection == nil {
 		return
 	}
-	stats := l.carried.connection.ConnectionStats()
+	stats := l.traffic.connection.ConnectionStats()
 	now := stats.BytesSent + stats.BytesReceived
-	l.pool.meter.add(l.target.Node, traffic.Links, int(now-l.carried.bytes))
-	l.carried.bytes = now
+	l.pool.meter.countBytes(l.target.Node, traffic.Links, int(now-l.traffic.bytes))
+	l.traffic.bytes = now
 }
 
-// carries makes a connection the one that is sampled.
-func (l *link) carries(connection *quic.Conn) {
+// startSampling sets the connection to sample.
+func (l *link) startSampling(connection *quic.Conn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.carried = sampled{connection: connection}
+	l.traffic = trafficSample{connection: connection}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
-// Package peer carries messages between the tier's nodes: QUIC with mutual TLS,
-// one long-lived framed stream for each asking node, writes batched.
+// Package peer transports messages between nodes over QUIC with mutual TLS. Each
+// requesting node has one long-lived stream of length-prefixed messages; writes
+// are batched.
 package peer
 
 import (
@@ -14,36 +15,36 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// Protocol is the version of the messages that this program speaks. A peer of
-// another version is spoken to all the same: fields are only ever added.
+// Protocol is the version of the messages of this program. Peers of other versions
+// are compatible, since fields are only added.
 const Protocol = 1
 
 // Limits and times of the peer transport.
 const (
-	// MaxMessageBytes bounds one message; a longer one ends the stream.
+	// MaxMessageBytes is the maximum size of a message; a larger one ends the stream.
 	MaxMessageBytes = 4 << 20
 	bufferBytes     = 8 << 10
 	writeRingDepth  = 1024
-	idleTimeout     = 30 * time.Second
-	// keepAlive is how often an idle connection is written to. A keepalive and
-	// its acknowledgement take about 130 bytes with IP and UDP headers: 100
-	// links out and 100 in cost 2.6 KB/s of a node's 29 KB/s at 10 s.
-	keepAlive   = 10 * time.Second
-	dialTimeout = 2 * time.Second
-	maxStreams  = 16
-	// codeClosing is the QUIC application error code of an orderly end.
+	quicIdleTimeout = 30 * time.Second
+	// keepAliveInterval is the interval of keepalives on an idle connection. A keepalive
+	// and its acknowledgement take about 130 bytes with IP and UDP headers: at 10 s,
+	// 100 outbound and 100 inbound links cost 2.6 KB/s of a node's 29 KB/s.
+	keepAliveInterval = 10 * time.Second
+	dialTimeout       = 2 * time.Second
+	maxStreams        = 16
+	// codeClosing is the QUIC application error code of an orderly close.
 	codeClosing = 0
-	// codeProtocol is sent when a peer breaks the protocol.
+	// codeProtocol is the error code for a peer that violates the protocol.
 	codeProtocol = 1
 )
 
-// Identity is what a node says of itself when a stream opens.
+// Identity identifies a node in the hello message that opens a stream.
 type Identity struct {
 	Node        core.NodeID
 	Incarnation uint64
 }
 
-// Target is a node to be asked.
+// Target is a node that requests are sent to.
 type Target struct {
 	Node    core.NodeID
 	Address string
@@ -53,43 +54,43 @@
 type Inbound struct {
 	From     Identity
 	Envelope *peerpb.Envelope
-	// Context ends when the peer withdraws the request or its stream ends.
+	// Context ends when the peer cancels the request or its stream ends.
 	Context context.Context
 	reply   func(*peerpb.Envelope)
 }
 
-// Reply sends one reply; last marks the final one. Replies after the request's
-// context has ended are dropped.
+// Reply sends one reply; last marks the final one. Replies are dropped once the
+// request's context has ended.
 func (i *Inbound) Reply(envelope *peerpb.Envelope, last bool) {
 	envelope.Id = i.Envelope.GetId()
 	envelope.Last = last
 	i.reply(envelope)
 }
 
-// NewInbound makes a request that did not come over a stream: a node asking
-// itself, or a test.
+// NewInbound creates an inbound request: one from a stream, from the node itself or
+// in a test.
 func NewInbound(ctx context.Context, from Identity, envelope *peerpb.Envelope, reply func(*peerpb.Envelope)) *Inbound {
 	return &Inbound{From: from, Envelope: envelope, Context: ctx, reply: reply}
 }
 
-// Handler takes requests. It must not block: a request that cannot be queued is
-// refused with a Refusal.
+// Handler handles requests. It must not block: it replies with a Refusal to a
+// request that it cannot queue.
 type Handler interface {
 	Handle(inbound *Inbound)
 }
 
-// HandlerFunc is a function as a Handler.
+// HandlerFunc adapts a function to Handler.
 type HandlerFunc func(inbound *Inbound)
 
 // Handle implements Handler.
 func (f HandlerFunc) Handle(inbound *Inbound) { f(inbound) }
 
-// Sink takes the replies to one request, in order, from a single goroutine at a
-// time. A non-nil failure ends the request, as does a reply marked last.
+// Sink receives the replies to one request in order, called by one goroutine at a
+// time. A non-nil failure or a reply marked last ends the request.
 type Sink func(reply *peerpb.Envelope, failure *LinkError)
 
-// LinkError says that a request ended without a final reply. Outcome is NotRun
-// only when nothing of the request was written.
+// LinkError reports that a request ended without a final reply. Outcome is NotRun
+// only if no part of the request was written.
 type LinkError struct {
 	Peer    Target
 	Outcome core.Outcome
@@ -106,30 +107,30 @@
 
 // Sender sends requests to peers.
 type Sender interface {
-	// Send queues a request and returns at once; the ticket withdraws it.
+	// Send queues a request and returns at once; the Canceller cancels it.
 	Send(target Target, request *peerpb.Envelope, sink Sink) Canceller
 }
 
-// Canceller withdraws a request. Its sink may still be called once more.
+// Canceller cancels a request. The request's sink may still be called once more.
 type Canceller interface{ Cancel() }
 
-// NewRefusal makes the reply that a whole request was not run.
+// NewRefusal creates the reply that refuses a whole request, which was not run.
 func NewRefusal(reason core.Reason) *peerpb.Envelope {
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Refusal{Refusal: &peerpb.Refusal{Reason: string(reason)}}}
 }
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
-		MaxIdleTimeout:        idleTimeout,
-		KeepAlivePeriod:       keepAlive,
+		MaxIdleTimeout:        quicIdleTimeout,
+		KeepAlivePeriod:       keepAliveInterval,
 		HandshakeIdleTimeout:  dialTimeout,
 		MaxIncomingStreams:    maxStreams,
 		MaxIncomingUniStreams: -1,
-		// The search for a larger packet costs 11.6 KB a link, half of what opening one does, and
-		// most links carry heartbeats only. Packets of 1,280 bytes pass every path.
+		// Path MTU discovery costs 11.6 KB per link, half of the cost of opening one, and most
+		// links carry only heartbeats. Packets of 1,280 bytes pass every path.
 		DisablePathMTUDiscovery: true,
-		// 0-RTT data can be replayed by anyone who captured it, which would
-		// run a must-not-repeat request twice. It stays off at both ends.
+		// 0-RTT data can be captured and replayed, which would run a
+		// non-idempotent request twice. It is disabled at both ends.
 		Allow0RTT: false,
 	}
 }
@@ -142,7 +143,7 @@
 	}}}
 }
 
-// readEnvelope reads one message. Unknown fields and bodies are kept unread.
+// readEnvelope reads one message. Unknown fields and bodies are kept unparsed.
 func readEnvelope(reader *bufio.Reader) (*peerpb.Envelope, error) {
 	envelope := &peerpb.Envelope{}
 	options := protodelim.UnmarshalOptions{MaxSize: MaxMessageBytes}
@@ -156,27 +157,27 @@
 type outbox struct {
 	queue  <-chan *peerpb.Envelope
 	writer *bufio.Writer
-	// wanted says whether a queued message is still to be written.
-	wanted func(*peerpb.Envelope) bool
-	// finish, once closed, ends the writing when the queue is empty; nil is never.
-	finish <-chan struct{}
-	// wrote is told each message that was written, with its bytes.
-	wrote func(*peerpb.Envelope, int)
+	// shouldWrite reports whether a queued message is still to be written.
+	shouldWrite func(*peerpb.Envelope) bool
+	// flush, once closed, ends the writing when the queue is empty; it may be nil.
+	flush <-chan struct{}
+	// onWritten is called with each message that was written and its size in bytes.
+	onWritten func(*peerpb.Envelope, int)
 }
 
-// write writes the wanted messages until the context ends, which is an error, or
-// finish is closed. It flushes only when the queue is empty, so that messages
-// under load share packets.
+// write writes messages until the context ends, which is an error, or flush is
+// closed. It flushes the writer only when the queue is empty, so that messages
+// share packets under load.
 func (o *outbox) write(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case envelope := <-o.queue:
-			if err := o.put(envelope); err != nil {
+			if err := o.writeMessage(envelope); err != nil {
 				return err
 			}
-		case <-o.finish:
+		case <-o.flush:
 			return o.drain()
 		}
 	}
@@ -184,20 +185,20 @@
 
 func (o *outbox) drain() error {
 	for len(o.queue) > 0 {
-		if err := o.put(<-o.queue); err != nil {
+		if err := o.writeMessage(<-o.queue); err != nil {
 			return err
 		}
 	}
 	return o.writer.Flush()
 }
 
-func (o *outbox) put(envelope *peerpb.Envelope) error {
-	if o.wanted(envelope) {
+func (o *outbox) writeMessage(envelope *peerpb.Envelope) error {
+	if o.shouldWrite(envelope) {
 		bytes, err := protodelim.MarshalTo(o.writer, envelope)
 		if err != nil {
 			return err
 		}
-		o.wrote(envelope, bytes)
+		o.onWritten(envelope, bytes)
 	}
 	if len(o.queue) > 0 {
 		return nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -50,11 +50,11 @@
 	failure *LinkError
 }
 
-func ask(pool *Pool, target Target) (<-chan received, Canceller) {
+func sendHeartbeat(pool *Pool, target Target) (<-chan received, Canceller) {
 	replies := make(chan received, 8)
-	ticket := pool.Send(target, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: &peerpb.Heartbeat{Node: "a"}}},
+	canceller := pool.Send(target, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: &peerpb.Heartbeat{Node: "a"}}},
 		func(reply *peerpb.Envelope, failure *LinkError) { replies <- received{reply, failure} })
-	return replies, ticket
+	return replies, canceller
 }
 
 func await(t *testing.T, replies <-chan received) received {
@@ -75,7 +75,7 @@
 func TestAskIsAnswered(t *testing.T) {
 	authority := newAuthority(t)
 	server := startServer(t, authority, "b", HandlerFunc(echo))
-	replies, _ := ask(startPool(t, authority, "a"), Target{Node: "b", Address: server.Address()})
+	replies, _ := sendHeartbeat(startPool(t, authority, "a"), Target{Node: "b", Address: server.Address()})
 	got := await(t, replies)
 	require.Nil(t, got.failure)
 	require.Equal(t, "a", got.reply.GetHeartbeat().GetNode())
@@ -84,7 +84,7 @@
 
 func TestWrongAuthorityIsNotRun(t *testing.T) {
 	server := startServer(t, newAuthority(t), "b", HandlerFunc(echo))
-	replies, _ := ask(startPool(t, newAuthority(t), "a"), Target{Node: "b", Address: server.Address()})
+	replies, _ := sendHeartbeat(startPool(t, newAuthority(t), "a"), Target{Node: "b", Address: server.Address()})
 	got := await(t, replies)
 	require.NotNil(t, got.failure)
 	require.Equal(t, core.NotRun, got.failure.Outcome)
@@ -95,23 +95,23 @@
 	authority := newAuthority(t)
 	began := make(chan context.Context, 1)
 	server := startServer(t, authority, "b", HandlerFunc(func(inbound *Inbound) { began <- inbound.Context }))
-	_, ticket := ask(startPool(t, authority, "a"), Target{Node: "b", Address: server.Address()})
+	_, canceller := sendHeartbeat(startPool(t, authority, "a"), Target{Node: "b", Address: server.Address()})
 	ctx := <-began
-	ticket.Cancel()
+	canceller.Cancel()
 	select {
 	case <-ctx.Done():
 	case <-time.After(awaitLimit):
-		require.Fail(t, "the handler was not told")
+		require.Fail(t, "the context of the request was not cancelled")
 	}
 }
 
-// A submit is on its way when the peer's process dies. The message was written,
-// so nobody can prove that it did not run: the outcome must be unknown.
+// Guards against reporting a request as not run when the peer's process dies after
+// the message was written. It may have run, so that the outcome must be unknown.
 func TestLostPeerIsUnknownOnceWritten(t *testing.T) {
 	authority := newAuthority(t)
 	began := make(chan struct{}, 1)
 	server := startServer(t, authority, "b", HandlerFunc(func(*Inbound) { began <- struct{}{} }))
-	replies, _ := ask(startPool(t, authority, "a"), Target{Node: "b", Address: server.Address()})
+	replies, _ := sendHeartbeat(startPool(t, authority, "a"), Target{Node: "b", Address: server.Address()})
 	<-began
 	require.NoError(t, server.Close())
 	got := await(t, replies)
@@ -119,9 +119,9 @@
 	require.Equal(t, core.Unknown, got.failure.Outcome)
 }
 
-// A chef's invoice is recorded and its node stops as planned at that moment. The
-// reply is queued, not yet on the wire, when the connections are closed; the
-// entry must still get it, or the outcome would be unknown without need.
+// Guards against losing replies in a planned stop: they are queued but not yet
+// sent when the server closes its connections. The entry must receive them, or
+// the outcome of an executed request would be unknown.
 func TestAFinishedServerDeliversItsLastReplies(t *testing.T) {
 	const requests = 64
 	const payloadBytes = 64 << 10
@@ -151,8 +151,9 @@
 	}
 }
 
-// When a fleet starts, every node turns to the few that it knows. Links that are not used
-// again must go at both ends, or those few would hold one from every node.
+// Guards against the accumulation of unused links: when a fleet starts, every node connects to
+// the few nodes that it knows. Links that are not used again must close at both ends, or those few
+// would hold a link from every node.
 func TestALinkThatIsNotUsedGoesAtBothEnds(t *testing.T) {
 	authority := newAuthority(t)
 	server := startServer(t, authority, "a", HandlerFunc(echo))
@@ -160,7 +161,7 @@
 	pool.SetLinkIdleTimeout(time.Millisecond)
 	target := Target{Node: "a", Address: server.Address()}
 	for range 2 {
-		replies, _ := ask(pool, target)
+		replies, _ := sendHeartbeat(pool, target)
 		require.Nil(t, await(t, replies).failure)
 		require.Eventually(t, func() bool { return pool.LinkCount() == 0 && server.LinkCount() == 0 }, awaitLimit, time.Millisecond)
 	}
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -17,14 +17,14 @@
 )
 
 var (
-	errRingFull   = errors.New("the ring of unsent messages is full")
+	errRingFull   = errors.New("the queue of unsent messages is full")
 	errPoolClosed = errors.New("the pool is closed")
-	errSilent     = errors.New("the link answered nothing and was replaced")
-	errIdle       = errors.New("the link was not used and was closed")
+	errSilent     = errors.New("the link did not respond and was replaced")
+	errIdle       = errors.New("the link was idle and was closed")
 )
 
-// Pool holds one link to each peer asked so far. A node that asks itself is
-// served without a stream.
+// Pool holds one link to each peer with recent requests. Requests of a node to
+// itself are served without a stream.
 type Pool struct {
 	self   Identity
 	local  Handler
@@ -36,33 +36,34 @@
 	nextID atomic.Uint64
 	mutex  sync.Mutex
 	links  map[string]*link
-	// moved are the addresses to which the next link uses a socket of its own.
-	moved  map[string]bool
-	onLink func(LinkEvent)
-	done   sync.WaitGroup
-	// broken is told why a link ended, unless the pool was closed.
-	broken func(Target, error)
-	// keepIdle is how long a link without requests is kept.
-	keepIdle time.Duration
-	meter    meter
+	// needsOwnSocket holds the addresses to which the next link uses a separate socket.
+	needsOwnSocket map[string]bool
+	onLink         func(LinkEvent)
+	done           sync.WaitGroup
+	// onBroken is called with the error that ended a link, unless the link was closed
+	// as idle or the pool was closed.
+	onBroken func(Target, error)
+	// linkIdleTimeout is how long a link without requests is kept.
+	linkIdleTimeout time.Duration
+	meter           meter
 }
 
-// SetLinkIdleTimeout sets how long a link without requests is kept. It must be called before the first
-// request.
-func (p *Pool) SetLinkIdleTimeout(limit time.Duration) { p.keepIdle = limit }
+// SetLinkIdleTimeout sets how long a link without requests is kept. It must be
+// called before the first request.
+func (p *Pool) SetLinkIdleTimeout(limit time.Duration) { p.linkIdleTimeout = limit }
 
-// OnBroken sets who is told why a link ended. It must be called before the
-// first request.
-func (p *Pool) OnBroken(listener func(target Target, cause error)) { p.broken = listener }
+// OnBroken sets the listener for links that end with an error. It must be called
+// before the first request.
+func (p *Pool) OnBroken(listener func(target Target, cause error)) { p.onBroken = listener }
 
-// NewPool makes a pool that asks as self; local serves requests to self.
+// NewPool creates a pool that sends requests as self; local serves requests to self.
 func NewPool(tlsConfig *tls.Config, self Identity, local Handler) (*Pool, error) {
 	return NewPoolWithSource(tlsConfig, self, local, nil)
 }
 
-// NewPoolWithSource is NewPool with the IP address that its datagrams come from. On a VM with
-// several, the operators' filters then see the one by which the other nodes know this one;
-// nil lets the kernel choose.
+// NewPoolWithSource is NewPool with a source IP address for its datagrams. On a VM with several
+// addresses, the operators' packet filters then see the address by which other nodes know this
+// one. With nil the kernel chooses.
 func NewPoolWithSource(tlsConfig *tls.Config, self Identity, local Handler, source net.IP) (*Pool, error) {
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: source})
 	if err != nil {
@@ -76,41 +77,41 @@
 		udp:   udp,
 		quic:  &quic.Transport{Conn: udp},
 
-		keepIdle: idleLink,
-		ctx:      ctx,
-		stop:     stop,
-		links:    map[string]*link{},
-		moved:    map[string]bool{},
+		linkIdleTimeout: defaultLinkIdleTimeout,
+		ctx:             ctx,
+		stop:            stop,
+		links:           map[string]*link{},
+		needsOwnSocket:  map[string]bool{},
 	}
 	p.done.Add(1)
 	go func() {
 		defer p.done.Done()
-		p.watch()
+		p.watchLinks()
 	}()
 	return p, nil
 }
 
-// Close ends all links; open requests fail.
+// Close closes all links; open requests fail.
 func (p *Pool) Close() error {
 	p.stop()
 	p.done.Wait()
 	return errors.Join(p.quic.Close(), p.udp.Close())
 }
 
-// LinkCount is the number of peers with a link.
+// LinkCount returns the number of peers with a link.
 func (p *Pool) LinkCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.links)
 }
 
-// Linked lists the peers with a link.
+// Linked returns the peers with a link.
 func (p *Pool) Linked() []Target {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	targets := make([]Target, 0, len(p.links))
-	for _, one := range p.links {
-		targets = append(targets, one.target)
+	for _, l := range p.links {
+		targets = append(targets, l.target)
 	}
 	return targets
 }
@@ -119,22 +120,22 @@
 func (p *Pool) Send(target Target, request *peerpb.Envelope, sink Sink) Canceller {
 	request.Id = p.nextID.Add(1)
 	if target.Node == p.self.Node {
-		return p.askSelf(request, sink)
+		return p.sendToSelf(request, sink)
 	}
 	c := &call{sink: sink, id: request.GetId()}
 	for {
 		c.link = p.link(target)
-		if c.link.start(c, request) {
+		if c.link.enqueue(c, request) {
 			return c
 		}
 	}
 }
 
-// askSelf hands a request to the local handler. A reply after the ticket was
-// cancelled is dropped, as on a link.
-func (p *Pool) askSelf(request *peerpb.Envelope, sink Sink) Canceller {
+// sendToSelf passes a request to the local handler. As on a link, replies are
+// dropped after the request was cancelled.
+func (p *Pool) sendToSelf(request *peerpb.Envelope, sink Sink) Canceller {
 	ctx, cancel := context.WithCancel(p.ctx)
-	ticket := localTicket{cancel: cancel}
+	canceller := localRequest{cancel: cancel}
 	p.local.Handle(NewInbound(ctx, p.self, request, func(reply *peerpb.Envelope) {
 		if ctx.Err() != nil {
 			return
@@ -144,15 +145,15 @@
 			cancel()
 		}
 	}))
-	return ticket
+	return canceller
 }
 
-type localTicket struct{ cancel context.CancelFunc }
+type localRequest struct{ cancel context.CancelFunc }
 
-// Cancel implements Ticket.
-func (t localTicket) Cancel() { t.cancel() }
+// Cancel implements Canceller.
+func (t localRequest) Cancel() { t.cancel() }
 
-// link returns the link to a peer and opens it when there is none.
+// link returns the link to a peer and opens one if there is none.
 func (p *Pool) link(target Target) *link {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -162,12 +163,12 @@
 	}
 	ctx, cancel := context.WithCancelCause(p.ctx)
 	created := &link{
-		pool:   p,
-		ctx:    ctx,
-		cancel: cancel,
-		target: target,
-		out:    ring.New[*peerpb.Envelope](writeRingDepth),
-		calls:  map[uint64]*call{},
+		pool:     p,
+		ctx:      ctx,
+		cancel:   cancel,
+		target:   target,
+		outgoing: ring.New[*peerpb.Envelope](writeRingDepth),
+		calls:    map[uint64]*call{},
 	}
 	p.links[target.Address] = created
 	p.done.Add(1)
@@ -175,8 +176,8 @@
 	return created
 }
 
-// forget removes a broken link, so that the next request opens a new one.
-func (p *Pool) forget(l *link) {
+// removeLink removes a link from the pool, so that the next request opens a new one.
+func (p *Pool) removeLink(l *link) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.links[l.target.Address] == l {
--- a/internal/peer/replay_test.go
+++ b/internal/peer/replay_test.go
@@ -12,8 +12,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/keys"
 )
 
-// A fee quote goes out twice: its packet was captured and sent again before the
-// handshake, as 0-RTT data allows. A peer that resumes a session and tries 0-RTT
+// Guards against running a captured and replayed request a second time, which 0-RTT
+// data allows before the handshake. A peer that resumes a session and tries 0-RTT
 // must be served only after the full handshake.
 func TestNoRequestTravelsAsZeroRTTData(t *testing.T) {
 	authority := newAuthority(t)
@@ -31,7 +31,7 @@
 	select {
 	case <-cache.stored:
 	case <-ctx.Done():
-		t.Fatal("the server gave no session ticket, so the test tries nothing")
+		t.Fatal("the server issued no session ticket, so that the test cannot try 0-RTT")
 	}
 	require.NoError(t, first.CloseWithError(codeClosing, "closing"))
 	second, err := quic.DialAddrEarly(ctx, server.Address(), config, quicConfig())
@@ -39,14 +39,14 @@
 	select {
 	case <-second.HandshakeComplete():
 	case <-ctx.Done():
-		t.Fatal("the handshake did not end")
+		t.Fatal("the handshake did not complete")
 	}
 	require.True(t, second.ConnectionState().TLS.DidResume)
 	require.False(t, second.ConnectionState().Used0RTT)
 	require.NoError(t, second.CloseWithError(codeClosing, "closing"))
 }
 
-// ticketCache tells when a session ticket has come.
+// ticketCache signals when a session ticket is stored.
 type ticketCache struct {
 	tls.ClientSessionCache
 	stored chan struct{}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,10 +17,10 @@
 	"github.com/pistachiopier/pistachiopier/internal/wait"
 )
 
-// finishPoll is how often Finish looks whether all streams have ended.
-const finishPoll = time.Millisecond
+// flushPollInterval is how often FlushReplies checks whether all streams have ended.
+const flushPollInterval = time.Millisecond
 
-// Server accepts peers' connections and hands their requests to a Handler.
+// Server accepts peers' connections and passes their requests to a Handler.
 type Server struct {
 	self     Identity
 	handler  Handler
@@ -28,16 +28,16 @@
 	listener *quic.Listener
 	stop     context.CancelFunc
 	done     sync.WaitGroup
-	// open counts the requests of isWork that are not yet answered.
-	open atomic.Int64
-	// finish is closed by Finish; streams counts those not yet ended.
-	finish     chan struct{}
-	finishOnce sync.Once
-	streams    atomic.Int64
-	meter      meter
+	// openRequests counts the unanswered requests for which delaysStop holds.
+	openRequests atomic.Int64
+	// flush is closed by FlushReplies; streams counts the streams not yet ended.
+	flush     chan struct{}
+	flushOnce sync.Once
+	streams   atomic.Int64
+	meter     meter
 }
 
-// Listen opens the peer address and serves until Close.
+// Listen listens on the peer address and serves until Close.
 func Listen(address string, tlsConfig *tls.Config, self Identity, handler Handler) (*Server, error) {
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -53,33 +53,33 @@
 		return nil, fault.Step("listen for peers", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	server := &Server{self: self, handler: handler, udp: udp, listener: listener, stop: stop, finish: make(chan struct{})}
+	server := &Server{self: self, handler: handler, udp: udp, listener: listener, stop: stop, flush: make(chan struct{})}
 	server.done.Add(1)
 	go server.accept(ctx)
 	return server, nil
 }
 
-// Address is the UDP address in use, with the port chosen for port 0.
+// Address returns the UDP address in use, with the port that was chosen for port 0.
 func (s *Server) Address() string { return s.udp.LocalAddr().String() }
 
-// OpenRequests is the number of peers' questions and must-not-repeat requests that are
-// not yet answered.
-func (s *Server) OpenRequests() int { return int(s.open.Load()) }
+// OpenRequests returns the number of unanswered requests from peers that a planned
+// stop waits for.
+func (s *Server) OpenRequests() int { return int(s.openRequests.Load()) }
 
-// LinkCount is the number of peers that have a link to this node.
+// LinkCount returns the number of open streams from peers, one for each link.
 func (s *Server) LinkCount() int64 { return s.streams.Load() }
 
-// FlushReplies sends the replies that are queued, ends each stream and waits until the
-// peers have read to the end, or the context is over. Closing a connection
-// discards what it has not sent yet: without this, a reply given just before a
-// planned stop would be lost and its request's outcome unknown.
+// FlushReplies sends the queued replies, ends each stream and waits until the peers
+// have read to the end or the context ends. Closing a connection discards unsent
+// data: without this call, a reply just before a planned stop would be lost and the
+// outcome of its request unknown.
 func (s *Server) FlushReplies(ctx context.Context) {
-	s.finishOnce.Do(func() { close(s.finish) })
-	for s.streams.Load() > 0 && wait.For(ctx, finishPoll) {
+	s.flushOnce.Do(func() { close(s.flush) })
+	for s.streams.Load() > 0 && wait.For(ctx, flushPollInterval) {
 	}
 }
 
-// Close ends all connections and frees the address.
+// Close closes all connections and frees the address.
 func (s *Server) Close() error {
 	s.stop()
 	err := s.listener.Close()
@@ -119,7 +119,7 @@
 	stop := context.AfterFunc(ctx, func() { stream.CancelRead(codeClosing) })
 	defer stop()
 	reader := bufio.NewReaderSize(stream, bufferBytes)
-	from, err := s.welcome(connection, reader)
+	from, err := s.verifyHello(connection, reader)
 	if err != nil {
 		_ = connection.CloseWithError(codeProtocol, err.Error())
 		return
@@ -133,22 +133,23 @@
 		session.write(stream, cancel)
 	}()
 	session.read(reader)
-	session.abandon()
+	session.endAllRequests()
 }
 
-// welcome checks that the peer is who its certificate says.
-func (s *Server) welcome(connection *quic.Conn, reader *bufio.Reader) (Identity, error) {
+// verifyHello reads the hello and checks that it names the node of the peer's
+// certificate.
+func (s *Server) verifyHello(connection *quic.Conn, reader *bufio.Reader) (Identity, error) {
 	envelope, err := readEnvelope(reader)
 	if err != nil {
 		return Identity{}, err
 	}
 	hello := envelope.GetHello()
 	if hello == nil {
-		return Identity{}, fault.NotRun(fault.CodePeer, "the first message is not a hello", "use a pistachiopier node")
+		return Identity{}, fault.NotRun(fault.CodePeer, "the first message of the stream is not a hello", "connect with a pistachiopier node")
 	}
 	certified := connection.ConnectionState().TLS.PeerCertificates[0].Subject.CommonName
 	if certified != hello.GetNode() {
-		return Identity{}, fault.NotRun(fault.CodePeer, "node "+hello.GetNode()+" shows the certificate of "+certified, "issue a certificate for this node")
+		return Identity{}, fault.NotRun(fault.CodePeer, "node "+hello.GetNode()+" presented the certificate of "+certified, "issue a certificate for this node")
 	}
 	return Identity{Node: core.NodeID(hello.GetNode()), Incarnation: hello.GetIncarnation()}, nil
 }
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -13,7 +13,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/ring"
 )
 
-// session is one peer's stream: its open requests and its replies.
+// session is the stream of one peer with its open requests and queued replies.
 type session struct {
 	ctx    context.Context
 	server *Server
@@ -23,14 +23,15 @@
 	open   map[uint64]openRequest
 }
 
-// openRequest is a request that is not yet answered; work is isWork of it.
+// openRequest is a request that is not yet answered.
 type openRequest struct {
-	cancel context.CancelFunc
-	work   bool
+	cancel     context.CancelFunc
+	delaysStop bool
 }
 
-// isWork tells what a planned stop waits for from heartbeats and watches.
-func isWork(envelope *peerpb.Envelope) bool {
+// delaysStop reports whether a planned stop waits for the request, as opposed to
+// heartbeats and watches.
+func delaysStop(envelope *peerpb.Envelope) bool {
 	return envelope.GetBundleRequest() != nil || envelope.GetSubmitRequest() != nil || envelope.GetHandoverRequest() != nil
 }
 
@@ -53,42 +54,42 @@
 			return
 		}
 		if envelope.GetCancel() != nil {
-			s.end(envelope.GetId())
+			s.endRequest(envelope.GetId())
 			continue
 		}
 		if envelope.GetHello() != nil {
-			// A liveness check: the answer proves that both ways work.
+			// A hello is also a liveness check: the reply shows that both directions work.
 			_ = s.out.Put(s.ctx, helloEnvelope(s.server.self))
 			continue
 		}
-		s.begin(envelope)
+		s.startRequest(envelope)
 	}
 }
 
-// begin hands a request to the handler.
-func (s *session) begin(envelope *peerpb.Envelope) {
+// startRequest passes a request to the handler.
+func (s *session) startRequest(envelope *peerpb.Envelope) {
 	ctx, cancel := context.WithCancel(s.ctx)
-	// A peer that uses an id twice ends the former request.
-	s.end(envelope.GetId())
-	work := isWork(envelope)
+	// If the peer reuses an id, the earlier request with that id ends.
+	s.endRequest(envelope.GetId())
+	delays := delaysStop(envelope)
 	s.mutex.Lock()
-	s.open[envelope.GetId()] = openRequest{cancel: cancel, work: work}
+	s.open[envelope.GetId()] = openRequest{cancel: cancel, delaysStop: delays}
 	s.mutex.Unlock()
-	if work {
-		s.server.open.Add(1)
+	if delays {
+		s.server.openRequests.Add(1)
 	}
-	s.server.handler.Handle(NewInbound(ctx, s.from, envelope, s.send))
+	s.server.handler.Handle(NewInbound(ctx, s.from, envelope, s.sendReply))
 }
 
-func (s *session) send(reply *peerpb.Envelope) {
+func (s *session) sendReply(reply *peerpb.Envelope) {
 	if reply.GetLast() {
-		defer s.end(reply.GetId())
+		defer s.endRequest(reply.GetId())
 	}
 	_ = s.out.Put(s.ctx, reply)
 }
 
-// end forgets a request that is answered or withdrawn and ends its context.
-func (s *session) end(id uint64) {
+// endRequest removes a request that is answered or cancelled and ends its context.
+func (s *session) endRequest(id uint64) {
 	s.mutex.Lock()
 	request, known := s.open[id]
 	delete(s.open, id)
@@ -96,31 +97,31 @@
 	if !known {
 		return
 	}
-	if request.work {
-		s.server.open.Add(-1)
+	if request.delaysStop {
+		s.server.openRequests.Add(-1)
 	}
 	request.cancel()
 }
 
-// abandon ends the requests of a stream that has ended.
-func (s *session) abandon() {
+// endAllRequests ends the open requests after the stream has ended.
+func (s *session) endAllRequests() {
 	s.mutex.Lock()
 	ids := slices.Collect(maps.Keys(s.open))
 	s.mutex.Unlock()
 	for _, id := range ids {
-		s.end(id)
+		s.endRequest(id)
 	}
 }
 
-// write sends the session's replies. An orderly end leaves the reading side open
-// until the peer, which sees the end of the stream, closes the connection.
+// write sends the session's replies. An orderly close leaves the reading side open
+// until the peer reads the end of the stream and closes the connection.
 func (s *session) write(stream *quic.Stream, cancel context.CancelFunc) {
 	out := outbox{
-		queue:  s.out.Items(),
-		writer: bufio.NewWriterSize(stream, bufferBytes),
-		wanted: writeAll,
-		finish: s.server.finish,
-		wrote:  s.server.meter.message(s.from.Node),
+		queue:       s.out.Items(),
+		writer:      bufio.NewWriterSize(stream, bufferBytes),
+		shouldWrite: alwaysWrite,
+		flush:       s.server.flush,
+		onWritten:   s.server.meter.messageCounter(s.from.Node),
 	}
 	if err := out.write(s.ctx); err != nil {
 		stream.CancelWrite(codeClosing)
@@ -130,5 +131,5 @@
 	_ = stream.Close()
 }
 
-// writeAll wants every message.
-func writeAll(*peerpb.Envelope) bool { return true }
+// alwaysWrite is an outbox.shouldWrite that holds for every message.
+func alwaysWrite(*peerpb.Envelope) bool { return true }
--- a/internal/peer/silent_test.go
+++ b/internal/peer/silent_test.go
@@ -11,14 +11,14 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// forwarder passes UDP packets on, by flows that it knows from the sender's
-// port. Flows open at a call of silence are dropped for good.
+// forwarder forwards UDP packets by flows, identified by the sender's address.
+// dropOpenFlows makes it drop all further packets of the flows open at that time.
 type forwarder struct {
-	socket *net.UDPConn
-	target *net.UDPAddr
-	mutex  sync.Mutex
-	flows  map[string]*net.UDPConn
-	silent map[string]bool
+	socket  *net.UDPConn
+	target  *net.UDPAddr
+	mutex   sync.Mutex
+	flows   map[string]*net.UDPConn
+	dropped map[string]bool
 }
 
 func startForwarder(t *testing.T, target string) *forwarder {
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	f := &forwarder{socket: socket, target: address, flows: map[string]*net.UDPConn{}, silent: map[string]bool{}}
+	f := &forwarder{socket: socket, target: address, flows: map[string]*net.UDPConn{}, dropped: map[string]bool{}}
 	t.Cleanup(f.close)
 	go f.run()
 	return f
@@ -49,7 +49,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	key := from.String()
-	if f.silent[key] {
+	if f.dropped[key] {
 		return nil
 	}
 	if f.flows[key] == nil {
@@ -58,12 +58,12 @@
 			return nil
 		}
 		f.flows[key] = socket
-		go f.back(key, from, socket)
+		go f.forwardReplies(key, from, socket)
 	}
 	return f.flows[key]
 }
 
-func (f *forwarder) back(key string, to *net.UDPAddr, socket *net.UDPConn) {
+func (f *forwarder) forwardReplies(key string, to *net.UDPAddr, socket *net.UDPConn) {
 	buffer := make([]byte, 2048)
 	for {
 		n, err := socket.Read(buffer)
@@ -71,19 +71,19 @@
 			return
 		}
 		f.mutex.Lock()
-		silent := f.silent[key]
+		dropped := f.dropped[key]
 		f.mutex.Unlock()
-		if !silent {
+		if !dropped {
 			_, _ = f.socket.WriteToUDP(buffer[:n], to)
 		}
 	}
 }
 
-func (f *forwarder) silence() {
+func (f *forwarder) dropOpenFlows() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for key := range f.flows {
-		f.silent[key] = true
+		f.dropped[key] = true
 	}
 }
 
@@ -96,61 +96,61 @@
 	}
 }
 
-// A flow between two nodes is forgotten by something between them, while new
-// flows work. The link looks open, and questions through it would wait for
-// QUIC's idle timeout. The request that finds it out ends as unknown; the next
-// one goes through a new link from another port.
+// Guards against waiting for QUIC's idle timeout when a device between two nodes
+// loses track of a flow: its packets are dropped while new flows work and the link
+// looks open. The request that detects this ends as unknown; the next one uses a
+// new link from another port.
 func TestASilentLinkIsReplaced(t *testing.T) {
 	authority := newAuthority(t)
 	server := startServer(t, authority, "b", HandlerFunc(echo))
 	f := startForwarder(t, server.Address())
 	pool := startPool(t, authority, "a")
-	news := make(chan LinkEvent, 64)
-	pool.OnLink(func(one LinkEvent) { news <- one })
+	events := make(chan LinkEvent, 64)
+	pool.OnLink(func(event LinkEvent) { events <- event })
 	target := Target{Node: "b", Address: f.socket.LocalAddr().String()}
 
-	replies, _ := ask(pool, target)
+	replies, _ := sendHeartbeat(pool, target)
 	require.Nil(t, await(t, replies).failure)
-	f.silence()
-	replies, _ = ask(pool, target)
+	f.dropOpenFlows()
+	replies, _ = sendHeartbeat(pool, target)
 	lost := await(t, replies)
 	require.NotNil(t, lost.failure)
 	require.Equal(t, core.Unknown, lost.failure.Outcome)
 	require.ErrorIs(t, lost.failure, errSilent)
-	replies, _ = ask(pool, target)
+	replies, _ = sendHeartbeat(pool, target)
 	require.Nil(t, await(t, replies).failure)
-	for one := range news {
-		if one.State == LinkSilent {
-			require.Equal(t, target, one.Peer)
+	for event := range events {
+		if event.State == LinkSilent {
+			require.Equal(t, target, event.Peer)
 			break
 		}
 	}
 }
 
-// An owner works long on a request. Its link is not silent: the peer's transport
-// answers the check, so that nothing that runs is cut off.
+// Guards against replacing a link while the owner works long on a request. The
+// peer's transport answers the liveness check, so that running requests go on.
 func TestALinkWithSlowRepliesIsKept(t *testing.T) {
 	authority := newAuthority(t)
 	arrived := make(chan *Inbound, 1)
 	server := startServer(t, authority, "b", HandlerFunc(func(inbound *Inbound) { arrived <- inbound }))
 	pool := startPool(t, authority, "a")
-	// The opening of the link is over with the first answer; what is heard silentAfter
-	// after the second request can only be the answer to the check.
-	opening, _ := ask(pool, Target{Node: "b", Address: server.Address()})
+	// The first reply shows that the link is open; a message that arrives silenceTimeout
+	// after the second request or later can only be the reply to the check.
+	opening, _ := sendHeartbeat(pool, Target{Node: "b", Address: server.Address()})
 	echo(<-arrived)
 	require.Nil(t, await(t, opening).failure)
 	started := time.Now()
-	replies, _ := ask(pool, Target{Node: "b", Address: server.Address()})
+	replies, _ := sendHeartbeat(pool, Target{Node: "b", Address: server.Address()})
 	inbound := <-arrived
 	l := pool.snapshot()[0]
-	require.Eventually(t, func() bool { return l.heardAt().Sub(started) >= silentAfter }, awaitLimit, watchEvery, "the check was answered")
+	require.Eventually(t, func() bool { return l.lastReceivedTime().Sub(started) >= silenceTimeout }, awaitLimit, watchInterval, "the check was answered")
 	echo(inbound)
 	require.Nil(t, await(t, replies).failure)
 	require.Same(t, l, pool.snapshot()[0])
 }
 
-func (l *link) heardAt() time.Time {
+func (l *link) lastReceivedTime() time.Time {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.watch.heardAt
+	return l.liveness.lastReceivedAt
 }
--- a/internal/peer/watch.go
+++ b/internal/peer/watch.go
@@ -9,93 +9,94 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// Times of the links' liveness checks. A link that has gone silent is replaced
-// at the latest silentAfter + checkWait + 2 watchEvery after a request was
-// written to it: 2.5 s.
+// Times of the links' liveness checks. A silent link is replaced at the latest
+// silenceTimeout + checkTimeout + 2 watchInterval = 2.5 s after a request was
+// written to it.
 const (
-	watchEvery = 250 * time.Millisecond
-	// silentAfter is how long a written request may see nothing come back, from
-	// any request, before the link is checked.
-	silentAfter = time.Second
-	// checkWait is how long the answer to a check may take.
-	checkWait = time.Second
-	// idleLink is how long a link without requests is kept unless the pool says otherwise.
-	idleLink = time.Minute
-	// newsEvery is how often a link that answers is told of.
-	newsEvery = time.Second
+	watchInterval = 250 * time.Millisecond
+	// silenceTimeout is the time after writing a request without any message
+	// received on the link, for whichever request, until the link is checked.
+	silenceTimeout = time.Second
+	// checkTimeout is the maximum time to the reply to a check.
+	checkTimeout = time.Second
+	// defaultLinkIdleTimeout is how long a link without requests is kept by default.
+	defaultLinkIdleTimeout = time.Minute
+	// answeringInterval is the minimum interval of LinkAnswering events of a link.
+	answeringInterval = time.Second
 )
 
-// LinkState is what became known of a link.
+// LinkState is the state of a link as observed from requests.
 type LinkState uint8
 
-// The states of a link that are told to the listener.
+// The states of a link that are reported to the listener.
 const (
-	// LinkAnswering means that a reply came within the last second or so.
+	// LinkAnswering means that a message was received within about the last second.
 	LinkAnswering LinkState = iota
 	// LinkLost means that the link could not be opened or broke.
 	LinkLost
-	// LinkSilent means that the link looked open, answered nothing and was
+	// LinkSilent means that the link looked open but did not respond and was
 	// replaced.
 	LinkSilent
 )
 
-// LinkEvent is evidence about a peer from requests to it.
+// LinkEvent reports the state of the link to a peer.
 type LinkEvent struct {
 	Peer  Target
 	State LinkState
 }
 
-// OnLink sets the listener, which must not block.
+// OnLink sets the listener for link events. It must not block.
 func (p *Pool) OnLink(listener func(LinkEvent)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.onLink = listener
 }
 
-func (p *Pool) tell(news LinkEvent) {
+func (p *Pool) notify(event LinkEvent) {
 	p.mutex.Lock()
 	listener := p.onLink
 	p.mutex.Unlock()
 	if listener != nil {
-		listener(news)
+		listener(event)
 	}
 }
 
-// linkWatch is what a link remembers of its liveness, under the link's mutex.
-type linkWatch struct {
-	usedAt  time.Time
-	heardAt time.Time
-	// waitingSince is when a request was written with nothing heard since.
+// linkLiveness is the liveness state of a link, guarded by the link's mutex.
+type linkLiveness struct {
+	lastRequestAt  time.Time
+	lastReceivedAt time.Time
+	// waitingSince is when the first request was written after the last message
+	// received, or zero if there is none.
 	waitingSince time.Time
 	checkedAt    time.Time
-	toldAt       time.Time
+	lastReportAt time.Time
 }
 
-func (w *linkWatch) wrote() {
+func (w *linkLiveness) requestWritten() {
 	if w.waitingSince.IsZero() {
 		w.waitingSince = time.Now()
 	}
 }
 
-func (w *linkWatch) heard() {
-	w.heardAt = time.Now()
+func (w *linkLiveness) messageReceived() {
+	w.lastReceivedAt = time.Now()
 	w.waitingSince = time.Time{}
 	w.checkedAt = time.Time{}
 }
 
-// verdict is what a look at a link asks for.
-type verdict uint8
+// linkAction is the action that a liveness check of a link results in.
+type linkAction uint8
 
 const (
-	verdictFine verdict = iota
-	verdictTell
-	verdictCheck
-	verdictSilent
-	verdictIdle
+	actionNone linkAction = iota
+	actionReport
+	actionCheck
+	actionReplace
+	actionClose
 )
 
-func (p *Pool) watch() {
-	ticker := time.NewTicker(watchEvery)
+func (p *Pool) watchLinks() {
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -104,8 +105,8 @@
 		case <-ticker.C:
 		}
 		for _, l := range p.snapshot() {
-			l.sample()
-			p.look(l)
+			l.sampleTraffic()
+			p.checkLink(l)
 		}
 	}
 }
@@ -120,99 +121,99 @@
 	return links
 }
 
-// look checks one link. A link can go silent for good while it looks open:
-// something between the ends has lost track of its flow, and what is written
-// vanishes, while a new link works. QUIC itself would wait for its idle timeout,
-// and requests with it. So a request that sees nothing come back leads to a
-// check that the peer's transport answers at once; without an answer the link
-// is replaced, by one from another port, since the flow is known by its ports.
-func (p *Pool) look(l *link) {
-	switch l.judge(time.Now()) {
-	case verdictTell:
-		p.tell(LinkEvent{Peer: l.target, State: LinkAnswering})
-	case verdictCheck:
-		l.out.TryPut(helloEnvelope(p.self))
-	case verdictSilent:
-		p.remember(l.target.Address, errSilent)
-		p.forget(l)
+// checkLink checks the liveness of one link. A link can look open while all its
+// packets are lost: a device between the ends has lost track of the flow, and only
+// a new link works. QUIC and its requests would wait for the idle timeout. So a
+// request with no message received since triggers a check, which the peer's
+// transport answers at once. Without a reply the link is replaced by one from
+// another port, since devices identify a flow by its ports.
+func (p *Pool) checkLink(l *link) {
+	switch l.nextAction(time.Now()) {
+	case actionReport:
+		p.notify(LinkEvent{Peer: l.target, State: LinkAnswering})
+	case actionCheck:
+		l.outgoing.TryPut(helloEnvelope(p.self))
+	case actionReplace:
+		p.recordEnd(l.target.Address, errSilent)
+		p.removeLink(l)
 		l.cancel(errSilent)
-	case verdictIdle:
-		if l.retire() {
-			p.forget(l)
+	case actionClose:
+		if l.retireIfUnused() {
+			p.removeLink(l)
 			l.cancel(errIdle)
 		}
 	}
 }
 
-func (l *link) judge(now time.Time) verdict {
+func (l *link) nextAction(now time.Time) linkAction {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	w := &l.watch
+	w := &l.liveness
 	if len(l.calls) == 0 {
 		w.waitingSince = time.Time{}
 		w.checkedAt = time.Time{}
 	}
 	switch {
-	case !w.checkedAt.IsZero() && now.Sub(w.checkedAt) >= checkWait:
-		return verdictSilent
-	case w.checkedAt.IsZero() && !w.waitingSince.IsZero() && now.Sub(w.waitingSince) >= silentAfter:
+	case !w.checkedAt.IsZero() && now.Sub(w.checkedAt) >= checkTimeout:
+		return actionReplace
+	case w.checkedAt.IsZero() && !w.waitingSince.IsZero() && now.Sub(w.waitingSince) >= silenceTimeout:
 		w.checkedAt = now
-		return verdictCheck
-	case len(l.calls) == 0 && now.Sub(w.usedAt) >= l.pool.keepIdle:
-		return verdictIdle
-	case w.heardAt.After(w.toldAt) && now.Sub(w.toldAt) >= newsEvery:
-		w.toldAt = now
-		return verdictTell
+		return actionCheck
+	case len(l.calls) == 0 && now.Sub(w.lastRequestAt) >= l.pool.linkIdleTimeout:
+		return actionClose
+	case w.lastReceivedAt.After(w.lastReportAt) && now.Sub(w.lastReportAt) >= answeringInterval:
+		w.lastReportAt = now
+		return actionReport
 	default:
-		return verdictFine
+		return actionNone
 	}
 }
 
-// retire lets a link that nobody uses take no further request, unless one came
-// just now.
-func (l *link) retire() bool {
+// retireIfUnused stops the link from accepting requests. It reports false if the
+// link has open requests or has ended.
+func (l *link) retireIfUnused() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if len(l.calls) > 0 || l.broken != nil {
+	if len(l.calls) > 0 || l.endCause != nil {
 		return false
 	}
-	l.broken = errIdle
+	l.endCause = errIdle
 	return true
 }
 
-// remember notes how a link ended before the next one to the address is opened:
-// after a failure that one is to use another port.
-func (p *Pool) remember(address string, cause error) {
+// recordEnd records how a link ended, before the next one to the address is opened.
+// After a failure the next one uses another port.
+func (p *Pool) recordEnd(address string, cause error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if cause == errIdle || cause == errPoolClosed {
-		delete(p.moved, address)
+		delete(p.needsOwnSocket, address)
 		return
 	}
-	p.moved[address] = true
+	p.needsOwnSocket[address] = true
 }
 
-// ended tells how a link ended.
-func (p *Pool) ended(l *link, cause error) {
+// notifyEnd reports to the listener how a link ended.
+func (p *Pool) notifyEnd(l *link, cause error) {
 	if cause == errPoolClosed {
 		return
 	}
 	switch cause {
 	case errIdle:
 	case errSilent:
-		p.tell(LinkEvent{Peer: l.target, State: LinkSilent})
+		p.notify(LinkEvent{Peer: l.target, State: LinkSilent})
 	default:
-		p.tell(LinkEvent{Peer: l.target, State: LinkLost})
+		p.notify(LinkEvent{Peer: l.target, State: LinkLost})
 	}
 }
 
-// transportTo gives the pool's own transport, or after a failed link to the
-// address a new one on another port.
+// transportTo returns the pool's own transport or, after a failed link to the
+// address, a new one on another port.
 func (p *Pool) transportTo(address string) (*quic.Transport, func(), error) {
 	p.mutex.Lock()
-	moved := p.moved[address]
+	ownSocket := p.needsOwnSocket[address]
 	p.mutex.Unlock()
-	if !moved {
+	if !ownSocket {
 		return p.quic, func() {}, nil
 	}
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{})
