--- a/internal/peer/hostile_test.go
+++ b/internal/peer/hostile_test.go
@@ -106,13 +106,13 @@
 	return err
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestUntrustedClientsAreRefused(t *testing.T) {
 	server := startServer(t, newAuthority(t), "a", echoBody)
 	plain := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{keys.ProtocolName}, MinVersion: tls.VersionTLS13}
 	require.ErrorContains(t, dialRaw(t, server, plain), "certificate required")
-	stranger, err := newAuthority(t).Issue("b", time.Now(), time.Hour)
+	untrusted, err := newAuthority(t).Issue("b", time.Now(), time.Hour)
 	require.NoError(t, err)
-	certificate, err := tls.X509KeyPair(stranger.Certificate, stranger.Key)
+	certificate, err := tls.X509KeyPair(untrusted.Certificate, untrusted.Key)
 	require.NoError(t, err)
 	plain.Certificates = []tls.Certificate{certificate}
 	require.ErrorContains(t, dialRaw(t, server, plain), "unknown certificate authority")
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -154,7 +154,7 @@
 // Guards against the accumulation of unused links: when a fleet starts, every node connects to
 // the few nodes that it knows. Links that are not used again must close at both ends, or those few
 // would hold a link from every node.
-func TestALinkThatIsNotUsedGoesAtBothEnds(t *testing.T) {
+func TestAnIdleLinkClosesAtBothEnds(t *testing.T) {
 	authority := newAuthority(t)
 	server := startServer(t, authority, "a", HandlerFunc(echo))
 	pool := startPool(t, authority, "b")
