--- a/internal/app/evidence.go
+++ b/internal/app/evidence.go
@@ -11,9 +11,9 @@
 
 // handleLinkUpdate reports to membership whether the traffic on a link shows its node as alive or lost,
 // and reports a silent link as a problem.
-func (n *Node) handleLinkUpdate(update peer.LinkNews) {
+func (n *Node) handleLinkUpdate(update peer.LinkEvent) {
 	switch update.State {
-	case peer.LinkAnswers:
+	case peer.LinkAnswering:
 		n.problems.Clear(observe.KindSilentConnection, "peer "+string(update.Peer.Node))
 		n.members.RecordAnswer(update.Peer.Node)
 	case peer.LinkSilent:
--- a/internal/app/handle.go
+++ b/internal/app/handle.go
@@ -9,7 +9,7 @@
 // Handle implements peer.Handler: it passes a peer's request to the component that serves it.
 func (n *Node) Handle(inbound *peer.Inbound) {
 	if !n.ready.Load() {
-		inbound.Reply(peer.Refused(core.ReasonPeerUnreached), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonPeerUnreached), true)
 		return
 	}
 	switch body := inbound.Envelope.GetBody().(type) {
@@ -34,6 +34,6 @@
 		n.gatherer.Answer(inbound)
 	default:
 		// A peer of a newer version may send a body that is unknown to this node.
-		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
 	}
 }
--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -72,7 +72,7 @@
 	return Dump{
 		Status:            n.Status(),
 		Nodes:             n.belief.View().Nodes(),
-		PeerLinks:         n.pool.Links(),
+		PeerLinks:         n.pool.LinkCount(),
 		EntryRings:        n.entry.Rings(),
 		OwnerRings:        n.owner.Rings(),
 		MembershipRing:    n.members.Rings(),
--- a/internal/catalog/examples_test.go
+++ b/internal/catalog/examples_test.go
@@ -16,8 +16,8 @@
 	return data
 }
 
-// The shipped examples are the first thing that an operator copies: each must
-// parse and have the sizes and the services that it is described with.
+// Guards against broken shipped examples, which operators copy first: each must
+// parse and have the documented numbers of services, replicas and data centres.
 func TestExamples(t *testing.T) {
 	cases := []struct {
 		file, lead, records string
@@ -30,7 +30,7 @@
 	for _, c := range cases {
 		parsed, err := Parse(example(t, c.file))
 		require.NoError(t, err, c.file)
-		assert.Len(t, parsed.Names, 52, c.file)
+		assert.Len(t, parsed.ServiceNames, 52, c.file)
 		replicas, dataCentres := 0, map[string]bool{}
 		for _, service := range parsed.Services {
 			for _, shard := range service.Shards {
--- a/internal/confwatch/asks.go
+++ b/internal/confwatch/asks.go
@@ -39,7 +39,7 @@
 	node   route.Node
 	have   config.Mark
 	at     core.Time
-	ticket peer.Ticket
+	ticket peer.Canceller
 }
 
 // send sends a request. The reply arrives as an event.
@@ -63,7 +63,7 @@
 	w.openRequests[sent.id] = sent
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_ConfigRequest{ConfigRequest: request}}
 	id := sent.id
-	sent.ticket = w.Peers.Ask(peer.Target{Node: node.ID, Address: node.PeerAddress}, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
+	sent.ticket = w.Peers.Send(peer.Target{Node: node.ID, Address: node.PeerAddress}, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
 		w.events.TryPut(peerReply{id: id, reply: reply.GetConfigReply()})
 	})
 }
--- a/internal/confwatch/world_test.go
+++ b/internal/confwatch/world_test.go
@@ -266,9 +266,9 @@
 
 func (t ticket) Cancel() { t.cancel() }
 
-// Ask implements peer.Asker. A partition fails new requests after dialTimeout and
+// Send implements peer.Sender. A partition fails new requests after dialTimeout and
 // drops messages in flight without an error.
-func (n *node) Ask(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+func (n *node) Send(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	s := n.simulation
 	ctx, cancel := context.WithCancel(context.Background())
 	s.count(n.ID, request)
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -42,7 +42,7 @@
 	separate bool
 	// replied is set once the helper has replied.
 	replied atomic.Bool
-	ticket  peer.Ticket
+	ticket  peer.Canceller
 
 	mutex sync.Mutex
 	// members are the sends that have not ended, by id.
@@ -189,7 +189,7 @@
 		message.Sends = append(message.Sends, &peerpb.DelegatedSend{Id: uint32(one.send.ID), Service: to.Service, Replica: to.ID, Address: to.Address, Born: to.Born})
 	}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_DelegateRequest{DelegateRequest: message}}
-	g.ticket = q.node.peerPool.Ask(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	g.ticket = q.node.peerPool.Send(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		q.handleHelperReply(g, reply, failure)
 	})
 	go q.closeGroup(g)
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -218,8 +218,8 @@
 	watch("replica_connections_opened_total", n.replicas.ConnectionsOpened)
 	watch("replica_connection_waiters", func() int64 { return int64(n.replicas.WaitingRequests()) })
 	watch("log_lines_dropped_total", n.log.Dropped)
-	watch("peer_links", func() int64 { return int64(n.peerPool.Links()) })
-	watch("peer_links_inbound", n.peerServer.Links)
+	watch("peer_links", func() int64 { return int64(n.peerPool.LinkCount()) })
+	watch("peer_links_inbound", n.peerServer.LinkCount)
 	watch("nodes_live", func() int64 { return int64(len(n.view().Nodes())) })
 	watch("data_centres_evacuated", func() (count int64) {
 		n.state.withReplicas(func(table *replica.Table, _ core.Time) { count = int64(len(table.Evacuated())) })
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -139,7 +139,7 @@
 func (n *Node) start(context.Context) error {
 	s := n.settings.Load()
 	n.log.Life("node_started", decisionlog.Fields{"data_centre": s.DataCentre, "callers": s.CallerAddress, "peers": s.PeerAddress, "seeds": s.Seeds, "stop_wait_ms": s.StopWait.Milliseconds()})
-	tlsConfig, err := keys.Ephemeral(s.PeerAddress, time.Now())
+	tlsConfig, err := keys.EphemeralTLSConfig(s.PeerAddress, time.Now())
 	if err != nil {
 		return fault.Wrap("create the node's key", err)
 	}
@@ -171,10 +171,10 @@
 	var err error
 	// If the address does not parse, the kernel chooses one here, and listening on the address fails below.
 	host, _, _ := net.SplitHostPort(s.PeerAddress)
-	if n.peerPool, err = peer.NewPoolFrom(tlsConfig, n.identity, n, net.ParseIP(host)); err != nil {
+	if n.peerPool, err = peer.NewPoolWithSource(tlsConfig, n.identity, n, net.ParseIP(host)); err != nil {
 		return fault.Wrap("open peer pool", err)
 	}
-	n.peerPool.KeepIdle(idleLinkTimeout)
+	n.peerPool.SetLinkIdleTimeout(idleLinkTimeout)
 	n.peerPool.OnBytes(n.countPeerBytes)
 	if n.peerServer, err = peer.Listen(s.PeerListen, tlsConfig, n.identity, n); err != nil {
 		return fault.Wrap("listen for peers", err)
@@ -234,8 +234,8 @@
 
 // handleLinkState passes evidence from data traffic about the node at the other end of a link to the
 // membership.
-func (n *Node) handleLinkState(change peer.LinkNews) {
-	if change.State == peer.LinkAnswers {
+func (n *Node) handleLinkState(change peer.LinkEvent) {
+	if change.State == peer.LinkAnswering {
 		n.members.RecordAnswer(change.Peer.Node)
 		return
 	}
@@ -275,7 +275,7 @@
 func (n *Node) Handle(inbound *peer.Inbound) {
 	switch {
 	case !n.ready.Load():
-		inbound.Reply(peer.Refused(core.ReasonPeerUnreached), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonPeerUnreached), true)
 	case inbound.Envelope.GetHeartbeat() != nil:
 		n.members.HandleHeartbeat(inbound)
 	case inbound.Envelope.GetMirrorRequest() != nil:
@@ -285,7 +285,7 @@
 	case inbound.Envelope.GetQuarantineNews() != nil:
 		n.quarantine.Handle(inbound)
 	default:
-		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -70,7 +70,7 @@
 	Self        core.NodeID
 	Incarnation uint64
 	Belief      *belief.Store
-	Peers       peer.Asker
+	Peers       peer.Sender
 	// Now returns the time on the node's monotonic clock.
 	Now      func() core.Time
 	Log      logrus.FieldLogger
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -84,7 +84,7 @@
 type openQuery struct {
 	queryReceived
 	machine *query.Machine
-	tickets map[query.SendID]peer.Ticket
+	tickets map[query.SendID]peer.Canceller
 }
 
 func newLoop(ctx context.Context, options Options, shared *shared) *loop {
@@ -164,7 +164,7 @@
 			Budget:        customerBudget{group: l.budget, customer: e.query.Customer},
 			Precautions:   precautions,
 		}),
-		tickets: map[query.SendID]peer.Ticket{},
+		tickets: map[query.SendID]peer.Canceller{},
 	}
 	l.step(e.id, query.Started{})
 }
@@ -294,7 +294,7 @@
 	target := peer.Target{Node: node.ID, Address: node.PeerAddress}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_BundleRequest{BundleRequest: message}}
 	replies := &replySink{loop: l, deadline: q.deadline, asking: true}
-	q.tickets[a.ID] = l.options.Peers.Ask(target, envelope, l.sink(q, a, replies))
+	q.tickets[a.ID] = l.options.Peers.Send(target, envelope, l.sink(q, a, replies))
 	l.ownEvents = append(l.ownEvents, replies.endAsk()...)
 }
 
--- a/internal/home/paired_test.go
+++ b/internal/home/paired_test.go
@@ -41,9 +41,9 @@
 	requests map[core.NodeID]int
 }
 
-// Ask implements peer.Asker. A request that is in flight when the link is cut may have
+// Send implements peer.Sender. A request that is in flight when the link is cut may have
 // arrived; a later one has not.
-func (p *pair) Ask(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+func (p *pair) Send(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	if !request.GetSubmitRequest().GetToOwner() {
 		p.home.HandleSubmit(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
 		return noTicket{}
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -90,7 +90,7 @@
 		return once.HolderResult{Outcome: core.NotRun}, true
 	}
 	results := make(chan once.HolderResult, 1)
-	ticket := s.home.options.Peers.Ask(target(node), s.envelope(), func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	ticket := s.home.options.Peers.Send(target(node), s.envelope(), func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
 		case results <- toHolderResult(reply, failure):
 		default:
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -19,14 +19,14 @@
 	message := Decode(heartbeat)
 	if message.From.ID != inbound.From.Node {
 		// A node may send heartbeats only under the id in its certificate.
-		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
 		return
 	}
 	m.notifyReceived(message, heartbeat.GetQuarantine())
 	replyID := m.storeInbound(inbound)
 	if !m.events.TryPut(member.HeartbeatReceived{ReplyID: replyID, Message: message}) {
 		m.takeInbound(replyID)
-		inbound.Reply(peer.Refused(core.ReasonOverloaded), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonOverloaded), true)
 	}
 }
 
@@ -70,7 +70,7 @@
 func (m *Manager) send(a member.Send) {
 	envelope := m.heartbeatEnvelope(a.Message)
 	target := peer.Target{Node: a.To.ID, Address: a.To.PeerAddress}
-	ticket := m.options.Peers.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	ticket := m.options.Peers.Send(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		if failure != nil || reply.GetHeartbeat() == nil {
 			m.events.TryPut(member.ProbeFailed{Probe: a.Probe})
 			return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -36,7 +36,7 @@
 	// Lister lists the nodes that may exist.
 	Lister Lister
 	Belief *belief.Store
-	Peers  peer.Asker
+	Peers  peer.Sender
 	// Now reads the node's monotonic clock.
 	Now      func() core.Time
 	Log      logrus.FieldLogger
@@ -78,7 +78,7 @@
 
 // pendingProbe is a heartbeat in flight.
 type pendingProbe struct {
-	ticket peer.Ticket
+	ticket peer.Canceller
 	at     core.Time
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -38,7 +38,7 @@
 
 func (noopTicket) Cancel() {}
 
-func (p *fakePeers) Ask(target peer.Target, _ *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+func (p *fakePeers) Send(target peer.Target, _ *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	if p.silent.Load() {
 		return noopTicket{}
 	}
--- a/internal/night/owned.go
+++ b/internal/night/owned.go
@@ -64,7 +64,7 @@
 // targets lists the replicas of the node's bundles that do not drain, in the order of the configuration.
 func (o *ownerTable) targets(cat *catalog.Catalog, self core.NodeID) []night.Target {
 	var list []night.Target
-	for _, name := range cat.Names {
+	for _, name := range cat.ServiceNames {
 		for _, shard := range cat.Services[name].Shards {
 			bundle := cat.Bundles[shard.Bundle]
 			if o.owners[ownerKey{bundle.ID, bundle.DataCentre}].ID != self {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -23,7 +23,7 @@
 
 // Links sends requests to other nodes and lists the nodes that this one has links to.
 type Links interface {
-	peer.Asker
+	peer.Sender
 	Linked() []peer.Target
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -113,8 +113,8 @@
 
 func (noTicket) Cancel() {}
 
-// Ask implements peer.Asker. A lost message gets no reply.
-func (l *links) Ask(to peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
+// Send implements peer.Sender. A lost message gets no reply.
+func (l *links) Send(to peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	number := 0
 	_, _ = fmt.Sscan(string(to.Node), &number)
 	if l.cluster.delivers(l.at, number) {
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -83,7 +83,7 @@
 
 func (r *ReplicatedLedger) ask(target peer.Target, message *peerpb.QuarantineNews) {
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_QuarantineNews{QuarantineNews: message}}
-	r.links.Ask(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	r.links.Send(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		// Records that are lost with a link are found by comparing digests.
 		if failure == nil {
 			r.applyRecords(target.Node, reply.GetQuarantineNews())
