--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -76,9 +76,9 @@
 	answered int
 }
 
-// Ask implements load.Asker. It asks service after service in the order of
+// Send implements load.Sender. It asks service after service in the order of
 // their dependencies, those without dependencies between them at once.
-func (f *Fanout) Ask(ctx context.Context, request load.Request) load.Reply {
+func (f *Fanout) Send(ctx context.Context, request load.Request) load.Reply {
 	service := f.text.Services[request.Service]
 	if service == nil {
 		return load.Reply{Outcome: core.NotRun.String(), Code: fault.CodeUnknownService}
--- a/internal/command/demo_platform.go
+++ b/internal/command/demo_platform.go
@@ -123,7 +123,7 @@
 func (d *tierDemo) ask(ctx context.Context, path string, count int) error {
 	outcomes := map[string]int{}
 	for range count {
-		reply := d.caller.Ask(ctx, load.Request{Service: path})
+		reply := d.caller.Send(ctx, load.Request{Service: path})
 		if reply.Code != "" {
 			outcomes[reply.Outcome+" ("+string(reply.Code)+")"]++
 			continue
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -158,7 +158,7 @@
 	}
 	for _, service := range services {
 		for _, customer := range customers {
-			profile.Shares = append(profile.Shares, load.Share{Customer: core.Customer(customer.name), Service: service.name, Weight: service.weight * customer.weight})
+			profile.Mix = append(profile.Mix, load.MixEntry{Customer: core.Customer(customer.name), Service: service.name, Weight: service.weight * customer.weight})
 		}
 	}
 	return profile, profile.Validate()
@@ -213,9 +213,9 @@
 	return nil
 }
 
-// closingAsker is an Asker with connections.
+// closingAsker is a load.Sender with connections.
 type closingAsker interface {
-	load.Asker
+	load.Sender
 	Close()
 }
 
--- a/internal/command/model.go
+++ b/internal/command/model.go
@@ -42,14 +42,14 @@
 func runModel(options modelOptions, out io.Writer) error {
 	if options.pattern == "" {
 		for _, p := range loadmodel.Patterns() {
-			_, _ = fmt.Fprintf(out, "%-14s %s\n", p.Name, p.About)
+			_, _ = fmt.Fprintf(out, "%-14s %s\n", p.Name, p.Description)
 		}
 		return nil
 	}
 	if options.seeds < 1 || options.seeds > mostModelSeeds {
 		return &fault.Error{Code: fault.CodeBadRequest, Message: fmt.Sprintf("%d seeds were asked for", options.seeds), Fix: fmt.Sprintf("give 1 to %d", mostModelSeeds)}
 	}
-	p, err := loadmodel.Find(options.pattern)
+	p, err := loadmodel.FindPattern(options.pattern)
 	if err != nil {
 		return err
 	}
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return standInStarted{}, err
 	}
-	control, err := standin.ControlPlatform(options.control, platform)
+	control, err := standin.StartPlatformControl(options.control, platform)
 	if err != nil {
 		return standInStarted{}, err
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		return standInStarted{}, err
 	}
-	control, err := standin.ControlUpstreams(options.control, upstreams)
+	control, err := standin.StartUpstreamControl(options.control, upstreams)
 	if err != nil {
 		return standInStarted{}, err
 	}
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -92,7 +92,7 @@
 	w.start("east", "west")
 	store, _ := w.cutOff("east")
 	w.ready()
-	store.SetBoth(faultproxy.Faults{Cut: true})
+	store.SetBoth(faultproxy.Faults{Blocked: true})
 	w.store.Evacuate("east")
 	w.startOne("east", nil)
 	for _, one := range w.nodes[2:] {
--- a/internal/edge/partition_test.go
+++ b/internal/edge/partition_test.go
@@ -56,10 +56,10 @@
 	store, links := w.cutOff("east")
 	w.ready()
 	alone := w.nodes[2]
-	store.SetBoth(faultproxy.Faults{Cut: true})
+	store.SetBoth(faultproxy.Faults{Blocked: true})
 	w.configure(2)
 	w.inForce(alone, 2)
-	links.SetBoth(faultproxy.Faults{Cut: true})
+	links.SetBoth(faultproxy.Faults{Blocked: true})
 	w.configure(3)
 	w.inForce(alone, 3)
 	for i := range 20 {
--- a/internal/edge/restored_test.go
+++ b/internal/edge/restored_test.go
@@ -115,7 +115,7 @@
 	for _, one := range w.nodes {
 		w.inForce(one, 4)
 	}
-	store.SetBoth(faultproxy.Faults{Cut: true})
+	store.SetBoth(faultproxy.Faults{Blocked: true})
 	lost := w.restore(backup)
 	w.back()
 	for _, one := range w.nodes {
@@ -293,8 +293,8 @@
 	for _, one := range w.nodes {
 		w.inForce(one, 4)
 	}
-	store.SetBoth(faultproxy.Faults{Cut: true})
-	links.SetBoth(faultproxy.Faults{Cut: true})
+	store.SetBoth(faultproxy.Faults{Blocked: true})
+	links.SetBoth(faultproxy.Faults{Blocked: true})
 	lost := w.restore(backup)
 	w.store.RewriteLost(lost[0])
 	w.configure(6)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -69,7 +69,7 @@
 
 // AllocationsPerPart is the whole process's allocations for each shard asked.
 func (s Slice) AllocationsPerPart() float64 {
-	return float64(s.Usage.Allocation) / float64(max(1, s.Recorder.All.Asked))
+	return float64(s.Usage.Allocations) / float64(max(1, s.Recorder.All.Asked))
 }
 
 func (s *Slice) add(other Slice) {
--- a/internal/experiment/named.go
+++ b/internal/experiment/named.go
@@ -95,16 +95,16 @@
 		Duration:       sliceTime,
 		MaxRequests:    maxRequests,
 		MaxOutstanding: outstanding,
-		Shares:         smallShares(1),
+		Mix:            smallShares(1),
 		Seed:           seed,
 	}
 }
 
 // smallShares are the small customers, together of the given weight.
-func smallShares(weight float64) []load.Share {
-	var shares []load.Share
+func smallShares(weight float64) []load.MixEntry {
+	var shares []load.MixEntry
 	for i := range smallCount {
-		shares = append(shares, load.Share{Customer: core.Customer(fmt.Sprintf("small-%02d", i+1)), Service: fleet.MainLead, Weight: weight / smallCount, Class: "small"})
+		shares = append(shares, load.MixEntry{Customer: core.Customer(fmt.Sprintf("small-%02d", i+1)), Service: fleet.MainLead, Weight: weight / smallCount, Class: "small"})
 	}
 	return shares
 }
@@ -124,7 +124,7 @@
 func routing() Experiment {
 	skewed := func(v *Variant) {
 		v.Profile.Arrivals = load.ArrivalsBursty
-		v.Profile.Shares = append(smallShares(1), load.Share{Customer: customerLarge, Service: fleet.MainLead, Weight: 3})
+		v.Profile.Mix = append(smallShares(1), load.MixEntry{Customer: customerLarge, Service: fleet.MainLead, Weight: 3})
 	}
 	return Experiment{
 		Name:     "routing",
@@ -148,7 +148,7 @@
 	crowded := func(v *Variant) {
 		v.Name = "small and large, " + v.Name
 		v.Profile = searchProfile(smallRate * (1 + largeFactor))
-		v.Profile.Shares = append(smallShares(1), load.Share{Customer: customerLarge, Service: fleet.MainLead, Weight: largeFactor})
+		v.Profile.Mix = append(smallShares(1), load.MixEntry{Customer: customerLarge, Service: fleet.MainLead, Weight: largeFactor})
 	}
 	return Experiment{
 		Name:     "fairness",
@@ -166,7 +166,7 @@
 			service.Median *= slowFactor
 			draw := service.Draw(seed)
 			for i := 0; i < len(emulation.Replicas); i += slowFactor {
-				emulation.Replicas[i+1].Change(func(b *standin.Behaviour) { b.Draw = draw })
+				emulation.Replicas[i+1].Change(func(b *standin.Behaviour) { b.DrawService = draw })
 			}
 		}
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -98,9 +98,9 @@
 	}
 	return Ratio{
 		Name:     r.Experiment.Variants[variant].Name,
-		P50:      over(quantile(load.Median)),
-		P99:      over(quantile(load.Tail)),
-		P999:     over(quantile(load.FarTail)),
+		P50:      over(quantile(load.P50)),
+		P99:      over(quantile(load.P99)),
+		P999:     over(quantile(load.P999)),
 		CPU:      over(func(s Slice) float64 { return float64(max(1, s.CPUPerPart())) }),
 		Coverage: minus(func(s Slice) float64 { return s.Recorder.All.MeanCoverage() }),
 		Extra:    minus(Slice.ExtraLoad),
@@ -136,7 +136,7 @@
 		if i == 0 {
 			name = v.Name
 		}
-		fmt.Fprintf(out, "%-26s %8d %7d %8.2f %8.2f %8.2f %9.4f %7.4f %7.3f", name, s.Requests, s.Unsent, s.P50, s.P99, s.P999, s.MeanCoverage, s.ThinShare, s.LowestCoverage)
+		fmt.Fprintf(out, "%-26s %8d %7d %8.2f %8.2f %8.2f %9.4f %7.4f %7.3f", name, s.Requests, s.Unsent, s.P50, s.P99, s.P999, s.MeanCoverage, s.IncompleteShare, s.LowestCoverage)
 		if i == 0 {
 			fmt.Fprintf(out, " %7.4f %8.0f %7.1f %6d %6d %8d", v.ExtraLoad, v.AnsweredPerSecond, v.CPUPerPartMicros, v.PeakConnections, v.HeldConnections, v.Refused)
 		}
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -27,7 +27,7 @@
 	variant   Variant
 	emulation *fleet.Emulation
 	fleet     *fleet.Fleet
-	asker     load.Asker
+	asker     load.Sender
 	stopAsker func()
 }
 
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -85,7 +85,7 @@
 	p := startTCP(t)
 	connection := dial(t, "tcp", p.Address())
 	echoes(t, connection, "before")
-	p.Set(ToClient, Faults{Cut: true})
+	p.Set(ToClient, Faults{Blocked: true})
 	_, err := connection.Write([]byte("held"))
 	require.NoError(t, err)
 	staysQuiet(t, connection)
@@ -118,7 +118,7 @@
 	_, err := connection.Read(make([]byte, 1))
 	require.Error(t, err)
 	require.NotErrorIs(t, err, io.EOF, "a reset is not an orderly end")
-	p.Set(ToClient, Faults{CutAfter: 3})
+	p.Set(ToClient, Faults{ResetAfterBytes: 3})
 	connection = dial(t, "tcp", p.Address())
 	_, err = connection.Write([]byte("whole"))
 	require.NoError(t, err)
@@ -165,13 +165,13 @@
 		before := p.Dropped()
 		_, err := client.Write([]byte(text))
 		require.NoError(t, err)
-		if faults, _ := p.present(ToTarget); faults.Cut || faults.Loss == 1 {
+		if faults, _ := p.present(ToTarget); faults.Blocked || faults.Loss == 1 {
 			require.Eventually(t, func() bool { return p.Dropped() == before+1 }, awaitLimit, time.Millisecond)
 		}
 	}
 	p.Set(ToTarget, Faults{Loss: 1})
 	send("lost")
-	p.Set(ToTarget, Faults{Cut: true})
+	p.Set(ToTarget, Faults{Blocked: true})
 	send("cut")
 	p.Set(ToTarget, Faults{Duplicate: 1})
 	send("twice")
--- a/internal/faultproxy/faults.go
+++ b/internal/faultproxy/faults.go
@@ -25,9 +25,9 @@
 type Faults struct {
 	// Delay holds bytes back.
 	Delay time.Duration
-	// Cut lets nothing through. Datagrams are lost; TCP bytes wait until the cut
+	// Blocked lets nothing through. Datagrams are lost; TCP bytes wait until the cut
 	// ends, as they would be sent again by the ends.
-	Cut bool
+	Blocked bool
 	// BytesPerSecond throttles; 0 is no limit.
 	BytesPerSecond int
 	// Loss, Duplicate and Reorder are for UDP. A reordered datagram goes after
@@ -35,9 +35,9 @@
 	Loss      float64
 	Duplicate float64
 	Reorder   float64
-	// CutAfter is for TCP: a flow is reset once it has carried this many bytes
+	// ResetAfterBytes is for TCP: a flow is reset once it has carried this many bytes
 	// since the fault was set; 0 is never.
-	CutAfter int
+	ResetAfterBytes int
 }
 
 // switchboard holds a proxy's present faults.
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -201,8 +201,8 @@
 		return true
 	}
 	carried := int(flow.carried[direction].Add(int64(len(chunk))))
-	if faults.CutAfter > 0 && carried > faults.CutAfter {
-		_, _ = to.Write(chunk[:max(0, len(chunk)-(carried-faults.CutAfter))])
+	if faults.ResetAfterBytes > 0 && carried > faults.ResetAfterBytes {
+		_, _ = to.Write(chunk[:max(0, len(chunk)-(carried-faults.ResetAfterBytes))])
 		flow.reset()
 		return false
 	}
@@ -213,7 +213,7 @@
 func (p *TCP) awaitUncut(ctx context.Context, direction Direction) (Faults, bool) {
 	for {
 		faults, changed := p.present(direction)
-		if !faults.Cut {
+		if !faults.Blocked {
 			return faults, true
 		}
 		select {
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -162,7 +162,7 @@
 // carry applies the faults to one datagram.
 func (p *UDP) carry(flow *udpFlow, direction Direction, datagram []byte) {
 	faults, _ := p.present(direction)
-	if faults.Cut || p.silent(flow) || p.hit(faults.Loss) {
+	if faults.Blocked || p.silent(flow) || p.hit(faults.Loss) {
 		p.drop()
 		return
 	}
--- a/internal/fleet/deadly_test.go
+++ b/internal/fleet/deadly_test.go
@@ -21,7 +21,7 @@
 		enoughEnded = 3
 		sendsLeft   = 3
 	)
-	behaviour := standin.Behaviour{Slots: 2, Versions: []uint64{7}, Deadly: func(question string) bool { return strings.Contains(question, "deadly") }}
+	behaviour := standin.Behaviour{Slots: 2, Versions: []uint64{7}, CrashOn: func(question string) bool { return strings.Contains(question, "deadly") }}
 	var replicas []*standin.Upstream
 	for range 2 {
 		one, err := standin.StartUpstream("127.0.0.1:0", behaviour)
--- a/internal/fleet/emulation.go
+++ b/internal/fleet/emulation.go
@@ -53,7 +53,7 @@
 	}
 	limited := &limitedListener{Listener: listener, limit: service.Connections, cost: service.ConnectCost}
 	draw := e.Shape.Time.Draw(seed + uint64(len(e.Replicas)))
-	behaviour := standin.Behaviour{Slots: service.Slots, Versions: e.Shape.Versions, Draw: draw}
+	behaviour := standin.Behaviour{Slots: service.Slots, Versions: e.Shape.Versions, DrawService: draw}
 	return &Replica{
 		Upstream: standin.StartUpstreamOn(limited, behaviour),
 		Service:  service.Name,
--- a/internal/fleet/quarantine_test.go
+++ b/internal/fleet/quarantine_test.go
@@ -41,7 +41,7 @@
 		c.behaviours[i] = standin.Behaviour{Slots: 2, Versions: []uint64{7}}
 	}
 	for _, index := range deadly {
-		c.behaviours[index].Deadly = isDeadly
+		c.behaviours[index].CrashOn = isDeadly
 	}
 	for _, behaviour := range c.behaviours {
 		one, err := standin.StartUpstream("127.0.0.1:0", behaviour)
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -32,8 +32,8 @@
 // Close closes idle connections.
 func (c *Caller) Close() { c.client.Close() }
 
-// Ask implements Asker.
-func (c *Caller) Ask(ctx context.Context, request Request) Reply {
+// Send implements Sender.
+func (c *Caller) Send(ctx context.Context, request Request) Reply {
 	address, err := c.address(ctx)
 	if err != nil {
 		return failed(err)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -40,9 +40,9 @@
 	Crossed bool
 }
 
-// Asker sends one question and waits for its end.
-type Asker interface {
-	Ask(ctx context.Context, request Request) Reply
+// Sender sends one question and waits for its end.
+type Sender interface {
+	Send(ctx context.Context, request Request) Reply
 }
 
 // Profile is a bounded load. All bounds are required.
@@ -57,7 +57,7 @@
 	// not sent; it is counted as Unsent, never delayed.
 	MaxOutstanding int
 	Timeout        time.Duration
-	Shares         []Share
+	Mix            []MixEntry
 	Seed           uint64
 }
 
@@ -72,7 +72,7 @@
 	switch {
 	case p.Rate <= 0 || p.Duration <= 0 || p.MaxRequests <= 0 || p.MaxOutstanding <= 0:
 		return fault.NotRun(fault.CodeBadRequest, "the load is not bounded", "give a rate, a duration, a number of requests and of outstanding ones, all above 0")
-	case len(p.Shares) == 0:
+	case len(p.Mix) == 0:
 		return fault.NotRun(fault.CodeBadRequest, "the load names no service", "add a service")
 	case p.Arrivals != ArrivalsPoisson && p.Arrivals != ArrivalsFixed && p.Arrivals != ArrivalsBursty:
 		return fault.NotRun(fault.CodeBadRequest, "unknown arrivals "+string(p.Arrivals), "write poisson, fixed or bursty")
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// Run sends the profile's load through the asker into the recorder, and
+// Run sends the profile's load through the sender into the recorder, and
 // returns when the last request has ended.
-func Run(ctx context.Context, profile Profile, asker Asker, recorder *Recorder) error {
+func Run(ctx context.Context, profile Profile, asker Sender, recorder *Recorder) error {
 	if err := profile.Validate(); err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 // runner is one run of a load.
 type runner struct {
 	profile  Profile
-	asker    Asker
+	asker    Sender
 	recorder *Recorder
 	slots    chan struct{}
 	open     sync.WaitGroup
@@ -106,7 +106,7 @@
 func (r *runner) dispatch(ctx context.Context, started time.Time) {
 	seed := r.profile.Seed
 	plan := newSchedule(r.profile.Arrivals, r.profile.Rate, rand.New(rand.NewPCG(seed, seedSchedule)))
-	shares := newMix(r.profile.Shares, rand.New(rand.NewPCG(seed, seedMix)))
+	shares := newMix(r.profile.Mix, rand.New(rand.NewPCG(seed, seedMix)))
 	for range r.profile.MaxRequests {
 		offset := plan.offset()
 		if offset >= r.profile.Duration || !wait.For(ctx, time.Until(started.Add(offset))) {
@@ -116,7 +116,7 @@
 	}
 }
 
-func (r *runner) send(ctx context.Context, share Share, scheduled time.Time) {
+func (r *runner) send(ctx context.Context, share MixEntry, scheduled time.Time) {
 	select {
 	case r.slots <- struct{}{}:
 	default:
@@ -126,7 +126,7 @@
 	r.open.Add(1)
 	go func() {
 		defer r.open.Done()
-		reply := r.asker.Ask(ctx, Request{Customer: share.Customer, Service: share.Service, Timeout: r.profile.Timeout})
+		reply := r.asker.Send(ctx, Request{Customer: share.Customer, Service: share.Service, Timeout: r.profile.Timeout})
 		r.recorder.add(share, time.Since(scheduled), reply)
 		<-r.slots
 	}()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -17,7 +17,7 @@
 
 type askerFunc func(ctx context.Context, request Request) Reply
 
-func (f askerFunc) Ask(ctx context.Context, request Request) Reply { return f(ctx, request) }
+func (f askerFunc) Send(ctx context.Context, request Request) Reply { return f(ctx, request) }
 
 func answer(answered int) Reply { return Reply{Outcome: "done", Asked: 20, Answered: answered} }
 
@@ -28,7 +28,7 @@
 		Duration:       time.Second,
 		MaxRequests:    1000,
 		MaxOutstanding: 1000,
-		Shares:         []Share{{Customer: "large", Service: "search", Weight: 3}, {Customer: "small", Service: "search", Weight: 1}},
+		Mix:            []MixEntry{{Customer: "large", Service: "search", Weight: 3}, {Customer: "small", Service: "search", Weight: 1}},
 		Seed:           7,
 	}
 }
@@ -64,7 +64,7 @@
 		r := &runner{asker: askerFunc(func(context.Context, Request) Reply { return answer(20) }), recorder: recorder, slots: make(chan struct{}, 1)}
 		scheduled := time.Now()
 		time.Sleep(30 * time.Millisecond)
-		r.send(t.Context(), profile().Shares[0], scheduled)
+		r.send(t.Context(), profile().Mix[0], scheduled)
 		r.open.Wait()
 		require.InDelta(t, 30, Millis(recorder.All.Quantile(1)), 0.1)
 	})
@@ -127,7 +127,7 @@
 func TestMergeEqualsOneRecorder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, one, two := NewRecorder(), NewRecorder(), NewRecorder()
-		shares := profile().Shares
+		shares := profile().Mix
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			share := rapid.SampledFrom(shares).Draw(t, "share")
 			latency := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "latency"))
@@ -157,9 +157,9 @@
 		if i%200 == 0 {
 			reply = Reply{Outcome: "not_run", Code: "overloaded"}
 		}
-		recorder.add(profile().Shares[i%2], time.Duration(i+1)*100*time.Microsecond, reply)
+		recorder.add(profile().Mix[i%2], time.Duration(i+1)*100*time.Microsecond, reply)
 	}
-	recorder.unsent(profile().Shares[0])
+	recorder.unsent(profile().Mix[0])
 	recorder.ran(10 * time.Second)
 	report := recorder.Report("golden", 4)
 	var text, document bytes.Buffer
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -6,8 +6,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Share is one customer asking one service, with its weight in the mix.
-type Share struct {
+// MixEntry is one customer asking one service, with its weight in the mix.
+type MixEntry struct {
 	Customer core.Customer
 	Service  string
 	Weight   float64
@@ -16,7 +16,7 @@
 	Class string
 }
 
-func (s Share) class() string {
+func (s MixEntry) class() string {
 	if s.Class == "" {
 		return string(s.Customer)
 	}
@@ -25,12 +25,12 @@
 
 // mix draws shares by weight.
 type mix struct {
-	shares []Share
+	shares []MixEntry
 	sum    float64
 	source *rand.Rand
 }
 
-func newMix(shares []Share, source *rand.Rand) *mix {
+func newMix(shares []MixEntry, source *rand.Rand) *mix {
 	m := &mix{shares: shares, source: source}
 	for _, share := range shares {
 		m.sum += share.Weight
@@ -38,7 +38,7 @@
 	return m
 }
 
-func (m *mix) draw() Share {
+func (m *mix) draw() MixEntry {
 	left := m.source.Float64() * m.sum
 	for _, share := range m.shares {
 		left -= share.Weight
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -26,11 +26,11 @@
 	// Missing counts the shards without a part by their reason.
 	Missing map[core.Reason]int
 	// Asked and Answered count shards over all requests that ran.
-	Asked    int
-	Answered int
-	Thin     int
-	Mixed    int
-	Crossed  int
+	Asked      int
+	Answered   int
+	Incomplete int
+	Mixed      int
+	Crossed    int
 	// LowestCoverage is the lowest share of any answer, 0 to 1.
 	LowestCoverage float64
 	covered        float64
@@ -62,12 +62,12 @@
 	return g.covered / float64(g.answers)
 }
 
-// ThinShare is the share of the answers that lack a shard, 0 to 1.
-func (g *Group) ThinShare() float64 {
+// IncompleteShare is the share of the answers that lack a shard, 0 to 1.
+func (g *Group) IncompleteShare() float64 {
 	if g.answers == 0 {
 		return 0
 	}
-	return float64(g.Thin) / float64(g.answers)
+	return float64(g.Incomplete) / float64(g.answers)
 }
 
 func (g *Group) add(latency time.Duration, reply Reply) {
@@ -86,7 +86,7 @@
 	g.LowestCoverage = min(g.LowestCoverage, share)
 	g.Asked += reply.Asked
 	g.Answered += reply.Answered
-	g.Thin += count(reply.Answered < reply.Asked)
+	g.Incomplete += count(reply.Answered < reply.Asked)
 	g.Mixed += count(reply.Mixed)
 	g.Crossed += count(reply.Crossed)
 }
@@ -112,7 +112,7 @@
 	g.Unsent += other.Unsent
 	g.Asked += other.Asked
 	g.Answered += other.Answered
-	g.Thin += other.Thin
+	g.Incomplete += other.Incomplete
 	g.Mixed += other.Mixed
 	g.Crossed += other.Crossed
 	g.covered += other.covered
@@ -130,21 +130,21 @@
 type Recorder struct {
 	mutex sync.Mutex
 	All   *Group
-	// ByCustomer is by the class of the shares.
-	ByCustomer map[string]*Group
-	ByService  map[string]*Group
-	Elapsed    time.Duration
+	// ByClass is by the class of the shares.
+	ByClass   map[string]*Group
+	ByService map[string]*Group
+	Elapsed   time.Duration
 }
 
 // NewRecorder makes an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{All: NewGroup(), ByCustomer: map[string]*Group{}, ByService: map[string]*Group{}}
+	return &Recorder{All: NewGroup(), ByClass: map[string]*Group{}, ByService: map[string]*Group{}}
 }
 
 // Merge adds another recorder's measurements; both must be at rest.
 func (r *Recorder) Merge(other *Recorder) {
 	r.All.Merge(other.All)
-	mergeGroups(r.ByCustomer, other.ByCustomer)
+	mergeGroups(r.ByClass, other.ByClass)
 	mergeGroups(r.ByService, other.ByService)
 	r.Elapsed += other.Elapsed
 }
@@ -162,11 +162,11 @@
 	return groups[name]
 }
 
-func (r *Recorder) groups(share Share) []*Group {
-	return []*Group{r.All, named(r.ByCustomer, share.class()), named(r.ByService, share.Service)}
+func (r *Recorder) groups(share MixEntry) []*Group {
+	return []*Group{r.All, named(r.ByClass, share.class()), named(r.ByService, share.Service)}
 }
 
-func (r *Recorder) add(share Share, latency time.Duration, reply Reply) {
+func (r *Recorder) add(share MixEntry, latency time.Duration, reply Reply) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, group := range r.groups(share) {
@@ -174,7 +174,7 @@
 	}
 }
 
-func (r *Recorder) unsent(share Share) {
+func (r *Recorder) unsent(share MixEntry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, group := range r.groups(share) {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -15,47 +15,47 @@
 
 // Summary is a group's figures. Times are in milliseconds, shares 0 to 1.
 type Summary struct {
-	Name           string         `json:"name"`
-	Requests       int            `json:"requests"`
-	Unsent         int            `json:"unsent"`
-	P50            float64        `json:"p50_ms"`
-	P99            float64        `json:"p99_ms"`
-	P999           float64        `json:"p999_ms"`
-	Highest        float64        `json:"highest_ms"`
-	MeanCoverage   float64        `json:"mean_coverage"`
-	ThinShare      float64        `json:"thin_share"`
-	LowestCoverage float64        `json:"lowest_coverage"`
-	Mixed          int            `json:"mixed"`
-	Crossed        int            `json:"crossed"`
-	Outcomes       map[string]int `json:"outcomes"`
+	Name            string         `json:"name"`
+	Requests        int            `json:"requests"`
+	Unsent          int            `json:"unsent"`
+	P50             float64        `json:"p50_ms"`
+	P99             float64        `json:"p99_ms"`
+	P999            float64        `json:"p999_ms"`
+	Highest         float64        `json:"highest_ms"`
+	MeanCoverage    float64        `json:"mean_coverage"`
+	IncompleteShare float64        `json:"thin_share"`
+	LowestCoverage  float64        `json:"lowest_coverage"`
+	Mixed           int            `json:"mixed"`
+	Crossed         int            `json:"crossed"`
+	Outcomes        map[string]int `json:"outcomes"`
 	// Missing counts shards without a part by reason.
 	Missing map[core.Reason]int `json:"missing,omitempty"`
 }
 
 // The quantiles that reports show.
 const (
-	Median  = 0.5
-	Tail    = 0.99
-	FarTail = 0.999
+	P50  = 0.5
+	P99  = 0.99
+	P999 = 0.999
 )
 
 // Summarize returns the group's figures under a name.
 func (g *Group) Summarize(name string) Summary {
 	return Summary{
-		Name:           name,
-		Requests:       g.Requests,
-		Unsent:         g.Unsent,
-		P50:            Millis(g.Quantile(Median)),
-		P99:            Millis(g.Quantile(Tail)),
-		P999:           Millis(g.Quantile(FarTail)),
-		Highest:        Millis(g.Quantile(1)),
-		MeanCoverage:   g.MeanCoverage(),
-		ThinShare:      g.ThinShare(),
-		LowestCoverage: g.LowestCoverage,
-		Mixed:          g.Mixed,
-		Crossed:        g.Crossed,
-		Outcomes:       g.Outcomes,
-		Missing:        g.Missing,
+		Name:            name,
+		Requests:        g.Requests,
+		Unsent:          g.Unsent,
+		P50:             Millis(g.Quantile(P50)),
+		P99:             Millis(g.Quantile(P99)),
+		P999:            Millis(g.Quantile(P999)),
+		Highest:         Millis(g.Quantile(1)),
+		MeanCoverage:    g.MeanCoverage(),
+		IncompleteShare: g.IncompleteShare(),
+		LowestCoverage:  g.LowestCoverage,
+		Mixed:           g.Mixed,
+		Crossed:         g.Crossed,
+		Outcomes:        g.Outcomes,
+		Missing:         g.Missing,
 	}
 }
 
@@ -82,7 +82,7 @@
 		Cores:     cores,
 		Seconds:   r.Elapsed.Seconds(),
 		All:       r.All.Summarize("all"),
-		Customers: summaries(r.ByCustomer),
+		Customers: summaries(r.ByClass),
 		Services:  summaries(r.ByService),
 		series:    r.Series(title),
 	}
@@ -138,7 +138,7 @@
 
 func (s Summary) writeText(out io.Writer) {
 	fmt.Fprintf(out, "%-24s %8d %7d %9.2f %9.2f %9.2f %9.2f %9.4f %7.4f %7.3f\n",
-		s.Name, s.Requests, s.Unsent, s.P50, s.P99, s.P999, s.Highest, s.MeanCoverage, s.ThinShare, s.LowestCoverage)
+		s.Name, s.Requests, s.Unsent, s.P50, s.P99, s.P999, s.Highest, s.MeanCoverage, s.IncompleteShare, s.LowestCoverage)
 }
 
 // WriteJSON writes the report for programs.
--- a/internal/load/tier.go
+++ b/internal/load/tier.go
@@ -71,8 +71,8 @@
 	c.client.CloseIdleConnections()
 }
 
-// Ask implements Asker.
-func (c *TierCaller) Ask(ctx context.Context, asked Request) Reply {
+// Send implements Sender.
+func (c *TierCaller) Send(ctx context.Context, asked Request) Reply {
 	host, path, _ := strings.Cut(asked.Service, "/")
 	address, err := c.address(ctx, host)
 	if err != nil {
--- a/internal/load/usage.go
+++ b/internal/load/usage.go
@@ -8,9 +8,9 @@
 
 // Usage is what the whole process has used since its start.
 type Usage struct {
-	CPU        time.Duration
-	Allocated  uint64
-	Allocation uint64
+	CPU            time.Duration
+	AllocatedBytes uint64
+	Allocations    uint64
 }
 
 // ReadUsage reads the process's CPU time and allocations.
@@ -20,26 +20,26 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return Usage{
-		CPU:        time.Duration(times.Utime.Nano() + times.Stime.Nano()),
-		Allocated:  memory.TotalAlloc,
-		Allocation: memory.Mallocs,
+		CPU:            time.Duration(times.Utime.Nano() + times.Stime.Nano()),
+		AllocatedBytes: memory.TotalAlloc,
+		Allocations:    memory.Mallocs,
 	}
 }
 
 // Since returns what was used after an earlier reading.
 func (u Usage) Since(earlier Usage) Usage {
 	return Usage{
-		CPU:        u.CPU - earlier.CPU,
-		Allocated:  u.Allocated - earlier.Allocated,
-		Allocation: u.Allocation - earlier.Allocation,
+		CPU:            u.CPU - earlier.CPU,
+		AllocatedBytes: u.AllocatedBytes - earlier.AllocatedBytes,
+		Allocations:    u.Allocations - earlier.Allocations,
 	}
 }
 
 // Add sums two usages.
 func (u Usage) Add(other Usage) Usage {
 	return Usage{
-		CPU:        u.CPU + other.CPU,
-		Allocated:  u.Allocated + other.Allocated,
-		Allocation: u.Allocation + other.Allocation,
+		CPU:            u.CPU + other.CPU,
+		AllocatedBytes: u.AllocatedBytes + other.AllocatedBytes,
+		Allocations:    u.Allocations + other.Allocations,
 	}
 }
--- a/internal/loadmodel/caller.go
+++ b/internal/loadmodel/caller.go
@@ -34,7 +34,7 @@
 // call begins a request.
 func (w *world) call() {
 	kind := drawn(w.random.Float64(), w.pattern.Kinds, func(one Kind) float64 { return one.Share })
-	place := drawn(w.random.Float64(), w.pattern.Places, func(one Place) float64 { return one.Callers })
+	place := drawn(w.random.Float64(), w.pattern.DataCentres, func(one DataCentre) float64 { return one.CallerShare })
 	c := &caller{world: w, kind: kind, place: place.Name, began: w.clock.now, tries: 2}
 	w.report.asked(c)
 	c.try()
@@ -89,7 +89,7 @@
 			wait = result.RetryAfter
 		}
 		wait = min(wait, left/patienceShare)
-		c.refused = now-c.tried <= c.kind.Aim/earlyShare
+		c.refused = now-c.tried <= c.kind.TargetLatency/earlyShare
 	}
 	w.clock.after(wait, c.try)
 }
@@ -102,10 +102,10 @@
 func (c *caller) earn(coverage float64) {
 	now := c.world.clock.now
 	worth := func(took core.Time) float64 {
-		if took <= c.kind.Aim {
+		if took <= c.kind.TargetLatency {
 			return 1
 		}
-		return c.kind.LateWorth
+		return c.kind.LateCreditShare
 	}
 	credit := worth(now - c.began)
 	if c.refused {
--- a/internal/loadmodel/compare.go
+++ b/internal/loadmodel/compare.go
@@ -20,26 +20,26 @@
 // Means are those of several plays of a pattern. Shares are of all requests, 0 to 1.
 type Means struct {
 	// Credit is earned over owed, Worst that of the two worst windows of each play.
-	Credit float64 `json:"credit"`
-	Worst  float64 `json:"worst_windows"`
-	InAim  float64 `json:"in_aim"`
-	// Whole are those whose answer lacks no part.
-	Whole   float64 `json:"whole"`
-	Late    float64 `json:"late"`
-	Refused float64 `json:"refused"`
-	Failed  float64 `json:"failed"`
+	Credit       float64 `json:"credit"`
+	WorstWindows float64 `json:"worst_windows"`
+	WithinTarget float64 `json:"in_aim"`
+	// Complete are those whose answer lacks no part.
+	Complete float64 `json:"whole"`
+	Late     float64 `json:"late"`
+	Refused  float64 `json:"refused"`
+	Failed   float64 `json:"failed"`
 	// Rejected are tries that were rejected early, Wrong those of them that would have been
 	// served within the aim as things stood.
-	Rejected float64 `json:"rejected_tries"`
-	Wrong    float64 `json:"wrongly_rejected_tries"`
+	Rejected        float64 `json:"rejected_tries"`
+	WronglyRejected float64 `json:"wrongly_rejected_tries"`
 	// Hedges is their part of all arrivals.
 	Hedges float64 `json:"hedges_of_arrivals"`
 
 	took []time.Duration
 }
 
-// PlayAll plays a pattern with the seeds 0 to one below seeds.
-func PlayAll(p Pattern, options Options, seeds int) Means {
+// RunAll plays a pattern with the seeds 0 to one below seeds.
+func RunAll(p Pattern, options Options, seeds int) Means {
 	reports := make([]*Report, seeds)
 	places := make(chan struct{}, runtime.NumCPU())
 	var running sync.WaitGroup
@@ -63,17 +63,17 @@
 
 func (m *Means) add(r *Report, seeds float64) {
 	asked := float64(max(r.All.Asked, 1)) * seeds
-	m.Credit += r.All.Share() / seeds
-	m.Worst += r.Worst(worstWindows) / seeds
-	m.InAim += float64(r.All.InAim) / asked
-	m.Whole += float64(r.All.Whole) / asked
+	m.Credit += r.All.CreditShare() / seeds
+	m.WorstWindows += r.WorstWindows(worstWindows) / seeds
+	m.WithinTarget += float64(r.All.WithinTarget) / asked
+	m.Complete += float64(r.All.Complete) / asked
 	m.Late += float64(r.All.Late) / asked
 	m.Refused += float64(r.All.Refused) / asked
 	m.Failed += float64(r.All.Failed) / asked
 	m.Rejected += float64(r.Rejected) / asked
-	m.Wrong += float64(r.WronglyRejected) / asked
+	m.WronglyRejected += float64(r.WronglyRejected) / asked
 	m.Hedges += float64(r.Hedges) / float64(max(r.Arrivals, 1)) / seeds
-	m.took = append(m.took, r.Took...)
+	m.took = append(m.took, r.Latencies...)
 }
 
 // Variant is one way to play a pattern.
@@ -85,14 +85,14 @@
 // Comparison is a pattern played as the product decides, by the yardstick, and without one
 // mechanism after the other.
 type Comparison struct {
-	Pattern  string    `json:"pattern"`
-	About    string    `json:"about"`
-	Seeds    int       `json:"seeds"`
-	Variants []Variant `json:"variants"`
+	Pattern     string    `json:"pattern"`
+	Description string    `json:"about"`
+	Seeds       int       `json:"seeds"`
+	Variants    []Variant `json:"variants"`
 }
 
-// Find returns the pattern of a name.
-func Find(name string) (Pattern, error) {
+// FindPattern returns the pattern of a name.
+func FindPattern(name string) (Pattern, error) {
 	for _, p := range Patterns() {
 		if p.Name == name {
 			return p, nil
@@ -103,9 +103,9 @@
 
 // Compare plays all variants of a pattern.
 func Compare(p Pattern, seeds int) *Comparison {
-	c := &Comparison{Pattern: p.Name, About: p.About, Seeds: seeds}
+	c := &Comparison{Pattern: p.Name, Description: p.Description, Seeds: seeds}
 	add := func(name string, options Options) {
-		c.Variants = append(c.Variants, Variant{Name: name, Means: PlayAll(p, options, seeds)})
+		c.Variants = append(c.Variants, Variant{Name: name, Means: RunAll(p, options, seeds)})
 	}
 	add("the product", Options{})
 	add("yardstick", Options{Oracle: true})
@@ -117,11 +117,11 @@
 
 // WriteText writes a table.
 func (c *Comparison) WriteText(out io.Writer) {
-	_, _ = fmt.Fprintf(out, "%s: %s; %d seeds\n", c.Pattern, c.About, c.Seeds)
+	_, _ = fmt.Fprintf(out, "%s: %s; %d seeds\n", c.Pattern, c.Description, c.Seeds)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "variant\tcredit\tworst windows\tin aim\twhole\tlate\trefused\tfailed\twrongly rejected\thedges")
 	for _, v := range c.Variants {
-		_, _ = fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\n", v.Name, v.Credit, v.Worst, v.InAim, v.Whole, v.Late, v.Refused, v.Failed, v.Wrong, v.Hedges)
+		_, _ = fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\n", v.Name, v.Credit, v.WorstWindows, v.WithinTarget, v.Complete, v.Late, v.Refused, v.Failed, v.WronglyRejected, v.Hedges)
 	}
 	_ = table.Flush()
 }
--- a/internal/loadmodel/loadmodel_test.go
+++ b/internal/loadmodel/loadmodel_test.go
@@ -12,12 +12,12 @@
 
 func named(t *testing.T, name string) Pattern {
 	t.Helper()
-	p, err := Find(name)
+	p, err := FindPattern(name)
 	require.NoError(t, err)
 	return p
 }
 
-func play(p Pattern, options Options) Means { return PlayAll(p, options, seeds) }
+func play(p Pattern, options Options) Means { return RunAll(p, options, seeds) }
 
 func TestASeedRepeats(t *testing.T) {
 	p := named(t, "short-shards")
@@ -31,9 +31,9 @@
 // the aim when all are let in, 0.81 with early rejection; the bound asked for is half of that gain.
 func TestWithTooLittleRoomForAllMoreAreServedInTime(t *testing.T) {
 	p := named(t, "all-slow")
-	all := play(p, Options{Without: []Mechanism{Early}})
+	all := play(p, Options{Without: []Mechanism{EarlyRejection}})
 	some := play(p, Options{})
-	require.Greater(t, some.InAim, all.InAim+0.05)
+	require.Greater(t, some.WithinTarget, all.WithinTarget+0.05)
 	require.Less(t, some.Late, all.Late/2)
 }
 
@@ -43,12 +43,12 @@
 // early rejection under 0.01, and as many are served.
 func TestWhatCannotBeServedIsSaidAtOnce(t *testing.T) {
 	p := named(t, "one-too-few")
-	all := play(p, Options{Without: []Mechanism{Early}})
+	all := play(p, Options{Without: []Mechanism{EarlyRejection}})
 	some := play(p, Options{})
 	require.Less(t, some.Failed, all.Failed/5)
-	require.Greater(t, some.InAim, all.InAim-0.01)
+	require.Greater(t, some.WithinTarget, all.WithinTarget-0.01)
 	// Measured 0.0005 to 0.001: what the rejection says is true.
-	require.Less(t, some.Wrong, 0.005)
+	require.Less(t, some.WronglyRejected, 0.005)
 }
 
 // Replicas pause in turn, and nothing else is wrong. A guess that takes a pause for the end would
@@ -56,7 +56,7 @@
 func TestNothingIsRejectedInCalm(t *testing.T) {
 	m := play(named(t, "calm"), Options{})
 	require.Less(t, m.Refused, 0.001)
-	require.Less(t, m.Wrong, 0.001)
+	require.Less(t, m.WronglyRejected, 0.001)
 	require.Greater(t, m.Credit, 0.99)
 }
 
@@ -65,7 +65,7 @@
 // to replicas only that are expected to answer soon.
 func TestHedgesDoNotFillWhatRoomIsLeft(t *testing.T) {
 	p := named(t, "all-slow")
-	require.Greater(t, play(p, Options{}).Credit, play(p, Options{Without: []Mechanism{Reach}}).Credit+0.015)
+	require.Greater(t, play(p, Options{}).Credit, play(p, Options{Without: []Mechanism{SelectiveHedges}}).Credit+0.015)
 }
 
 // Of each shard one replica turns 6 of 10 requests away at any load. Were each refusal forgotten
@@ -96,7 +96,7 @@
 	p := named(t, "quick-calm")
 	late := play(p, Options{Without: []Mechanism{Pauses}})
 	expected := play(p, Options{})
-	require.Greater(t, expected.Whole, late.Whole+0.055)
+	require.Greater(t, expected.Complete, late.Complete+0.055)
 	require.Less(t, expected.Hedges, late.Hedges)
 	require.Greater(t, expected.Credit, late.Credit)
 }
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -33,7 +33,7 @@
 // node is one node of the tier, with the product's own decisions.
 type node struct {
 	world   *world
-	place   Place
+	place   DataCentre
 	outlook *outlook.Outlook
 	pools   map[*upstream]*pool
 }
@@ -44,9 +44,9 @@
 	waiting []*transfer
 }
 
-func newNode(w *world, place Place) *node {
+func newNode(w *world, place DataCentre) *node {
 	bound := extra.Bound{Window: extraWindow, Ratio: extraRatio, Allowance: extraAllowance / float64(w.nodeCount())}
-	if w.options.without(Extra) {
+	if w.options.without(ExtraSendBound) {
 		bound.Ratio, bound.Allowance = 1000, 1000
 	}
 	n := &node{world: w, place: place, outlook: outlook.New(place.Name, nil, bound, w.random.Float64), pools: map[*upstream]*pool{}}
@@ -92,9 +92,9 @@
 	plan := n.outlook.Plan(outlook.Request{Route: route, Services: n.outlook.Services(route, now), Arrived: now, MaxWait: left, RemainingTime: left, TransitTime: onTheWay})
 	n.world.options.change(&plan)
 	q := &request{node: n, kind: kind, route: route, plan: plan, done: done}
-	var chooser scatter.Chooser = unexpecting{Chooser: n.outlook.Chooser(route), early: n.world.options.without(Early), reach: n.world.options.without(Reach)}
+	var chooser scatter.Chooser = unexpecting{Chooser: n.outlook.Chooser(route), early: n.world.options.without(EarlyRejection), reach: n.world.options.without(SelectiveHedges)}
 	if n.world.options.Oracle {
-		chooser = oracle{Chooser: chooser, node: n, usual: kind.Work}
+		chooser = oracle{Chooser: chooser, node: n, usual: kind.MeanWork}
 	}
 	q.machine = scatter.New(plan, chooser)
 	q.step(scatter.Begin{})
@@ -113,7 +113,7 @@
 			q.transfers[a.ID].withdraw()
 		case scatter.SendOverdue:
 			one := q.transfers[a.Send]
-			if !w.options.without(Overdue) {
+			if !w.options.without(OverdueMarks) {
 				q.node.outlook.Replicas.Overdue(one.send.Replica.Incarnation(), w.clock.now)
 			}
 		case scatter.Wake:
@@ -141,7 +141,7 @@
 	w.report.Rejected++
 	inTime := 0
 	for _, service := range q.plan.Services {
-		if slices.ContainsFunc(w.byService[service], func(u *upstream) bool { return u.wait(w.clock.now, q.kind.Work) <= q.plan.TargetLatency }) {
+		if slices.ContainsFunc(w.byService[service], func(u *upstream) bool { return u.wait(w.clock.now, q.kind.MeanWork) <= q.plan.TargetLatency }) {
 			inTime++
 		}
 	}
@@ -210,7 +210,7 @@
 	switch verdict {
 	case scatter.Succeeded:
 		if w.options.without(Slowness) {
-			took = min(took, q.kind.Work)
+			took = min(took, q.kind.MeanWork)
 		}
 		q.node.outlook.Answered(q.route, life, took, now)
 	case scatter.Refused:
--- a/internal/loadmodel/report.go
+++ b/internal/loadmodel/report.go
@@ -12,26 +12,26 @@
 
 // Sum is what some requests were worth.
 type Sum struct {
-	Asked, InAim, Late, Refused, Failed int
-	// Whole counts the answers that lack no part.
-	Whole        int
-	Owed, Earned float64
+	Asked, WithinTarget, Late, Refused, Failed int
+	// Complete counts the answers that lack no part.
+	Complete                int
+	MaxCredit, EarnedCredit float64
 }
 
-// Share is the earned part of the credit owed.
-func (s Sum) Share() float64 {
-	if s.Owed == 0 {
+// CreditShare is the earned part of the credit owed.
+func (s Sum) CreditShare() float64 {
+	if s.MaxCredit == 0 {
 		return 1
 	}
-	return s.Earned / s.Owed
+	return s.EarnedCredit / s.MaxCredit
 }
 
 // Report is what came of a play.
 type Report struct {
 	All     Sum
 	Windows []Sum
-	// Took are the times after which callers had their answers.
-	Took []time.Duration
+	// Latencies are the times after which callers had their answers.
+	Latencies []time.Duration
 	// Rejected counts tries that were rejected before anything was sent, WronglyRejected those
 	// of them of which enough answers would have come within the aim as things stood.
 	Rejected, WronglyRejected int
@@ -40,7 +40,7 @@
 }
 
 func newReport(p Pattern) *Report {
-	return &Report{Windows: make([]Sum, p.Length/window+1)}
+	return &Report{Windows: make([]Sum, p.Duration/window+1)}
 }
 
 func (r *Report) sums(c *caller) []*Sum {
@@ -50,19 +50,19 @@
 func (r *Report) asked(c *caller) {
 	for _, s := range r.sums(c) {
 		s.Asked++
-		s.Owed += c.kind.Worth
+		s.MaxCredit += c.kind.Credit
 	}
 }
 
 func (r *Report) earned(c *caller, credit, coverage float64, took core.Time) {
-	r.Took = append(r.Took, took)
+	r.Latencies = append(r.Latencies, took)
 	for _, s := range r.sums(c) {
 		if coverage == 1 {
-			s.Whole++
+			s.Complete++
 		}
-		s.Earned += credit * c.kind.Worth
-		if took <= c.kind.Aim {
-			s.InAim++
+		s.EarnedCredit += credit * c.kind.Credit
+		if took <= c.kind.TargetLatency {
+			s.WithinTarget++
 		} else {
 			s.Late++
 		}
@@ -79,12 +79,12 @@
 	}
 }
 
-// Worst is the mean share of the worst windows that requests came in.
-func (r *Report) Worst(count int) float64 {
+// WorstWindows is the mean share of the worst windows that requests came in.
+func (r *Report) WorstWindows(count int) float64 {
 	shares := make([]float64, 0, len(r.Windows))
 	for _, one := range r.Windows {
 		if one.Asked > 0 {
-			shares = append(shares, one.Share())
+			shares = append(shares, one.CreditShare())
 		}
 	}
 	return meanOfLeast(shares, count)
--- a/internal/loadmodel/upstream.go
+++ b/internal/loadmodel/upstream.go
@@ -111,16 +111,16 @@
 	if n.Share == 0 {
 		return 1
 	}
-	moment := uint64(now / n.Every)
+	moment := uint64(now / n.Interval)
 	if rand.New(rand.NewPCG(u.world.options.Seed^uint64(u.phase), moment)).Float64() < n.Share {
-		return n.Times
+		return n.WorkFactor
 	}
 	return 1
 }
 
 // workedOff is when work that begins now is done, with the pauses in between.
 func (u *upstream) workedOff(now core.Time, work time.Duration) core.Time {
-	every, length := u.world.pattern.PauseEvery, u.world.pattern.Pause
+	every, length := u.world.pattern.PauseInterval, u.world.pattern.PauseLength
 	if every <= 0 {
 		return now + work
 	}
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -21,23 +21,23 @@
 
 // The mechanisms.
 const (
-	Hedges   Mechanism = "hedges"
-	Retries  Mechanism = "retries"
-	Partial  Mechanism = "partial answers"
-	Overdue  Mechanism = "overdue marks"
-	Slowness Mechanism = "slowness"
+	Hedges         Mechanism = "hedges"
+	Retries        Mechanism = "retries"
+	PartialAnswers Mechanism = "partial answers"
+	OverdueMarks   Mechanism = "overdue marks"
+	Slowness       Mechanism = "slowness"
 	// Pauses expects the next pause of a replica from those that were seen.
-	Pauses   Mechanism = "pauses"
-	Failures Mechanism = "failures"
-	Refusals Mechanism = "refusals"
-	Extra    Mechanism = "bound on extra sends"
-	Early    Mechanism = "early rejection"
-	Reach    Mechanism = "hedges to fast replicas only"
+	Pauses          Mechanism = "pauses"
+	Failures        Mechanism = "failures"
+	Refusals        Mechanism = "refusals"
+	ExtraSendBound  Mechanism = "bound on extra sends"
+	EarlyRejection  Mechanism = "early rejection"
+	SelectiveHedges Mechanism = "hedges to fast replicas only"
 )
 
 // Mechanisms lists those that can be left out.
 func Mechanisms() []Mechanism {
-	return []Mechanism{Hedges, Retries, Partial, Overdue, Pauses, Slowness, Failures, Refusals, Extra, Early, Reach}
+	return []Mechanism{Hedges, Retries, PartialAnswers, OverdueMarks, Pauses, Slowness, Failures, Refusals, ExtraSendBound, EarlyRejection, SelectiveHedges}
 }
 
 // Options change how a pattern is played.
@@ -59,7 +59,7 @@
 	if o.without(Retries) {
 		plan.MaxReplicas = 1
 	}
-	if o.without(Partial) {
+	if o.without(PartialAnswers) {
 		plan.PartialAt = plan.Deadline
 	}
 }
@@ -90,7 +90,7 @@
 		report: newReport(p),
 	}
 	w.startUpstreams()
-	for _, place := range p.Places {
+	for _, place := range p.DataCentres {
 		for range place.Nodes {
 			w.nodes = append(w.nodes, newNode(w, place))
 		}
@@ -99,7 +99,7 @@
 		w.strike(fault)
 	}
 	w.nextCaller()
-	w.clock.runUntil(p.Length + time.Second)
+	w.clock.runUntil(p.Duration + time.Second)
 	return w.report
 }
 
@@ -108,10 +108,10 @@
 	for shard := range w.pattern.Shards {
 		service := shardName(shard)
 		shards = append(shards, service)
-		for _, place := range w.pattern.Places {
+		for _, place := range w.pattern.DataCentres {
 			for i := range place.Replicas {
 				u := &upstream{
-					world: w, slow: 1, phase: time.Duration(w.random.Float64() * float64(w.pattern.PauseEvery)),
+					world: w, slow: 1, phase: time.Duration(w.random.Float64() * float64(w.pattern.PauseInterval)),
 					entry: replica.Replica{ID: fmt.Sprintf("%s-%s-%d", service, place.Name, i), Service: service, DataCentre: place.Name, Slots: w.pattern.Slots},
 				}
 				w.upstreams = append(w.upstreams, u)
@@ -122,8 +122,8 @@
 	}
 	for _, kind := range w.pattern.Kinds {
 		w.routes[kind.Name] = &policy.Route{
-			Name: kind.Name, Idempotent: true, Timeout: kind.Deadline, TargetLatency: kind.Aim, MaxReplicas: maxReplicas,
-			Gather: &policy.Gather{Shards: shards, MinCoverage: kind.Least},
+			Name: kind.Name, Idempotent: true, Timeout: kind.Deadline, TargetLatency: kind.TargetLatency, MaxReplicas: maxReplicas,
+			Gather: &policy.Gather{Shards: shards, MinCoverage: kind.MinCoverage},
 		}
 	}
 }
@@ -134,7 +134,7 @@
 
 func (w *world) nodeCount() int {
 	count := 0
-	for _, place := range w.pattern.Places {
+	for _, place := range w.pattern.DataCentres {
 		count += place.Nodes
 	}
 	return count
@@ -143,7 +143,7 @@
 // connections is a node's share of a replica's connections, as the edge divides them.
 func (w *world) connections(place, of string) int {
 	near := 0
-	for _, one := range w.pattern.Places {
+	for _, one := range w.pattern.DataCentres {
 		if one.Name == of {
 			near = one.Nodes
 		}
@@ -166,13 +166,13 @@
 func (w *world) strike(fault Fault) {
 	for _, shard := range w.random.Perm(w.pattern.Shards)[:fault.Shards] {
 		struck := w.byService[shardName(shard)]
-		if !fault.Both {
+		if !fault.AllReplicas {
 			i := w.random.IntN(len(struck))
 			struck = struck[i : i+1]
 		}
 		for _, u := range struck {
 			w.clock.at(fault.At, func() { w.begin(u, fault) })
-			w.clock.at(fault.At+fault.For, func() { w.cease(u, fault) })
+			w.clock.at(fault.At+fault.Duration, func() { w.cease(u, fault) })
 		}
 	}
 }
@@ -186,10 +186,10 @@
 )
 
 func (w *world) begin(u *upstream, fault Fault) {
-	if fault.Slow > 0 {
-		u.slow *= fault.Slow
+	if fault.WorkFactor > 0 {
+		u.slow *= fault.WorkFactor
 	}
-	u.refuses = max(u.refuses, fault.Refuses)
+	u.refuses = max(u.refuses, fault.RefuseShare)
 	if fault.Down {
 		u.crash()
 		w.clock.after(forgottenAfter, func() {
@@ -203,10 +203,10 @@
 }
 
 func (w *world) cease(u *upstream, fault Fault) {
-	if fault.Slow > 0 {
-		u.slow /= fault.Slow
+	if fault.WorkFactor > 0 {
+		u.slow /= fault.WorkFactor
 	}
-	if fault.Refuses > 0 {
+	if fault.RefuseShare > 0 {
 		u.refuses = 0
 	}
 	if fault.Down {
@@ -223,7 +223,7 @@
 // work draws the work of a send: log-normal around the kind's mean, one in a hundred five times as long.
 func (w *world) work(kind Kind) time.Duration {
 	const spread, tail, tailTimes = 0.35, 0.01, 5
-	work := float64(kind.Work) * math.Exp(spread*w.random.NormFloat64()-spread*spread/2)
+	work := float64(kind.MeanWork) * math.Exp(spread*w.random.NormFloat64()-spread*spread/2)
 	if w.random.Float64() < tail {
 		work *= tailTimes
 	}
@@ -233,7 +233,7 @@
 // nextCaller sets when the next request comes: a Poisson stream.
 func (w *world) nextCaller() {
 	wait := time.Duration(w.random.ExpFloat64() / w.pattern.Rate * float64(time.Second))
-	if w.clock.now+wait >= w.pattern.Length {
+	if w.clock.now+wait >= w.pattern.Duration {
 		return
 	}
 	w.clock.after(wait, func() {
--- a/internal/standin/behaviour.go
+++ b/internal/standin/behaviour.go
@@ -17,13 +17,13 @@
 	Slots int `yaml:"slots"`
 	// Service is the time one request takes.
 	Service time.Duration `yaml:"service"`
-	// Draw, when set, gives each request's time in place of Service. It can't be
+	// DrawService, when set, gives each request's time in place of Service. It can't be
 	// written as YAML or JSON and must not block.
-	Draw func() time.Duration `yaml:"-"`
+	DrawService func() time.Duration `yaml:"-"`
 	// Hold, when set, keeps each request that has begun until it is closed.
 	Hold <-chan struct{} `yaml:"-"`
-	// Deadly, when set, tells the questions that end the replica once it has begun to run them. It must not block.
-	Deadly func(question string) bool `yaml:"-"`
+	// CrashOn, when set, tells the questions that end the replica once it has begun to run them. It must not block.
+	CrashOn func(question string) bool `yaml:"-"`
 	// Versions are the index versions it has; the last is the newest.
 	Versions []uint64 `yaml:"versions"`
 	Draining bool     `yaml:"draining"`
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -17,8 +17,8 @@
 const (
 	PathBehaviour = "/standin/behaviour"
 	PathCounts    = "/standin/counts"
-	PathPublish   = "/standin/config"
-	PathSetVMs    = "/standin/vms"
+	PathConfig    = "/standin/config"
+	PathVMs       = "/standin/vms"
 	ParamReplica  = "replica"
 )
 
@@ -44,8 +44,8 @@
 	return &Control{server: server, address: chosen}, nil
 }
 
-// ControlUpstreams serves the control interface of upstreams.
-func ControlUpstreams(address string, upstreams []*Upstream) (*Control, error) {
+// StartUpstreamControl serves the control interface of upstreams.
+func StartUpstreamControl(address string, upstreams []*Upstream) (*Control, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+PathBehaviour, func(w http.ResponseWriter, r *http.Request) {
 		changeUpstreams(w, r, upstreams, func(Behaviour) Behaviour { return Behaviour{} })
@@ -115,8 +115,8 @@
 	writeJSON(w, list)
 }
 
-// ControlPlatform serves the control interface of a platform.
-func ControlPlatform(address string, p *Platform) (*Control, error) {
+// StartPlatformControl serves the control interface of a platform.
+func StartPlatformControl(address string, p *Platform) (*Control, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+PathBehaviour, func(w http.ResponseWriter, r *http.Request) {
 		changePlatform(w, r, p, PlatformBehaviour{})
@@ -126,13 +126,13 @@
 	})
 	mux.HandleFunc("GET "+PathBehaviour, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Behaviour()) })
 	mux.HandleFunc("GET "+PathCounts, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
-	mux.HandleFunc("PUT "+PathPublish, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("PUT "+PathConfig, func(w http.ResponseWriter, r *http.Request) {
 		var config confservice.Config
 		if readJSON(w, r, &config) {
 			p.SetConfig(config)
 		}
 	})
-	mux.HandleFunc("PUT "+PathSetVMs, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("PUT "+PathVMs, func(w http.ResponseWriter, r *http.Request) {
 		var vms []confservice.VM
 		if readJSON(w, r, &vms) {
 			p.SetVMs(vms)
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -19,9 +19,9 @@
 	Opened   int `json:"connections_opened"`
 	Rejected int `json:"connections_rejected"`
 	Open     int `json:"connections_open"`
-	// MostOpen and MostRunning are the highest values so far.
-	MostOpen    int `json:"connections_most"`
-	MostRunning int `json:"running_most"`
+	// PeakOpen and MostRunning are the highest values so far.
+	PeakOpen    int `json:"connections_most"`
+	PeakRunning int `json:"running_most"`
 }
 
 func newCounts() Counts {
--- a/internal/standin/reply.go
+++ b/internal/standin/reply.go
@@ -44,7 +44,7 @@
 		refuse(w, behaviour, refusal)
 		return
 	}
-	if behaviour.Deadly != nil && behaviour.Deadly(string(body.Question)) {
+	if behaviour.CrashOn != nil && behaviour.CrashOn(string(body.Question)) {
 		_ = u.Close()
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -112,7 +112,7 @@
 	}
 	u.counts.Opened++
 	u.counts.Open++
-	u.counts.MostOpen = max(u.counts.MostOpen, u.counts.Open)
+	u.counts.PeakOpen = max(u.counts.PeakOpen, u.counts.Open)
 	return true
 }
 
@@ -154,7 +154,7 @@
 		return b, p, refusal
 	}
 	u.counts.Running++
-	u.counts.MostRunning = max(u.counts.MostRunning, u.counts.Running)
+	u.counts.PeakRunning = max(u.counts.PeakRunning, u.counts.Running)
 	if r.PathValue("verb") == upstream.VerbSubmit {
 		u.counts.Submits[r.Header.Get(upstream.HeaderSubmitKey)]++
 	} else {
@@ -185,8 +185,8 @@
 func (u *Upstream) draw() plan {
 	b := &u.behaviour
 	p := plan{service: b.Service}
-	if b.Draw != nil {
-		p.service = b.Draw()
+	if b.DrawService != nil {
+		p.service = b.DrawService()
 	}
 	if time.Now().Before(u.coldUntil) {
 		p.service += b.ColdExtra
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -15,7 +15,7 @@
 
 // Guards against counting a cut reply as the end of an upstream, and two ends of one address as the same incarnation.
 func TestAnUpstreamThatEndsIsDistinguishedFromACutReply(t *testing.T) {
-	behaviour := standin.Behaviour{Versions: []uint64{7}, Deadly: func(question string) bool { return question == `"deadly"` }}
+	behaviour := standin.Behaviour{Versions: []uint64{7}, CrashOn: func(question string) bool { return question == `"deadly"` }}
 	server, err := standin.StartUpstream("127.0.0.1:0", behaviour)
 	require.NoError(t, err)
 	client := upstream.NewClient()
--- a/test/e2e/harness/split.go
+++ b/test/e2e/harness/split.go
@@ -68,7 +68,7 @@
 }
 
 // Cut lets nothing through between the sides.
-func (s *SplitFleet) Cut() { s.set(faultproxy.Faults{Cut: true}) }
+func (s *SplitFleet) Cut() { s.set(faultproxy.Faults{Blocked: true}) }
 
 // Heal lets everything through again.
 func (s *SplitFleet) Heal() { s.set(faultproxy.Faults{}) }
--- a/test/e2e/harness/standins.go
+++ b/test/e2e/harness/standins.go
@@ -82,13 +82,13 @@
 // Publish sets the revision and text that the service answers, also older ones.
 func (p *Platform) Publish(revision uint64, text string) {
 	p.t.Helper()
-	p.put(standin.PathPublish, confservice.Config{Revision: revision, Text: text})
+	p.put(standin.PathConfig, confservice.Config{Revision: revision, Text: text})
 }
 
 // List sets the VM list.
 func (p *Platform) List(vms []confservice.VM) {
 	p.t.Helper()
-	p.put(standin.PathSetVMs, vms)
+	p.put(standin.PathVMs, vms)
 }
 
 // Reads counts the calls to the platform so far.
--- a/test/e2e/node_test.go
+++ b/test/e2e/node_test.go
@@ -86,7 +86,7 @@
 	load.Stop()
 	load.RequireHonest()
 	for _, counts := range upstreams.Counts() {
-		require.LessOrEqual(t, counts.MostOpen, 25, "both sides' owners together keep to the connection limit")
+		require.LessOrEqual(t, counts.PeakOpen, 25, "both sides' owners together keep to the connection limit")
 		require.Zero(t, counts.Rejected)
 	}
 }
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -112,7 +112,7 @@
 		// One node alone is cut off; the others are to tell it.
 		over := one.trouble()
 		defer over()
-		one.store.SetBoth(faultproxy.Faults{Cut: true})
+		one.store.SetBoth(faultproxy.Faults{Blocked: true})
 		time.Sleep(f.lasts)
 		one.store.SetBoth(faultproxy.Faults{})
 		one.store.Reset()
--- a/test/soak/links_test.go
+++ b/test/soak/links_test.go
@@ -20,7 +20,7 @@
 		// One way only, as one draws: the node hears the others and is not heard, or the
 		// other way round.
 		direction := faultproxy.Direction(f.draw % 2)
-		one.links.Set(direction, faultproxy.Faults{Cut: true})
+		one.links.Set(direction, faultproxy.Faults{Blocked: true})
 		time.Sleep(f.lasts)
 		one.links.Set(direction, faultproxy.Faults{})
 	case nodeIsolated:
@@ -39,7 +39,7 @@
 
 // isolate parts a node from all others, for what either side begins.
 func (w *world) isolate(one *vm, isolated bool) {
-	one.links.SetBoth(faultproxy.Faults{Cut: isolated})
+	one.links.SetBoth(faultproxy.Faults{Blocked: isolated})
 	for _, other := range w.nodes {
 		if other != one {
 			other.links.Isolate(netip.MustParseAddr(one.ip), isolated)
@@ -62,9 +62,9 @@
 	case 0:
 		one.proxy.SetBoth(faultproxy.Faults{Delay: time.Duration(20+f.draw>>16%200) * time.Millisecond})
 	case 1:
-		one.proxy.Set(faultproxy.Direction(f.draw>>16%2), faultproxy.Faults{Cut: true})
+		one.proxy.Set(faultproxy.Direction(f.draw>>16%2), faultproxy.Faults{Blocked: true})
 	case 2:
-		one.proxy.Set(faultproxy.ToClient, faultproxy.Faults{CutAfter: int(1 + f.draw>>16%2000)})
+		one.proxy.Set(faultproxy.ToClient, faultproxy.Faults{ResetAfterBytes: int(1 + f.draw>>16%2000)})
 	case 3:
 		one.proxy.Silence()
 	case 4:
--- a/test/soak/restore_test.go
+++ b/test/soak/restore_test.go
@@ -51,7 +51,7 @@
 func (w *world) restoreInCalm(backup *platformtest.Backup) {
 	w.note("a restore in calm")
 	alone := w.nodes[w.random.IntN(nodeCount)]
-	alone.store.SetBoth(faultproxy.Faults{Cut: true})
+	alone.store.SetBoth(faultproxy.Faults{Blocked: true})
 	var restoring sync.WaitGroup
 	restoring.Go(func() { w.restore(backup, fault{draw: w.seed}) })
 	time.Sleep(longestAway)
