--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -11,9 +11,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/strictyaml"
 )
 
-// The paths of the control interface. PUT replaces a behaviour, PATCH alters
-// the keys written, GET reads. For upstreams the query parameter ParamReplica
-// chooses one by its place, from 0; without it, PUT and PATCH are for all.
+// The paths of the control interface. PUT replaces a behaviour, PATCH changes
+// the given keys, GET reads. For upstreams the query parameter ParamReplica
+// selects one by its index, from 0; without it, a request applies to all.
 const (
 	PathBehaviour = "/standin/behaviour"
 	PathCounts    = "/standin/counts"
@@ -24,16 +24,16 @@
 
 const maxControlBytes = 8 << 20
 
-// Control is the control interface of stand-ins, on an address of its own.
+// Control serves the control interface of stand-ins on a separate address.
 type Control struct {
 	server  *http.Server
 	address string
 }
 
-// Address is the address in use.
+// Address returns the address that it listens on.
 func (c *Control) Address() string { return c.address }
 
-// Close ends the control interface, not the stand-ins.
+// Close stops the control interface; the stand-ins keep running.
 func (c *Control) Close() error { return c.server.Close() }
 
 func startControl(address string, mux *http.ServeMux) (*Control, error) {
@@ -44,7 +44,7 @@
 	return &Control{server: server, address: chosen}, nil
 }
 
-// StartUpstreamControl serves the control interface of upstreams.
+// StartUpstreamControl starts the control interface of upstreams.
 func StartUpstreamControl(address string, upstreams []*Upstream) (*Control, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+PathBehaviour, func(w http.ResponseWriter, r *http.Request) {
@@ -62,24 +62,24 @@
 	return startControl(address, mux)
 }
 
-// changeUpstreams reads a behaviour over the base for each chosen upstream. All
-// are read before the first is changed.
+// changeUpstreams decodes the body over the base behaviour of each selected
+// upstream. It changes none unless the body is valid for all of them.
 func changeUpstreams(w http.ResponseWriter, r *http.Request, upstreams []*Upstream, base func(Behaviour) Behaviour) {
-	chosen, err := choose(r, upstreams)
+	chosen, err := selectUpstreams(r, upstreams)
 	if err != nil {
-		writeProblem(w, err)
+		writeError(w, err)
 		return
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControlBytes))
 	if err != nil {
-		writeProblem(w, err)
+		writeError(w, err)
 		return
 	}
 	behaviours := make([]Behaviour, len(chosen))
 	for i, u := range chosen {
 		behaviours[i], err = ParseBehaviour(text, base(u.Behaviour()))
 		if err != nil {
-			writeProblem(w, err)
+			writeError(w, err)
 			return
 		}
 	}
@@ -88,24 +88,24 @@
 	}
 }
 
-func choose(r *http.Request, upstreams []*Upstream) ([]*Upstream, error) {
+func selectUpstreams(r *http.Request, upstreams []*Upstream) ([]*Upstream, error) {
 	text := r.URL.Query().Get(ParamReplica)
 	if text == "" {
 		return upstreams, nil
 	}
-	place, err := strconv.Atoi(text)
-	if err != nil || place < 0 || place >= len(upstreams) {
+	index, err := strconv.Atoi(text)
+	if err != nil || index < 0 || index >= len(upstreams) {
 		return nil, errNoReplica
 	}
-	return upstreams[place : place+1], nil
+	return upstreams[index : index+1], nil
 }
 
-var errNoReplica = errors.New("there is no replica at this place")
+var errNoReplica = errors.New("no replica has this index")
 
 func writeEach(w http.ResponseWriter, r *http.Request, upstreams []*Upstream, read func(*Upstream) any) {
-	chosen, err := choose(r, upstreams)
+	chosen, err := selectUpstreams(r, upstreams)
 	if err != nil {
-		writeProblem(w, err)
+		writeError(w, err)
 		return
 	}
 	list := make([]any, 0, len(chosen))
@@ -115,7 +115,7 @@
 	writeJSON(w, list)
 }
 
-// StartPlatformControl serves the control interface of a platform.
+// StartPlatformControl starts the control interface of a platform.
 func StartPlatformControl(address string, p *Platform) (*Control, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+PathBehaviour, func(w http.ResponseWriter, r *http.Request) {
@@ -147,7 +147,7 @@
 		_, err = strictyaml.Decode(text, &base)
 	}
 	if err != nil {
-		writeProblem(w, err)
+		writeError(w, err)
 		return
 	}
 	p.Change(func(b *PlatformBehaviour) { *b = base })
@@ -157,7 +157,7 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(out); err != nil {
-		writeProblem(w, err)
+		writeError(w, err)
 		return false
 	}
 	return true
@@ -168,6 +168,6 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func writeProblem(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	http.Error(w, err.Error(), http.StatusBadRequest)
 }
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -2,24 +2,24 @@
 
 import "maps"
 
-// Counts is what a stand-in upstream has seen.
+// Counts are the counters of a stand-in upstream.
 type Counts struct {
-	// Arrived counts the requests that reached it, run or not.
+	// Arrived counts the requests received, whether they ran or were refused.
 	Arrived int `json:"arrived"`
-	// Queries counts the queries run. Refused counts by the reason given.
+	// Queries counts the queries run. Refused counts refusals by reason.
 	Queries int            `json:"queries"`
 	Refused map[string]int `json:"refused"`
-	// Submits is the ledger: for each submit key, how often it ran.
+	// Submits counts the runs of each submit key.
 	Submits map[string]int `json:"submits"`
-	// Cancelled counts the requests whose caller went away while they ran.
+	// Cancelled counts the requests whose caller disconnected while they ran.
 	Cancelled int `json:"cancelled"`
 	Running   int `json:"running"`
-	// Opened and Rejected count connections taken and connections over the limit
-	// that were accepted and closed; Open are open now.
+	// Opened counts the connections accepted, Rejected those above the limit that
+	// were accepted and closed at once; Open is the number open now.
 	Opened   int `json:"connections_opened"`
 	Rejected int `json:"connections_rejected"`
 	Open     int `json:"connections_open"`
-	// PeakOpen and MostRunning are the highest values so far.
+	// PeakOpen and PeakRunning are the highest values of Open and Running so far.
 	PeakOpen    int `json:"connections_most"`
 	PeakRunning int `json:"running_most"`
 }
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// gate is a listener that keeps to an upstream's connection limit. It either
-// accepts and closes what is over the limit, or stops listening, so that the
-// system refuses the connection.
-type gate struct {
+// limitListener enforces an upstream's connection limit. It either accepts and
+// closes connections above the limit, or stops listening, so that the operating
+// system refuses them.
+type limitListener struct {
 	upstream *Upstream
 	address  string
 	mutex    sync.Mutex
@@ -18,28 +18,28 @@
 	closed   bool
 }
 
-func newGate(u *Upstream, listener net.Listener) *gate {
-	g := &gate{upstream: u, address: listener.Addr().String(), inner: listener}
+func newLimitListener(u *Upstream, listener net.Listener) *limitListener {
+	g := &limitListener{upstream: u, address: listener.Addr().String(), inner: listener}
 	g.changed = sync.NewCond(&g.mutex)
 	return g
 }
 
 // Addr implements net.Listener.
-func (g *gate) Addr() net.Addr {
+func (g *limitListener) Addr() net.Addr {
 	address, _ := net.ResolveTCPAddr("tcp", g.address)
 	return address
 }
 
 // Accept implements net.Listener.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *limitListener) Accept() (net.Conn, error) {
 	for {
-		listener, err := g.open()
+		listener, err := g.awaitListener()
 		if err != nil {
 			return nil, err
 		}
 		connection, err := listener.Accept()
 		if err != nil {
-			if g.shut(listener) {
+			if g.closedByLimit(listener) {
 				continue
 			}
 			return nil, err
@@ -48,13 +48,13 @@
 			_ = connection.Close()
 			continue
 		}
-		g.adjust()
-		return &gatedConn{Conn: connection, gate: g}, nil
+		g.applyLimit()
+		return &limitedConn{Conn: connection, listener: g}, nil
 	}
 }
 
-// open waits until connections may be accepted and returns the listener.
-func (g *gate) open() (net.Listener, error) {
+// awaitListener blocks until connections may be accepted and returns the inner listener.
+func (g *limitListener) awaitListener() (net.Listener, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for g.inner == nil && !g.closed {
@@ -66,15 +66,15 @@
 	return g.inner, nil
 }
 
-// shut reports whether the listener was closed because of the limit.
-func (g *gate) shut(listener net.Listener) bool {
+// closedByLimit reports whether the inner listener was closed because of the limit.
+func (g *limitListener) closedByLimit(listener net.Listener) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return !g.closed && g.inner != listener
 }
 
-// adjust stops or resumes listening as the limit asks.
-func (g *gate) adjust() {
+// applyLimit stops or resumes listening according to the limit.
+func (g *limitListener) applyLimit() {
 	full := g.upstream.refusesConnections()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -94,7 +94,7 @@
 }
 
 // Close implements net.Listener.
-func (g *gate) Close() error {
+func (g *limitListener) Close() error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.closed = true
@@ -105,26 +105,26 @@
 	return g.inner.Close()
 }
 
-// gatedConn is a counted connection whose first read takes the connect cost.
-type gatedConn struct {
+// limitedConn is a counted connection whose first read is delayed by the connect cost.
+type limitedConn struct {
 	net.Conn
-	gate  *gate
-	first sync.Once
-	last  sync.Once
+	listener  *limitListener
+	delayOnce sync.Once
+	closeOnce sync.Once
 }
 
 // Read implements net.Conn.
-func (c *gatedConn) Read(buffer []byte) (int, error) {
-	c.first.Do(func() { time.Sleep(c.gate.upstream.Behaviour().ConnectCost) })
+func (c *limitedConn) Read(buffer []byte) (int, error) {
+	c.delayOnce.Do(func() { time.Sleep(c.listener.upstream.Behaviour().ConnectCost) })
 	return c.Conn.Read(buffer)
 }
 
 // Close implements net.Conn.
-func (c *gatedConn) Close() error {
+func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	c.last.Do(func() {
-		c.gate.upstream.connectionClosed()
-		c.gate.adjust()
+	c.closeOnce.Do(func() {
+		c.listener.upstream.connectionClosed()
+		c.listener.applyLimit()
 	})
 	return err
 }
--- a/internal/standin/health.go
+++ b/internal/standin/health.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// The states that the health endpoint tells.
+// The states that the health endpoint reports.
 const (
 	HealthServing  = "serving"
 	HealthDraining = "draining"
 )
 
-// report is a reading of health and load, kept for ReportLag.
+// report is a snapshot of health and load, cached for ReportLag.
 type report struct {
 	at     time.Time
 	Health string  `json:"health"`
@@ -35,7 +35,7 @@
 	if !u.report.at.IsZero() && now.Sub(u.report.at) < u.behaviour.ReportLag {
 		return u.report
 	}
-	u.report = report{at: now, Health: HealthServing, Load: u.trueLoad()}
+	u.report = report{at: now, Health: HealthServing, Load: u.actualLoad()}
 	if u.behaviour.Draining {
 		u.report.Health = HealthDraining
 	}
@@ -48,17 +48,17 @@
 	return u.report
 }
 
-// load is the text of the load header, empty for none.
-func (u *Upstream) load(b Behaviour) string {
+// loadHeader returns the value of the load header, empty for none.
+func (u *Upstream) loadHeader(b Behaviour) string {
 	if b.Load != LoadTrue {
 		return b.Load
 	}
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	return strconv.FormatFloat(u.trueLoad(), 'f', 2, 64)
+	return strconv.FormatFloat(u.actualLoad(), 'f', 2, 64)
 }
 
-func (u *Upstream) trueLoad() float64 {
+func (u *Upstream) actualLoad() float64 {
 	if u.behaviour.Slots == 0 {
 		return 0
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,44 +12,45 @@
 	"github.com/pistachiopier/pistachiopier/internal/confservice"
 )
 
-// DefaultReadsPerSecond is what the platform's service answers to all readers
-// together.
+// DefaultReadsPerSecond is the rate limit of the platform's service over all
+// readers together.
 const DefaultReadsPerSecond = 2000
 
-// PlatformBehaviour is how the stand-in platform acts.
+// PlatformBehaviour configures the stand-in platform.
 type PlatformBehaviour struct {
 	// Down makes every call fail.
 	Down bool `yaml:"down"`
-	// Era is told in every answer: how often the service came back from a copy. 0 tells none.
+	// Era is sent in the header of every response: the number of times the service
+	// was restored from a backup. 0 sends none.
 	Era uint64 `yaml:"era"`
-	// FreezeConfig and FreezeVMs keep answering what was there when they were
-	// set, whatever is published meanwhile.
+	// FreezeConfig and FreezeVMs keep returning the value visible when they were
+	// set, although newer ones are published.
 	FreezeConfig bool `yaml:"freeze_config"`
 	FreezeVMs    bool `yaml:"freeze_vms"`
-	// Lag delays when something published can be read.
+	// Lag is the delay until readers see a published value.
 	Lag time.Duration `yaml:"lag"`
-	// ReadsPerSecond is the rate above which calls get status 429; 0 takes
+	// ReadsPerSecond is the rate above which reads get status 429; 0 selects
 	// DefaultReadsPerSecond.
 	ReadsPerSecond int `yaml:"reads_per_second"`
 }
 
-// MarshalJSON writes the keys and values that the control interface reads.
+// MarshalJSON writes the form that the control interface reads.
 func (b PlatformBehaviour) MarshalJSON() ([]byte, error) { return yamlAsJSON(b) }
 
-// PlatformCounts is what a stand-in platform has seen. A watch is one read.
+// PlatformCounts are the counters of a stand-in platform. A watch counts as one read.
 type PlatformCounts struct {
 	Reads int `json:"reads"`
-	// Limited counts the reads above the rate, Failed those while down.
+	// Limited counts the reads refused by the rate limit, Failed those refused while down.
 	Limited int `json:"limited"`
 	Failed  int `json:"failed"`
 }
 
-// Platform stands in for the configuration service and the VM list. Readers can
-// only read and watch; tests publish by its methods or the control interface.
+// Platform stands in for the configuration service and the VM list. Its HTTP
+// interface is read-only; tests publish through its methods or the control interface.
 type Platform struct {
 	mutex     sync.Mutex
-	config    state[confservice.Config]
-	vms       state[confservice.VMList]
+	config    watchedValue[confservice.Config]
+	vms       watchedValue[confservice.VMList]
 	changed   chan struct{}
 	behaviour PlatformBehaviour
 	counts    PlatformCounts
@@ -58,13 +59,13 @@
 	address   string
 }
 
-// state is a published value and what readers see of it.
-type state[T any] struct {
+// watchedValue holds the latest published value and the one that readers see.
+type watchedValue[T any] struct {
 	published T
 	visible   T
 }
 
-// StartPlatform serves a platform on the address; port 0 takes a free one.
+// StartPlatform serves a platform on the address; port 0 selects a free port.
 func StartPlatform(address string) (*Platform, error) {
 	p := &Platform{
 		changed: make(chan struct{}),
@@ -78,46 +79,46 @@
 	return p, err
 }
 
-// Address is the address in use.
+// Address returns the address that it listens on.
 func (p *Platform) Address() string { return p.address }
 
-// URL is the base URL for settings.
+// URL returns the base URL to use in settings.
 func (p *Platform) URL() string { return "http://" + p.address }
 
-// Close ends the stand-in at once.
+// Close stops the stand-in at once and closes its connections.
 func (p *Platform) Close() error { return p.server.Close() }
 
-// Publish sets the operators' text as the next revision and returns it.
+// Publish publishes the configuration text under the next revision and returns that revision.
 func (p *Platform) Publish(text string) uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.config.published = confservice.Config{Revision: p.config.published.Revision + 1, Text: text}
-	p.show()
+	p.scheduleReveal()
 	return p.config.published.Revision
 }
 
-// SetConfig sets a revision and text as they are, also an older one.
+// SetConfig publishes the configuration unchanged, even with an older revision.
 func (p *Platform) SetConfig(config confservice.Config) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.config.published = config
-	p.show()
+	p.scheduleReveal()
 }
 
-// SetVMs sets the VM list.
+// SetVMs publishes the VM list under the next sequence number.
 func (p *Platform) SetVMs(vms []confservice.VM) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.vms.published = confservice.VMList{Sequence: p.vms.published.Sequence + 1, VMs: vms}
-	p.show()
+	p.scheduleReveal()
 }
 
-// SetDown makes every call fail while down is set.
+// SetDown makes every read fail while down is true.
 func (p *Platform) SetDown(down bool) {
 	p.Change(func(b *PlatformBehaviour) { b.Down = down })
 }
 
-// Change alters the behaviour.
+// Change applies a function to the behaviour.
 func (p *Platform) Change(alter func(*PlatformBehaviour)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -138,25 +139,25 @@
 	p.limiter.SetBurst(reads)
 }
 
-// Behaviour returns the present behaviour.
+// Behaviour returns the current behaviour.
 func (p *Platform) Behaviour() PlatformBehaviour {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.behaviour
 }
 
-// Counts returns the counts so far.
+// Counts returns a copy of the counters.
 func (p *Platform) Counts() PlatformCounts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.counts
 }
 
-// Reads counts the calls so far.
+// Reads returns the number of reads so far.
 func (p *Platform) Reads() int { return p.Counts().Reads }
 
-// show lets readers see what is published, after the lag.
-func (p *Platform) show() {
+// scheduleReveal makes the published values visible after the lag.
+func (p *Platform) scheduleReveal() {
 	if p.behaviour.Lag <= 0 {
 		p.reveal()
 		return
@@ -168,8 +169,8 @@
 	})
 }
 
-// reveal makes the published values visible, but for frozen ones, and wakes the
-// waiting watches.
+// reveal makes the published values visible, except frozen ones, and wakes all
+// watches.
 func (p *Platform) reveal() {
 	if !p.behaviour.FreezeConfig {
 		p.config.visible = p.config.published
@@ -189,13 +190,14 @@
 	p.serveWatch(w, r, func() (uint64, any) { return p.vms.visible.Sequence, p.vms.visible })
 }
 
-// serveWatch answers at once, or with a wait when something else is there.
+// serveWatch replies at once, or with a wait as soon as the value's number differs
+// from the reader's; it replies 304 when the wait ends first.
 func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request, read func() (uint64, any)) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get(confservice.ParamAfter), 10, 64)
 	waitMs, _ := strconv.Atoi(r.URL.Query().Get(confservice.ParamWait))
 	timeout := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
 	defer timeout.Stop()
-	if !p.take() {
+	if !p.countRead() {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
@@ -230,8 +232,8 @@
 	}
 }
 
-// take counts a read and reports whether it is within the rate.
-func (p *Platform) take() bool {
+// countRead counts a read and reports whether it is within the rate limit.
+func (p *Platform) countRead() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.counts.Reads++
--- a/internal/standin/reply.go
+++ b/internal/standin/reply.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// refusedShard counts requests for a shard that the replica does not serve.
-	// The protocol has no word for it: the reply is a plain 404.
-	refusedShard = "shard"
-	crossedMark  = "-crossed"
-	cutDivisor   = 2
+	// refusedUnknownShard counts requests for a shard that the replica does not serve.
+	// The protocol has no reason code for it: the reply is a plain 404.
+	refusedUnknownShard = "shard"
+	crossedSuffix       = "-crossed"
+	truncationDivisor   = 2
 )
 
-// reply is the part that a stand-in returns.
+// reply is the payload of the part that a stand-in returns.
 type reply struct {
 	Service string `json:"service"`
 	Shard   string `json:"shard"`
 	Version uint64 `json:"version"`
 	Replica string `json:"replica"`
 	// Seen counts the dependencies' parts in the request; SeenVersions lists
-	// the versions that they carry.
+	// their distinct versions.
 	Seen         int      `json:"dependencies_seen"`
 	SeenVersions []uint64 `json:"dependency_versions,omitempty"`
 }
@@ -48,7 +48,7 @@
 		_ = u.Close()
 		panic(http.ErrAbortHandler)
 	}
-	finished := work(r, behaviour, plan)
+	finished := run(r, behaviour, plan)
 	u.end(!finished)
 	switch {
 	case !finished:
@@ -63,20 +63,20 @@
 func (u *Upstream) writeHeader(header http.Header, r *http.Request, b Behaviour, p plan) {
 	id := r.Header.Get(upstream.HeaderRequestID)
 	if p.crossed {
-		id += crossedMark
+		id += crossedSuffix
 	}
 	header.Set(upstream.HeaderRequestID, id)
 	header.Set(upstream.HeaderVersions, joinVersions(b.Versions))
 	if b.Draining {
 		header.Set(upstream.HeaderDraining, "true")
 	}
-	if load := u.load(b); load != "" {
+	if load := u.loadHeader(b); load != "" {
 		header.Set(upstream.HeaderLoad, load)
 	}
 }
 
 func refuse(w http.ResponseWriter, b Behaviour, refusal string) {
-	if refusal == refusedShard {
+	if refusal == refusedUnknownShard {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -87,9 +87,9 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// work takes the request's time; false when the caller has gone.
-func work(r *http.Request, b Behaviour, p plan) bool {
-	if p.never {
+// run waits for the request's service time; false when the caller disconnected.
+func run(r *http.Request, b Behaviour, p plan) bool {
+	if p.noReply {
 		<-r.Context().Done()
 		return false
 	}
@@ -124,8 +124,8 @@
 	w.Header().Set(upstream.HeaderVersion, strconv.FormatUint(version, 10))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if p.cut {
-		_, _ = w.Write(text[:len(text)/cutDivisor])
+	if p.truncated {
+		_, _ = w.Write(text[:len(text)/truncationDivisor])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
@@ -147,7 +147,8 @@
 	return len(shards) == 0 || slices.Contains(shards, shard)
 }
 
-// wantedVersion is the version to answer from, or 0 when it is not there.
+// wantedVersion returns the requested version, the newest when none is requested,
+// or 0 when the replica does not have the requested one.
 func wantedVersion(r *http.Request, versions []uint64) uint64 {
 	wanted, err := strconv.ParseUint(r.Header.Get(upstream.HeaderVersion), 10, 64)
 	if err != nil || wanted == 0 {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for the outside systems: the platform
-// and upstreams. They exist for trials and tests, in this process or, with a
-// control interface, in processes of their own.
+// Package standin provides stand-ins for the external systems: the platform and
+// upstreams. Experiments and tests run them in process or, with a control
+// interface, in separate processes.
 package standin
 
 import (
@@ -21,7 +21,7 @@
 	return listener, nil
 }
 
-// serve listens on the address and serves in the background.
+// serve listens on the address, serves in the background and returns the address in use.
 func serve(address string, handler http.Handler) (*http.Server, string, error) {
 	listener, err := listen(address)
 	if err != nil {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -33,9 +33,9 @@
 	return u
 }
 
-// ask sends one query and returns its status, headers and body; the error is
-// that of reading the body.
-func ask(t *testing.T, u *Upstream, verb string, header map[string]string) (*http.Response, string, error) {
+// sendRequest sends one request with the verb and returns the response and its body;
+// the error is that of reading the body.
+func sendRequest(t *testing.T, u *Upstream, verb string, header map[string]string) (*http.Response, string, error) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+u.Address()+upstream.PathPrefix+"base/0/"+verb, strings.NewReader(`{"question":null}`))
 	require.NoError(t, err)
@@ -60,7 +60,7 @@
 	require.ErrorIs(t, err, io.EOF)
 	require.Equal(t, 1, u.Counts().Rejected)
 	require.NoError(t, first.Close())
-	await(t, "the place is free again", func() bool { return u.Counts().Open == 0 })
+	await(t, "the connection slot is free again", func() bool { return u.Counts().Open == 0 })
 }
 
 func TestConnectionsOverTheLimitAreRefused(t *testing.T) {
@@ -77,41 +77,41 @@
 	}
 	await(t, "a further connection is refused", func() bool { return u.Counts().Open == 1 && !dials() })
 	require.NoError(t, first.Close())
-	await(t, "connections are taken again", dials)
+	await(t, "connections are accepted again", dials)
 }
 
 func TestFaultsOfReplies(t *testing.T) {
 	u := startOne(t, Behaviour{Versions: []uint64{7, 8}})
-	one := func(alter func(*Behaviour)) (*http.Response, string, error) {
+	sendWith := func(alter func(*Behaviour)) (*http.Response, string, error) {
 		u.Change(func(b *Behaviour) { *b = Behaviour{Versions: []uint64{7, 8}}; alter(b) })
-		return ask(t, u, upstream.VerbQuery, map[string]string{upstream.HeaderRequestID: "r1", upstream.HeaderTimeLeft: "5"})
+		return sendRequest(t, u, upstream.VerbQuery, map[string]string{upstream.HeaderRequestID: "r1", upstream.HeaderTimeLeft: "5"})
 	}
-	response, body, err := one(func(*Behaviour) {})
+	response, body, err := sendWith(func(*Behaviour) {})
 	require.NoError(t, err)
 	require.Equal(t, "8", response.Header.Get(upstream.HeaderVersion))
 	require.Contains(t, body, `"version":8`)
-	response, _, err = one(func(b *Behaviour) { b.CrossedShare = 1 })
+	response, _, err = sendWith(func(b *Behaviour) { b.CrossedShare = 1 })
 	require.NoError(t, err)
 	require.NotEqual(t, "r1", response.Header.Get(upstream.HeaderRequestID))
-	_, _, err = one(func(b *Behaviour) { b.CutShare = 1 })
+	_, _, err = sendWith(func(b *Behaviour) { b.CutShare = 1 })
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	response, _, _ = one(func(b *Behaviour) { b.FailShare = 1 })
+	response, _, _ = sendWith(func(b *Behaviour) { b.FailShare = 1 })
 	require.Equal(t, http.StatusInternalServerError, response.StatusCode)
-	response, _, _ = one(func(b *Behaviour) { b.Shards = []string{"base/1"} })
+	response, _, _ = sendWith(func(b *Behaviour) { b.Shards = []string{"base/1"} })
 	require.Equal(t, http.StatusNotFound, response.StatusCode)
-	response, _, _ = one(func(b *Behaviour) { b.HonourDeadline = true; b.Service = time.Hour })
+	response, _, _ = sendWith(func(b *Behaviour) { b.HonourDeadline = true; b.Service = time.Hour })
 	require.Equal(t, upstream.NotRunDeadline, response.Header.Get(upstream.HeaderNotRun))
-	response, _, _ = one(func(b *Behaviour) { b.ShedShare = 1; b.RetryAfter = time.Second })
+	response, _, _ = sendWith(func(b *Behaviour) { b.ShedShare = 1; b.RetryAfter = time.Second })
 	require.Equal(t, upstream.NotRunOverloaded, response.Header.Get(upstream.HeaderNotRun))
 	require.Equal(t, "1000", response.Header.Get(upstream.HeaderRetryAfter))
-	response, _, _ = one(func(b *Behaviour) { b.Load = "0.01" })
+	response, _, _ = sendWith(func(b *Behaviour) { b.Load = "0.01" })
 	require.Equal(t, "0.01", response.Header.Get(upstream.HeaderLoad))
-	require.Equal(t, 5, u.Queries(), "what was refused did not run")
+	require.Equal(t, 5, u.Queries(), "refused requests did not run")
 }
 
-// A replica that reads its health endpoint from a lagging cache still says that
-// it serves after it has begun to drain.
-func TestHealthLags(t *testing.T) {
+// A replica whose health endpoint reads a stale cache still reports that it is
+// serving after it has begun to drain.
+func TestHealthReportsAreStaleWithinTheReportLag(t *testing.T) {
 	u := startOne(t, Behaviour{Versions: []uint64{1}, ReportLag: time.Hour})
 	read := func() string {
 		response, err := http.Get("http://" + u.Address() + upstream.PathHealth)
@@ -150,8 +150,8 @@
 	require.False(t, list[0].Behaviour().Draining)
 	require.Equal(t, Behaviour{Versions: []uint64{7}, Slots: 2, Draining: true, Service: 5 * time.Millisecond, Seed: 1}, list[1].Behaviour())
 	require.Equal(t, http.StatusBadRequest, control(t, http.MethodPatch, c.Address(), PathBehaviour, `{"drainign":true}`, nil))
-	require.Equal(t, http.StatusBadRequest, control(t, http.MethodPut, c.Address(), PathBehaviour, `{"slots":1}`, nil), "a replacement needs versions")
-	ask(t, list[0], upstream.VerbSubmit, map[string]string{upstream.HeaderSubmitKey: "k1"})
+	require.Equal(t, http.StatusBadRequest, control(t, http.MethodPut, c.Address(), PathBehaviour, `{"slots":1}`, nil), "PUT without versions")
+	sendRequest(t, list[0], upstream.VerbSubmit, map[string]string{upstream.HeaderSubmitKey: "k1"})
 	var counts []Counts
 	control(t, http.MethodGet, c.Address(), PathCounts, "", &counts)
 	require.Equal(t, map[string]int{"k1": 1}, counts[0].Submits)
@@ -192,24 +192,24 @@
 	await(t, "a read while down fails", func() bool { return limited() && p.Counts().Failed > 0 })
 }
 
-// A service comes back from a copy. What it has comes after all of before, to readers of the text and of the VM list, also where
-// the revision is the same as the one that they know; a header that vanishes takes nothing back, and an
-// older era is no answer.
+// A configuration service is restored from a backup and announces a new era. Clients must order its
+// configuration and VM list after all earlier ones, even under a known revision; a missing era header
+// changes nothing, and a response with an older era is an error.
 func TestWhatARestoredPlatformHasComesAfter(t *testing.T) {
 	p, err := StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = p.Close() }()
 	client := confservice.NewClient(p.URL())
 	defer client.Close()
-	told := func(number uint64) { p.Change(func(b *PlatformBehaviour) { b.Era = number }) }
-	told(1)
+	setEra := func(number uint64) { p.Change(func(b *PlatformBehaviour) { b.Era = number }) }
+	setEra(1)
 	p.SetConfig(confservice.Config{Revision: 5, Text: "five"})
 	p.SetVMs([]confservice.VM{{ID: "a"}})
 	before, _, err := client.ReadConfig(t.Context(), 0, 0)
 	require.NoError(t, err)
 	listed, _, err := client.ReadVMs(t.Context(), 0, 0)
 	require.NoError(t, err)
-	told(2)
+	setEra(2)
 	p.SetConfig(confservice.Config{Revision: 5, Text: "another"})
 	after, changed, err := client.ReadConfig(t.Context(), before.Revision, time.Millisecond)
 	require.NoError(t, err)
@@ -220,21 +220,21 @@
 	require.NoError(t, err)
 	require.True(t, changed)
 	require.Greater(t, again.Sequence, listed.Sequence)
-	told(0)
-	untold, changed, err := client.ReadConfig(t.Context(), after.Revision, time.Millisecond)
+	setEra(0)
+	withoutEra, changed, err := client.ReadConfig(t.Context(), after.Revision, time.Millisecond)
 	require.NoError(t, err)
-	require.False(t, changed, untold)
-	told(1)
+	require.False(t, changed, withoutEra)
+	setEra(1)
 	_, _, err = client.ReadConfig(t.Context(), 0, 0)
 	require.ErrorContains(t, err, "era 2 is known already")
-	told(2)
-	for _, one := range []struct {
+	setEra(2)
+	for _, test := range []struct {
 		revision uint64
 		possible bool
 	}{{uint64(time.Now().UnixMicro()), true}, {era.MaxRevision, true}, {era.MaxRevision + 1, false}, {1 << 63, false}} {
-		p.SetConfig(confservice.Config{Revision: one.revision, Text: "text"})
+		p.SetConfig(confservice.Config{Revision: test.revision, Text: "text"})
 		got, _, err := client.ReadConfig(t.Context(), 0, 0)
-		require.Equal(t, one.possible, err == nil, "revision %d: %v", one.revision, err)
-		require.True(t, !one.possible || era.Of(got.Revision) == 2)
+		require.Equal(t, test.possible, err == nil, "revision %d: %v", test.revision, err)
+		require.True(t, !test.possible || era.Of(got.Revision) == 2)
 	}
 }
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -13,11 +13,11 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// PathLoad is an upstream's own word on its load. Like that on its health it may
-// lag or mislead.
+// PathLoad is the endpoint where an upstream reports its load. Like its reported
+// health, the value may be stale or wrong.
 const PathLoad = "/v1/load"
 
-// Upstream stands in for one replica of any shard.
+// Upstream stands in for one replica, which serves any shard.
 type Upstream struct {
 	mutex     sync.Mutex
 	behaviour Behaviour
@@ -25,11 +25,11 @@
 	random    *rand.Rand
 	coldUntil time.Time
 	report    report
-	gate      *gate
+	listener  *limitListener
 	server    *http.Server
 }
 
-// StartUpstream serves a replica on the address; port 0 takes a free one.
+// StartUpstream serves a replica on the address; port 0 selects a free port.
 func StartUpstream(address string, behaviour Behaviour) (*Upstream, error) {
 	listener, err := listen(address)
 	if err != nil {
@@ -38,42 +38,42 @@
 	return StartUpstreamOn(listener, behaviour), nil
 }
 
-// StartUpstreamOn serves a replica on a listener, which it closes at its end.
+// StartUpstreamOn serves a replica on the listener and closes it with the replica.
 func StartUpstreamOn(listener net.Listener, behaviour Behaviour) *Upstream {
 	u := &Upstream{counts: newCounts()}
 	u.set(behaviour)
-	u.gate = newGate(u, listener)
+	u.listener = newLimitListener(u, listener)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+upstream.PathPrefix+"{service}/{shard}/{verb}", u.serve)
 	mux.HandleFunc("GET "+upstream.PathHealth, u.serveHealth)
 	mux.HandleFunc("GET "+PathLoad, u.serveLoad)
-	u.server = serveOn(u.gate, mux)
+	u.server = serveOn(u.listener, mux)
 	return u
 }
 
-// Address is the address in use.
-func (u *Upstream) Address() string { return u.gate.address }
+// Address returns the address that it listens on.
+func (u *Upstream) Address() string { return u.listener.address }
 
-// Close ends the stand-in at once.
+// Close stops the stand-in at once and closes its connections.
 func (u *Upstream) Close() error { return u.server.Close() }
 
-// Behaviour returns a copy of the present behaviour.
+// Behaviour returns a copy of the current behaviour.
 func (u *Upstream) Behaviour() Behaviour {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.behaviour.clone()
 }
 
-// Change alters the behaviour.
+// Change applies a function to the behaviour.
 func (u *Upstream) Change(alter func(*Behaviour)) {
 	behaviour := u.Behaviour()
 	alter(&behaviour)
 	u.set(behaviour)
-	u.gate.adjust()
+	u.listener.applyLimit()
 }
 
-// set takes a behaviour over. A changed seed restarts the draws and a changed
-// cold start makes the replica cold.
+// set replaces the behaviour. A changed Seed restarts the random sequence, a
+// changed ColdStart begins a new cold start.
 func (u *Upstream) set(behaviour Behaviour) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -86,23 +86,23 @@
 	u.behaviour = behaviour.clone()
 }
 
-// Counts returns a copy of the counts.
+// Counts returns a copy of the counters.
 func (u *Upstream) Counts() Counts {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.counts.clone()
 }
 
-// Queries counts the queries run.
+// Queries returns the number of queries run.
 func (u *Upstream) Queries() int { return u.Counts().Queries }
 
-// Received counts the requests that arrived, refused ones included.
+// Received returns the number of requests received, including refused ones.
 func (u *Upstream) Received() int { return u.Counts().Arrived }
 
-// Submits counts, for each key, how often a submit ran.
+// Submits returns the number of runs of each submit key.
 func (u *Upstream) Submits() map[string]int { return u.Counts().Submits }
 
-// connectionOpened counts a new connection; false when it is over the limit.
+// connectionOpened counts a new connection; false when it exceeds the limit.
 func (u *Upstream) connectionOpened() bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -123,7 +123,7 @@
 }
 
 // refusesConnections reports whether the limit is reached and further
-// connections are not even accepted.
+// connections are to be refused rather than accepted and closed.
 func (u *Upstream) refusesConnections() bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -131,17 +131,17 @@
 	return b.RefuseConnections && b.Connections > 0 && u.counts.Open >= b.Connections
 }
 
-// plan is what happens to one request, drawn when it begins.
+// plan is the service time and the faults of one request, drawn when it arrives.
 type plan struct {
-	service time.Duration
-	late    time.Duration
-	fail    bool
-	crossed bool
-	cut     bool
-	never   bool
+	service   time.Duration
+	late      time.Duration
+	fail      bool
+	crossed   bool
+	truncated bool
+	noReply   bool
 }
 
-// begin admits a request or names the reason it does not run.
+// begin admits a request or returns the reason for its refusal.
 func (u *Upstream) begin(r *http.Request) (b Behaviour, p plan, refusal string) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -167,12 +167,12 @@
 	b := &u.behaviour
 	switch {
 	case !servesShard(b.Shards, r.PathValue("service")+"/"+r.PathValue("shard")):
-		return refusedShard
+		return refusedUnknownShard
 	case b.Draining:
 		return upstream.NotRunDraining
-	case b.HonourDeadline && timeLeft(r) < p.service:
+	case b.HonourDeadline && remainingTime(r) < p.service:
 		return upstream.NotRunDeadline
-	case b.Slots > 0 && u.counts.Running >= b.Slots, u.hit(b.ShedShare):
+	case b.Slots > 0 && u.counts.Running >= b.Slots, u.occurs(b.ShedShare):
 		return upstream.NotRunOverloaded
 	case wantedVersion(r, b.Versions) == 0:
 		return upstream.NotRunVersion
@@ -180,8 +180,8 @@
 	return ""
 }
 
-// draw decides one request's fate. Shares of 0 draw nothing, so that one
-// fault's sequence does not depend on the others being off.
+// draw draws the plan of one request. Shares of 0 draw no random number, so that
+// disabled faults do not change the sequence of the enabled ones.
 func (u *Upstream) draw() plan {
 	b := &u.behaviour
 	p := plan{service: b.Service}
@@ -191,20 +191,20 @@
 	if time.Now().Before(u.coldUntil) {
 		p.service += b.ColdExtra
 	}
-	if u.hit(b.StragglerShare) {
+	if u.occurs(b.StragglerShare) {
 		p.service += b.StragglerExtra
 	}
-	if u.hit(b.LateShare) {
+	if u.occurs(b.LateShare) {
 		p.late = b.LateBy
 	}
-	p.fail = u.hit(b.FailShare)
-	p.crossed = u.hit(b.CrossedShare)
-	p.cut = u.hit(b.CutShare)
-	p.never = b.Silent || u.hit(b.NeverShare)
+	p.fail = u.occurs(b.FailShare)
+	p.crossed = u.occurs(b.CrossedShare)
+	p.truncated = u.occurs(b.CutShare)
+	p.noReply = b.Silent || u.occurs(b.NeverShare)
 	return p
 }
 
-func (u *Upstream) hit(share float64) bool {
+func (u *Upstream) occurs(share float64) bool {
 	return share > 0 && u.random.Float64() < share
 }
 
@@ -217,14 +217,14 @@
 	}
 }
 
-func timeLeft(r *http.Request) time.Duration {
+func remainingTime(r *http.Request) time.Duration {
 	ms, _ := strconv.ParseInt(r.Header.Get(upstream.HeaderTimeLeft), 10, 64)
 	return time.Duration(ms) * time.Millisecond
 }
 
-// StartUpstreams serves replicas on the address and the ports that follow it;
-// with port 0 each takes a free one. Seeds follow each other too, so that the
-// replicas' faults do not fall together.
+// StartUpstreams serves replicas on the address and the consecutive ports; with
+// port 0 each selects a free one. Seeds are consecutive too, so that the faults
+// of the replicas are independent.
 func StartUpstreams(address string, replicas int, behaviour Behaviour) ([]*Upstream, error) {
 	first, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -238,8 +238,8 @@
 		}
 		u, err := StartUpstream(netip.AddrPortFrom(first.Addr(), port).String(), behaviour)
 		if err != nil {
-			for _, one := range list {
-				_ = one.Close()
+			for _, started := range list {
+				_ = started.Close()
 			}
 			return nil, err
 		}
