--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -12,19 +12,19 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// Caller asks as a caller does: it fetches the entries, keeps them for their
-// time to live and spreads its questions over them in turn.
+// Caller sends queries as a production caller does: it fetches the list of
+// entries, caches it for its time to live and rotates over them.
 type Caller struct {
 	client *client.Client
 	seeds  []string
 
 	mutex   sync.Mutex
 	entries []api.EntryAddress
-	until   time.Time
-	turn    int
+	expires time.Time
+	next    int
 }
 
-// NewCaller makes a caller that knows the given nodes' addresses.
+// NewCaller returns a caller that fetches entries from the nodes at the seed addresses.
 func NewCaller(seeds []string) *Caller {
 	return &Caller{client: client.New(), seeds: seeds}
 }
@@ -36,35 +36,35 @@
 func (c *Caller) Send(ctx context.Context, request Request) Reply {
 	address, err := c.address(ctx)
 	if err != nil {
-		return failed(err)
+		return failureReply(err)
 	}
-	asked := api.QueryRequest{Customer: request.Customer, Question: json.RawMessage(`"pork shoulder"`)}
+	query := api.QueryRequest{Customer: request.Customer, Question: json.RawMessage(`"pork shoulder"`)}
 	if request.Timeout > 0 {
 		timeoutMs := request.Timeout.Milliseconds()
-		asked.TimeoutMs = &timeoutMs
+		query.TimeoutMs = &timeoutMs
 	}
-	reply, err := c.client.Query(ctx, address, request.Service, asked)
+	reply, err := c.client.Query(ctx, address, request.Service, query)
 	if err != nil {
-		return failed(err)
+		return failureReply(err)
 	}
-	return judge(reply)
+	return evaluate(reply)
 }
 
-// address returns the next entry, asking for the entries again when their time
-// has passed. A failed renewal leaves the former entries in use.
+// address returns the next entry and refreshes the list once it has expired. If
+// the refresh fails, the expired list stays in use.
 func (c *Caller) address(ctx context.Context) (string, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !time.Now().Before(c.until) {
-		if err := c.renew(ctx); err != nil && len(c.entries) == 0 {
+	if !time.Now().Before(c.expires) {
+		if err := c.refresh(ctx); err != nil && len(c.entries) == 0 {
 			return "", err
 		}
 	}
-	c.turn++
-	return c.entries[c.turn%len(c.entries)].Address, nil
+	c.next++
+	return c.entries[c.next%len(c.entries)].Address, nil
 }
 
-func (c *Caller) renew(ctx context.Context) error {
+func (c *Caller) refresh(ctx context.Context) error {
 	var last error
 	for _, seed := range c.seeds {
 		entries, err := c.client.Entries(ctx, seed)
@@ -77,25 +77,25 @@
 			continue
 		}
 		c.entries = entries.Entries
-		c.until = time.Now().Add(time.Duration(entries.TTLMs) * time.Millisecond)
+		c.expires = time.Now().Add(time.Duration(entries.TTLMs) * time.Millisecond)
 		return nil
 	}
 	return last
 }
 
-func failed(err error) Reply {
+func failureReply(err error) Reply {
 	typed := fault.As(err)
 	return Reply{Outcome: typed.Outcome.String(), Code: typed.Code}
 }
 
-// partHeader is what every stand-in writes into its part.
+// partHeader holds the fields that every stand-in writes into its part.
 type partHeader struct {
 	Service string `json:"service"`
 	Version uint64 `json:"version"`
 }
 
-// judge checks the answer against its own parts.
-func judge(answer api.QueryReply) Reply {
+// evaluate summarizes an answer and checks its parts for mixed versions and wrong services.
+func evaluate(answer api.QueryReply) Reply {
 	reply := Reply{Outcome: answer.Outcome, Asked: answer.Coverage.Asked, Answered: len(answer.Parts)}
 	for _, missing := range answer.Coverage.Missing {
 		reply.Missing = append(reply.Missing, missing.Reason)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load sends an open-loop load and measures what comes back. Arrivals
-// follow a schedule, and each latency counts from the scheduled arrival, so
-// that a slow system cannot slow the load down and hide its own delay
-// (coordinated omission).
+// Package load generates an open-loop load and measures the replies. Arrivals
+// follow a schedule, and each latency counts from the scheduled arrival, so that
+// a slow system cannot reduce the load and hide its own delay (coordinated
+// omission).
 package load
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/pistachiopier/pistachiopier/internal/wait"
 )
 
-// Request is one question.
+// Request is one query to a service.
 type Request struct {
 	Customer core.Customer
 	Service  string
-	// Timeout is the time the caller gives; 0 takes the service's.
+	// Timeout is the caller's timeout; 0 selects that of the service.
 	Timeout time.Duration
 }
 
-// Reply is what a question came to.
+// Reply is the result of a request.
 type Reply struct {
 	// Outcome is "done", "not_run" or "unknown".
 	Outcome string
@@ -32,20 +32,20 @@
 	// Asked and Answered count shards.
 	Asked    int
 	Answered int
-	// Missing is the reason of each shard without a part.
+	// Missing holds a reason for each shard without a part.
 	Missing []core.Reason
-	// Mixed says that the parts are of more than one version.
+	// Mixed reports that a part has another version than the answer.
 	Mixed bool
-	// Crossed says that a part belongs to another shard than it claims.
+	// Crossed reports that a part's payload names another service than the part itself.
 	Crossed bool
 }
 
-// Sender sends one question and waits for its end.
+// Sender sends one request and waits for its reply or failure.
 type Sender interface {
 	Send(ctx context.Context, request Request) Reply
 }
 
-// Profile is a bounded load. All bounds are required.
+// Profile describes a bounded load. All bounds are required.
 type Profile struct {
 	Arrivals Arrivals
 	// Rate is the mean number of requests a second.
@@ -54,80 +54,80 @@
 	Duration    time.Duration
 	MaxRequests int
 	// MaxOutstanding bounds the requests in flight. An arrival above it is
-	// not sent; it is counted as Unsent, never delayed.
+	// counted as Unsent and neither sent nor delayed.
 	MaxOutstanding int
 	Timeout        time.Duration
 	Mix            []MixEntry
 	Seed           uint64
 }
 
-// seedStreams keep the schedule and the mix independent of each other.
+// The random streams of the schedule and of the mix are independent of each other.
 const (
 	seedSchedule = 1
 	seedMix      = 2
 )
 
-// Validate reports a profile that is not bounded.
+// Validate returns an error for a profile that lacks a bound or a service, or has unknown arrivals.
 func (p Profile) Validate() error {
 	switch {
 	case p.Rate <= 0 || p.Duration <= 0 || p.MaxRequests <= 0 || p.MaxOutstanding <= 0:
-		return fault.NotRun(fault.CodeBadRequest, "the load is not bounded", "give a rate, a duration, a number of requests and of outstanding ones, all above 0")
+		return fault.NotRun(fault.CodeBadRequest, "the load is not bounded", "give a rate, a duration, a maximum of requests and one of outstanding requests, all above 0")
 	case len(p.Mix) == 0:
 		return fault.NotRun(fault.CodeBadRequest, "the load names no service", "add a service")
 	case p.Arrivals != ArrivalsPoisson && p.Arrivals != ArrivalsFixed && p.Arrivals != ArrivalsBursty:
-		return fault.NotRun(fault.CodeBadRequest, "unknown arrivals "+string(p.Arrivals), "write poisson, fixed or bursty")
+		return fault.NotRun(fault.CodeBadRequest, "unknown kind of arrivals "+string(p.Arrivals), "write poisson, fixed or bursty")
 	}
 	return nil
 }
 
-// Run sends the profile's load through the sender into the recorder, and
+// Run sends the profile's load through the sender, records the replies and
 // returns when the last request has ended.
-func Run(ctx context.Context, profile Profile, asker Sender, recorder *Recorder) error {
+func Run(ctx context.Context, profile Profile, sender Sender, recorder *Recorder) error {
 	if err := profile.Validate(); err != nil {
 		return err
 	}
-	runner := &runner{profile: profile, asker: asker, recorder: recorder, slots: make(chan struct{}, profile.MaxOutstanding)}
+	runner := &runner{profile: profile, sender: sender, recorder: recorder, slots: make(chan struct{}, profile.MaxOutstanding)}
 	started := time.Now()
 	runner.dispatch(ctx, started)
-	runner.open.Wait()
-	recorder.ran(time.Since(started))
+	runner.inFlight.Wait()
+	recorder.addElapsed(time.Since(started))
 	return nil
 }
 
 // runner is one run of a load.
 type runner struct {
 	profile  Profile
-	asker    Sender
+	sender   Sender
 	recorder *Recorder
 	slots    chan struct{}
-	open     sync.WaitGroup
+	inFlight sync.WaitGroup
 }
 
 func (r *runner) dispatch(ctx context.Context, started time.Time) {
 	seed := r.profile.Seed
-	plan := newSchedule(r.profile.Arrivals, r.profile.Rate, rand.New(rand.NewPCG(seed, seedSchedule)))
-	shares := newMix(r.profile.Mix, rand.New(rand.NewPCG(seed, seedMix)))
+	arrivals := newSchedule(r.profile.Arrivals, r.profile.Rate, rand.New(rand.NewPCG(seed, seedSchedule)))
+	mix := newMix(r.profile.Mix, rand.New(rand.NewPCG(seed, seedMix)))
 	for range r.profile.MaxRequests {
-		offset := plan.offset()
+		offset := arrivals.offset()
 		if offset >= r.profile.Duration || !wait.For(ctx, time.Until(started.Add(offset))) {
 			return
 		}
-		r.send(ctx, shares.draw(), started.Add(offset))
+		r.send(ctx, mix.draw(), started.Add(offset))
 	}
 }
 
-func (r *runner) send(ctx context.Context, share MixEntry, scheduled time.Time) {
+func (r *runner) send(ctx context.Context, entry MixEntry, scheduled time.Time) {
 	select {
 	case r.slots <- struct{}{}:
 	default:
-		r.recorder.unsent(share)
+		r.recorder.addUnsent(entry)
 		return
 	}
-	r.open.Add(1)
+	r.inFlight.Add(1)
 	go func() {
-		defer r.open.Done()
-		reply := r.asker.Send(ctx, Request{Customer: share.Customer, Service: share.Service, Timeout: r.profile.Timeout})
-		r.recorder.add(share, time.Since(scheduled), reply)
+		defer r.inFlight.Done()
+		reply := r.sender.Send(ctx, Request{Customer: entry.Customer, Service: entry.Service, Timeout: r.profile.Timeout})
+		r.recorder.add(entry, time.Since(scheduled), reply)
 		<-r.slots
 	}()
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,9 +15,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-type askerFunc func(ctx context.Context, request Request) Reply
+type senderFunc func(ctx context.Context, request Request) Reply
 
-func (f askerFunc) Send(ctx context.Context, request Request) Reply { return f(ctx, request) }
+func (f senderFunc) Send(ctx context.Context, request Request) Reply { return f(ctx, request) }
 
 func answer(answered int) Reply { return Reply{Outcome: "done", Asked: 20, Answered: answered} }
 
@@ -33,13 +33,13 @@
 	}
 }
 
-// A server stands still for half a second while chefs go on asking. A load
-// tool that waits for each answer before it asks again sends one request into
-// that half second and reports one late answer; the chefs saw fifty.
-func TestAStalledServerShowsInEveryLatency(t *testing.T) {
+// A server stalls for half a second while requests keep arriving. A closed-loop
+// load generator, which waits for each reply, sends one request in that time and
+// reports one late reply; open-loop arrivals show all fifty.
+func TestStalledServerRaisesEveryLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
-		stalled := askerFunc(func(context.Context, Request) Reply {
+		stalled := senderFunc(func(context.Context, Request) Reply {
 			at := time.Since(started)
 			if at >= 200*time.Millisecond && at < 700*time.Millisecond {
 				time.Sleep(700*time.Millisecond - at)
@@ -56,26 +56,26 @@
 	})
 }
 
-// The caller's process itself is held up: the request leaves late. Its
-// latency counts from when it should have left.
+// The load generator itself is delayed and sends a request late. The latency
+// must count from the scheduled arrival.
 func TestLatencyCountsFromTheScheduledArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := NewRecorder()
-		r := &runner{asker: askerFunc(func(context.Context, Request) Reply { return answer(20) }), recorder: recorder, slots: make(chan struct{}, 1)}
+		r := &runner{sender: senderFunc(func(context.Context, Request) Reply { return answer(20) }), recorder: recorder, slots: make(chan struct{}, 1)}
 		scheduled := time.Now()
 		time.Sleep(30 * time.Millisecond)
 		r.send(t.Context(), profile().Mix[0], scheduled)
-		r.open.Wait()
+		r.inFlight.Wait()
 		require.InDelta(t, 30, Millis(recorder.All.Quantile(1)), 0.1)
 	})
 }
 
 func TestLoadIsBounded(t *testing.T) {
-	never := askerFunc(func(ctx context.Context, _ Request) Reply {
+	neverReplies := senderFunc(func(ctx context.Context, _ Request) Reply {
 		<-ctx.Done()
 		return Reply{Outcome: "unknown", Code: "lost"}
 	})
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name   string
 		alter  func(*Profile)
 		sent   int
@@ -85,37 +85,37 @@
 		{"number", func(p *Profile) { p.MaxRequests = 12 }, 12, 0},
 		{"time", func(p *Profile) { p.Duration = 300 * time.Millisecond }, 30, 0},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := profile()
-				one.alter(&p)
+				test.alter(&p)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
 				recorder := NewRecorder()
-				require.NoError(t, Run(ctx, p, never, recorder))
-				require.Equal(t, one.sent, recorder.All.Requests)
-				require.Equal(t, one.unsent, recorder.All.Unsent)
-				require.Equal(t, one.sent, recorder.All.Outcomes["unknown/lost"])
+				require.NoError(t, Run(ctx, p, neverReplies, recorder))
+				require.Equal(t, test.sent, recorder.All.Requests)
+				require.Equal(t, test.unsent, recorder.All.Unsent)
+				require.Equal(t, test.sent, recorder.All.Outcomes["unknown/lost"])
 			})
 		})
 	}
 	unbounded := profile()
 	unbounded.MaxOutstanding = 0
-	require.Error(t, Run(t.Context(), unbounded, never, NewRecorder()))
+	require.Error(t, Run(t.Context(), unbounded, neverReplies, NewRecorder()))
 }
 
-func TestScheduleFollowsFromTheSeed(t *testing.T) {
+func TestScheduleIsDeterministicForASeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]Arrivals{ArrivalsFixed, ArrivalsPoisson, ArrivalsBursty}).Draw(t, "kind")
 		rate := rapid.Float64Range(10, 5000).Draw(t, "rate")
 		seed := rapid.Uint64().Draw(t, "seed")
-		one := newSchedule(kind, rate, rand.New(rand.NewPCG(seed, seedSchedule)))
-		two := newSchedule(kind, rate, rand.New(rand.NewPCG(seed, seedSchedule)))
+		first := newSchedule(kind, rate, rand.New(rand.NewPCG(seed, seedSchedule)))
+		second := newSchedule(kind, rate, rand.New(rand.NewPCG(seed, seedSchedule)))
 		const arrivals = 2000
 		var last time.Duration
 		for range arrivals {
-			next := one.offset()
-			require.Equal(t, next, two.offset())
+			next := first.offset()
+			require.Equal(t, next, second.offset())
 			require.GreaterOrEqual(t, next, last)
 			last = next
 		}
@@ -123,21 +123,21 @@
 	})
 }
 
-// Two halves of a load merged must say what one recorder of the whole says.
+// Merging the recorders of two halves of a load must equal one recorder of the whole.
 func TestMergeEqualsOneRecorder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole, one, two := NewRecorder(), NewRecorder(), NewRecorder()
+		whole, first, second := NewRecorder(), NewRecorder(), NewRecorder()
 		shares := profile().Mix
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			share := rapid.SampledFrom(shares).Draw(t, "share")
 			latency := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "latency"))
 			reply := rapid.SampledFrom([]Reply{answer(20), answer(3), {Outcome: "not_run", Code: "overloaded"}}).Draw(t, "reply")
-			half := rapid.SampledFrom([]*Recorder{one, two}).Draw(t, "half")
+			half := rapid.SampledFrom([]*Recorder{first, second}).Draw(t, "half")
 			whole.add(share, latency, reply)
 			half.add(share, latency, reply)
 		}
-		one.Merge(two)
-		got, want := one.Report("", 1), whole.Report("", 1)
+		first.Merge(second)
+		got, want := first.Report("", 1), whole.Report("", 1)
 		require.InDelta(t, want.All.MeanCoverage, got.All.MeanCoverage, 1e-9)
 		got.All.MeanCoverage = want.All.MeanCoverage
 		require.Equal(t, want.All, got.All)
@@ -159,8 +159,8 @@
 		}
 		recorder.add(profile().Mix[i%2], time.Duration(i+1)*100*time.Microsecond, reply)
 	}
-	recorder.unsent(profile().Mix[0])
-	recorder.ran(10 * time.Second)
+	recorder.addUnsent(profile().Mix[0])
+	recorder.addElapsed(10 * time.Second)
 	report := recorder.Report("golden", 4)
 	var text, document bytes.Buffer
 	report.WriteText(&text)
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -6,7 +6,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// MixEntry is one customer asking one service, with its weight in the mix.
+// MixEntry is one customer querying one service, with its weight in the mix.
 type MixEntry struct {
 	Customer core.Customer
 	Service  string
@@ -16,35 +16,35 @@
 	Class string
 }
 
-func (s MixEntry) class() string {
-	if s.Class == "" {
-		return string(s.Customer)
+func (e MixEntry) class() string {
+	if e.Class == "" {
+		return string(e.Customer)
 	}
-	return s.Class
+	return e.Class
 }
 
-// mix draws shares by weight.
+// mix draws entries at random in proportion to their weights.
 type mix struct {
-	shares []MixEntry
-	sum    float64
-	source *rand.Rand
+	entries []MixEntry
+	sum     float64
+	source  *rand.Rand
 }
 
-func newMix(shares []MixEntry, source *rand.Rand) *mix {
-	m := &mix{shares: shares, source: source}
-	for _, share := range shares {
-		m.sum += share.Weight
+func newMix(entries []MixEntry, source *rand.Rand) *mix {
+	m := &mix{entries: entries, source: source}
+	for _, entry := range entries {
+		m.sum += entry.Weight
 	}
 	return m
 }
 
 func (m *mix) draw() MixEntry {
-	left := m.source.Float64() * m.sum
-	for _, share := range m.shares {
-		left -= share.Weight
-		if left < 0 {
-			return share
+	remaining := m.source.Float64() * m.sum
+	for _, entry := range m.entries {
+		remaining -= entry.Weight
+		if remaining < 0 {
+			return entry
 		}
 	}
-	return m.shares[len(m.shares)-1]
+	return m.entries[len(m.entries)-1]
 }
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -11,58 +11,58 @@
 
 // The range and precision of the latency histograms, in microseconds.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(2 * time.Minute / time.Microsecond)
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = int64(2 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Group is what was measured of one customer, one service or everything.
+// Group holds the measurements of one class of customers, one service or all requests.
 type Group struct {
 	histogram *hdrhistogram.Histogram
 	Requests  int
-	// Unsent counts arrivals above the bound of outstanding requests.
+	// Unsent counts arrivals above the maximum of outstanding requests.
 	Unsent   int
 	Outcomes map[string]int
-	// Missing counts the shards without a part by their reason.
+	// Missing counts the shards without a part by reason.
 	Missing map[core.Reason]int
-	// Asked and Answered count shards over all requests that ran.
-	Asked      int
-	Answered   int
+	// Asked and Answered count shards over all answers.
+	Asked    int
+	Answered int
+	// Incomplete counts the answers that lack a shard.
 	Incomplete int
 	Mixed      int
 	Crossed    int
-	// LowestCoverage is the lowest share of any answer, 0 to 1.
+	// LowestCoverage is the lowest coverage of any answer, 0 to 1.
 	LowestCoverage float64
-	covered        float64
+	coverageSum    float64
 	answers        int
 }
 
-// NewGroup makes an empty group.
+// NewGroup returns an empty group.
 func NewGroup() *Group {
 	return &Group{
-		histogram:      hdrhistogram.New(lowestMicros, highestMicros, digits),
+		histogram:      hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
 		Outcomes:       map[string]int{},
 		Missing:        map[core.Reason]int{},
 		LowestCoverage: 1,
 	}
 }
 
-// Quantile returns the latency below which the share q, 0 to 1, of the
-// requests ended.
+// Quantile returns the latency quantile q, 0 to 1.
 func (g *Group) Quantile(q float64) time.Duration {
 	const percent = 100
 	return time.Duration(g.histogram.ValueAtQuantile(q*percent)) * time.Microsecond
 }
 
-// MeanCoverage is the mean share of shards in the answers, 0 to 1.
+// MeanCoverage returns the mean coverage of the answers, 0 to 1.
 func (g *Group) MeanCoverage() float64 {
 	if g.answers == 0 {
 		return 0
 	}
-	return g.covered / float64(g.answers)
+	return g.coverageSum / float64(g.answers)
 }
 
-// IncompleteShare is the share of the answers that lack a shard, 0 to 1.
+// IncompleteShare returns the share of the answers that lack a shard, 0 to 1.
 func (g *Group) IncompleteShare() float64 {
 	if g.answers == 0 {
 		return 0
@@ -80,15 +80,15 @@
 	for _, reason := range reply.Missing {
 		g.Missing[reason]++
 	}
-	share := float64(reply.Answered) / float64(reply.Asked)
+	coverage := float64(reply.Answered) / float64(reply.Asked)
 	g.answers++
-	g.covered += share
-	g.LowestCoverage = min(g.LowestCoverage, share)
+	g.coverageSum += coverage
+	g.LowestCoverage = min(g.LowestCoverage, coverage)
 	g.Asked += reply.Asked
 	g.Answered += reply.Answered
-	g.Incomplete += count(reply.Answered < reply.Asked)
-	g.Mixed += count(reply.Mixed)
-	g.Crossed += count(reply.Crossed)
+	g.Incomplete += boolToInt(reply.Answered < reply.Asked)
+	g.Mixed += boolToInt(reply.Mixed)
+	g.Crossed += boolToInt(reply.Crossed)
 }
 
 func outcomeName(reply Reply) string {
@@ -98,8 +98,8 @@
 	return reply.Outcome + "/" + string(reply.Code)
 }
 
-func count(yes bool) int {
-	if yes {
+func boolToInt(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
@@ -115,7 +115,7 @@
 	g.Incomplete += other.Incomplete
 	g.Mixed += other.Mixed
 	g.Crossed += other.Crossed
-	g.covered += other.covered
+	g.coverageSum += other.coverageSum
 	g.answers += other.answers
 	g.LowestCoverage = min(g.LowestCoverage, other.LowestCoverage)
 	for reason, number := range other.Missing {
@@ -130,18 +130,18 @@
 type Recorder struct {
 	mutex sync.Mutex
 	All   *Group
-	// ByClass is by the class of the shares.
+	// ByClass groups by the class of the mix entries.
 	ByClass   map[string]*Group
 	ByService map[string]*Group
 	Elapsed   time.Duration
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{All: NewGroup(), ByClass: map[string]*Group{}, ByService: map[string]*Group{}}
 }
 
-// Merge adds another recorder's measurements; both must be at rest.
+// Merge adds another recorder's measurements; neither may be in use concurrently.
 func (r *Recorder) Merge(other *Recorder) {
 	r.All.Merge(other.All)
 	mergeGroups(r.ByClass, other.ByClass)
@@ -151,38 +151,38 @@
 
 func mergeGroups(into, from map[string]*Group) {
 	for name, group := range from {
-		named(into, name).Merge(group)
+		groupFor(into, name).Merge(group)
 	}
 }
 
-func named(groups map[string]*Group, name string) *Group {
+func groupFor(groups map[string]*Group, name string) *Group {
 	if groups[name] == nil {
 		groups[name] = NewGroup()
 	}
 	return groups[name]
 }
 
-func (r *Recorder) groups(share MixEntry) []*Group {
-	return []*Group{r.All, named(r.ByClass, share.class()), named(r.ByService, share.Service)}
+func (r *Recorder) groups(entry MixEntry) []*Group {
+	return []*Group{r.All, groupFor(r.ByClass, entry.class()), groupFor(r.ByService, entry.Service)}
 }
 
-func (r *Recorder) add(share MixEntry, latency time.Duration, reply Reply) {
+func (r *Recorder) add(entry MixEntry, latency time.Duration, reply Reply) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, group := range r.groups(share) {
+	for _, group := range r.groups(entry) {
 		group.add(latency, reply)
 	}
 }
 
-func (r *Recorder) unsent(share MixEntry) {
+func (r *Recorder) addUnsent(entry MixEntry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, group := range r.groups(share) {
+	for _, group := range r.groups(entry) {
 		group.Unsent++
 	}
 }
 
-func (r *Recorder) ran(elapsed time.Duration) {
+func (r *Recorder) addElapsed(elapsed time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.Elapsed += elapsed
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -13,7 +13,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/plot"
 )
 
-// Summary is a group's figures. Times are in milliseconds, shares 0 to 1.
+// Summary holds the statistics of a group. Times are in milliseconds, shares 0 to 1.
 type Summary struct {
 	Name            string         `json:"name"`
 	Requests        int            `json:"requests"`
@@ -32,14 +32,14 @@
 	Missing map[core.Reason]int `json:"missing,omitempty"`
 }
 
-// The quantiles that reports show.
+// The quantiles in reports.
 const (
 	P50  = 0.5
 	P99  = 0.99
 	P999 = 0.999
 )
 
-// Summarize returns the group's figures under a name.
+// Summarize returns the group's statistics under a name.
 func (g *Group) Summarize(name string) Summary {
 	return Summary{
 		Name:            name,
@@ -75,7 +75,7 @@
 	series    plot.Series
 }
 
-// Report summarizes the recorder; cores is the machine's number.
+// Report summarizes the recorder; cores is the number of cores of the machine.
 func (r *Recorder) Report(title string, cores int) Report {
 	return Report{
 		Title:     title,
@@ -96,16 +96,16 @@
 	return list
 }
 
-// Series returns the recorder's curve for a plot.
+// Series returns the latency quantiles of all requests for a plot.
 func (r *Recorder) Series(name string) plot.Series {
 	series := plot.Series{Name: name}
-	for _, share := range plot.Quantiles() {
-		series.Latencies = append(series.Latencies, r.All.Quantile(share))
+	for _, quantile := range plot.Quantiles() {
+		series.Latencies = append(series.Latencies, r.All.Quantile(quantile))
 	}
 	return series
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as a table.
 func (r Report) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "%s: %d requests in %.1f s on %d cores\n", r.Title, r.All.Requests, r.Seconds, r.Cores)
 	fmt.Fprintf(out, "%-24s %8s %7s %9s %9s %9s %9s %9s %7s %7s\n",
@@ -118,8 +118,8 @@
 	r.All.WriteOutcomes(out, "")
 }
 
-// WriteOutcomes writes how the requests ended, why parts were missing, and wrong answers if
-// there were any, each line behind the indent.
+// WriteOutcomes writes the counts of outcomes, of missing parts by reason and of wrong
+// answers if there were any. Each line starts with the indent.
 func (s Summary) WriteOutcomes(out io.Writer, indent string) {
 	width := outcomeWidth - len(indent)
 	for _, name := range slices.Sorted(maps.Keys(s.Outcomes)) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// outcomeWidth is that of an outcome's name with its indent.
+// outcomeWidth is the width in characters of an outcome's name with its indent.
 const outcomeWidth = 32
 
 func (s Summary) writeText(out io.Writer) {
@@ -141,14 +141,14 @@
 		s.Name, s.Requests, s.Unsent, s.P50, s.P99, s.P999, s.Highest, s.MeanCoverage, s.IncompleteShare, s.LowestCoverage)
 }
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as indented JSON.
 func (r Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return fault.Step("write the report", encoder.Encode(r))
 }
 
-// SVG draws the report's latencies.
+// SVG returns a plot of the report's latencies.
 func (r Report) SVG() string {
 	return plot.SVG(r.Title, []plot.Series{r.series})
 }
--- a/internal/load/tier.go
+++ b/internal/load/tier.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	// tierTimeout is the time that a request without one of its own may take.
-	tierTimeout = 2 * time.Second
-	// answerSlack is how much longer than its time a caller waits for the answer that says
-	// so.
-	answerSlack = 500 * time.Millisecond
-	// directoryTimeout bounds a question for addresses.
+	// defaultTimeout is the timeout of requests that set none.
+	defaultTimeout = 2 * time.Second
+	// replyGrace is added to the timeout so that the reply that reports the missed deadline
+	// can still arrive.
+	replyGrace = 500 * time.Millisecond
+	// directoryTimeout bounds a directory request.
 	directoryTimeout = time.Second
-	// maxIdleToNode bounds the idle connections to one node; a burst opens more.
-	maxIdleToNode = 64
+	// maxIdlePerNode bounds the idle connections to one node; a burst may open more.
+	maxIdlePerNode = 64
 )
 
-// TierCaller asks the forwarding tier as the users' callers do: it asks a directory for
-// addresses, keeps them for the time that the answer gives and uses them in turn. An address
-// that cannot be reached is left out until the next answer. A Request's service is HOST/PATH.
+// TierCaller sends requests to the forwarding tier as production callers do: it resolves
+// addresses at a directory, caches them for the time to live in the directory's answer and
+// rotates over them. An address that cannot be reached is removed until the next answer. A
+// Request's service is HOST/PATH.
 type TierCaller struct {
 	directories []string
 	dataCentre  string
@@ -42,68 +43,68 @@
 	ids         atomic.Uint64
 
 	mutex sync.Mutex
-	// known are the addresses for each host.
-	known map[string]*tierAddresses
+	// known holds the addresses for each host.
+	known map[string]*addressList
 }
 
-// tierAddresses is an address answer.
-type tierAddresses struct {
-	list  []string
-	until time.Time
-	turn  int
+// addressList is a cached answer of a directory.
+type addressList struct {
+	list    []string
+	expires time.Time
+	next    int
 }
 
-// NewTierCaller makes a caller in a data centre, "" for none in particular, that knows some
-// nodes' directory addresses.
+// NewTierCaller returns a caller in a data centre, "" for none in particular, that resolves
+// addresses at the given directories.
 func NewTierCaller(directories []string, dataCentre string) *TierCaller {
 	return &TierCaller{
 		directories: directories, dataCentre: dataCentre,
 		directory: platform.NewDirectoryClient(directoryTimeout),
-		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleToNode, DisableCompression: true}},
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerNode, DisableCompression: true}},
 		run:       fmt.Sprintf("load-%x", time.Now().UnixNano()),
-		known:     map[string]*tierAddresses{},
+		known:     map[string]*addressList{},
 	}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *TierCaller) Close() {
 	c.directory.Close()
 	c.client.CloseIdleConnections()
 }
 
 // Send implements Sender.
-func (c *TierCaller) Send(ctx context.Context, asked Request) Reply {
-	host, path, _ := strings.Cut(asked.Service, "/")
+func (c *TierCaller) Send(ctx context.Context, request Request) Reply {
+	host, path, _ := strings.Cut(request.Service, "/")
 	address, err := c.address(ctx, host)
 	if err != nil {
-		return failed(err)
+		return failureReply(err)
 	}
-	wait := asked.Timeout
+	wait := request.Timeout
 	if wait <= 0 {
-		wait = tierTimeout
+		wait = defaultTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+replyGrace)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/"+path, nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/"+path, nil)
 	if err != nil {
-		return failed(fault.NotRun(fault.CodeBadRequest, "no request can be made for "+asked.Service, "write HOST/PATH"))
+		return failureReply(fault.NotRun(fault.CodeBadRequest, "invalid request URL for "+request.Service, "write HOST/PATH"))
 	}
-	request.Host = host
-	platform.SetRequestHeaders(request.Header, fmt.Sprintf("%s-%d", c.run, c.ids.Add(1)), wait)
-	response, err := c.client.Do(request)
+	httpRequest.Host = host
+	platform.SetRequestHeaders(httpRequest.Header, fmt.Sprintf("%s-%d", c.run, c.ids.Add(1)), wait)
+	response, err := c.client.Do(httpRequest)
 	if err != nil {
-		return c.unanswered(host, address, err)
+		return c.failedExchange(host, address, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return Reply{Outcome: core.Unknown.String(), Code: fault.CodeLost}
 	}
-	return judgeTier(response)
+	return evaluateResponse(response)
 }
 
-// unanswered is a request without an answer. One that was never sent has not run, and its
-// address is left out.
-func (c *TierCaller) unanswered(host, address string, err error) Reply {
+// failedExchange returns the reply for an exchange that failed. If the connection was never
+// opened, the request did not run, and the address is removed.
+func (c *TierCaller) failedExchange(host, address string, err error) Reply {
 	var operation *net.OpError
 	if !errors.As(err, &operation) || operation.Op != "dial" {
 		return Reply{Outcome: core.Unknown.String(), Code: fault.CodeLost}
@@ -111,13 +112,13 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if known := c.known[host]; known != nil {
-		known.list = slices.DeleteFunc(known.list, func(one string) bool { return one == address })
+		known.list = slices.DeleteFunc(known.list, func(candidate string) bool { return candidate == address })
 	}
 	return Reply{Outcome: core.NotRun.String(), Code: fault.CodeAddress}
 }
 
-// judgeTier reads an answer's outcome and coverage.
-func judgeTier(response *http.Response) Reply {
+// evaluateResponse returns the outcome and coverage of a response.
+func evaluateResponse(response *http.Response) Reply {
 	switch status := response.StatusCode; {
 	case status == http.StatusServiceUnavailable:
 		return Reply{Outcome: core.NotRun.String(), Code: fault.CodeOverloaded}
@@ -137,38 +138,38 @@
 	return reply
 }
 
-// address returns the next address for a host, asking for addresses when none is known or
-// their time has passed. When no directory answers the former ones stay in use.
+// address returns the next address for a host and resolves the host when no address is known
+// or the cached ones have expired. If no directory answers, the expired ones stay in use.
 func (c *TierCaller) address(ctx context.Context, host string) (string, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.known[host]
-	if known == nil || len(known.list) == 0 || !time.Now().Before(known.until) {
-		renewed, err := c.renew(ctx, host)
+	if known == nil || len(known.list) == 0 || !time.Now().Before(known.expires) {
+		refreshed, err := c.refresh(ctx, host)
 		if err != nil && (known == nil || len(known.list) == 0) {
 			return "", err
 		}
 		if err == nil {
-			c.known[host], known = renewed, renewed
+			c.known[host], known = refreshed, refreshed
 		}
 	}
-	known.turn++
-	return known.list[known.turn%len(known.list)], nil
+	known.next++
+	return known.list[known.next%len(known.list)], nil
 }
 
-func (c *TierCaller) renew(ctx context.Context, host string) (*tierAddresses, error) {
+func (c *TierCaller) refresh(ctx context.Context, host string) (*addressList, error) {
 	var last error
 	for _, address := range c.directories {
 		answer, err := c.directory.Resolve(ctx, address, host, c.dataCentre)
 		if err == nil && len(answer.Addresses) == 0 {
-			err = fault.NotRun(fault.CodeNotReady, address+" names no address", "try again")
+			err = fault.NotRun(fault.CodeNotReady, address+" returned no address", "try again")
 		}
 		if err != nil {
 			last = err
 			continue
 		}
-		keep := time.Duration(answer.TTLSeconds * float64(time.Second))
-		return &tierAddresses{list: answer.Addresses, until: time.Now().Add(keep)}, nil
+		ttl := time.Duration(answer.TTLSeconds * float64(time.Second))
+		return &addressList{list: answer.Addresses, expires: time.Now().Add(ttl)}, nil
 	}
 	return nil, last
 }
--- a/internal/load/usage.go
+++ b/internal/load/usage.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Usage is what the whole process has used since its start.
+// Usage is the CPU time and the heap allocations of the process since its start.
 type Usage struct {
 	CPU            time.Duration
 	AllocatedBytes uint64
@@ -26,7 +26,7 @@
 	}
 }
 
-// Since returns what was used after an earlier reading.
+// Since returns the difference to an earlier reading.
 func (u Usage) Since(earlier Usage) Usage {
 	return Usage{
 		CPU:            u.CPU - earlier.CPU,
