--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	awaitLimit = 20 * time.Second
-	quiet      = 100 * time.Millisecond
+	awaitLimit  = 20 * time.Second
+	quietPeriod = 100 * time.Millisecond
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEcho serves every TCP connection with its own bytes.
+// startEcho starts a TCP server that echoes all bytes.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +59,7 @@
 	return connection
 }
 
-func echoes(t *testing.T, connection net.Conn, text string) {
+func requireEcho(t *testing.T, connection net.Conn, text string) {
 	t.Helper()
 	_, err := connection.Write([]byte(text))
 	require.NoError(t, err)
@@ -69,11 +69,11 @@
 	require.Equal(t, text, string(got))
 }
 
-// staysQuiet reads for a short while. It can only miss bytes that come later,
-// so that it never fails a proxy that keeps them back.
-func staysQuiet(t *testing.T, connection net.Conn) {
+// requireNoData requires that no byte arrives within quietPeriod. It cannot detect bytes
+// that arrive later, but never fails for a proxy that holds them back.
+func requireNoData(t *testing.T, connection net.Conn) {
 	t.Helper()
-	require.NoError(t, connection.SetReadDeadline(time.Now().Add(quiet)))
+	require.NoError(t, connection.SetReadDeadline(time.Now().Add(quietPeriod)))
 	_, err := connection.Read(make([]byte, 1))
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
@@ -81,14 +81,14 @@
 	require.NoError(t, connection.SetReadDeadline(time.Now().Add(awaitLimit)))
 }
 
-func TestTCPCutHoldsBytesUntilItEnds(t *testing.T) {
+func TestTCPBlockingHoldsBytesUntilUnblocked(t *testing.T) {
 	p := startTCP(t)
 	connection := dial(t, "tcp", p.Address())
-	echoes(t, connection, "before")
+	requireEcho(t, connection, "before")
 	p.Set(ToClient, Faults{Blocked: true})
 	_, err := connection.Write([]byte("held"))
 	require.NoError(t, err)
-	staysQuiet(t, connection)
+	requireNoData(t, connection)
 	p.Set(ToClient, Faults{})
 	got := make([]byte, len("held"))
 	_, err = io.ReadFull(connection, got)
@@ -96,28 +96,28 @@
 	require.Equal(t, "held", string(got))
 }
 
-// A middlebox has lost track of a connection: it shows no end, yet swallows all
-// bytes, while a new connection through it works.
+// Simulates a middlebox that has lost the state of a connection: the connection
+// stays open but all bytes are discarded, while a new connection works.
 func TestTCPSilentFlowStaysSilentWhileNewOnesWork(t *testing.T) {
 	p := startTCP(t)
 	old := dial(t, "tcp", p.Address())
-	echoes(t, old, "before")
+	requireEcho(t, old, "before")
 	p.Silence()
 	_, err := old.Write([]byte("lost"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return p.Dropped() > 0 }, awaitLimit, time.Millisecond)
-	echoes(t, dial(t, "tcp", p.Address()), "new")
-	staysQuiet(t, old)
+	requireEcho(t, dial(t, "tcp", p.Address()), "new")
+	requireNoData(t, old)
 }
 
-func TestTCPResetAndCutMidReply(t *testing.T) {
+func TestTCPResetAndTruncatedReply(t *testing.T) {
 	p := startTCP(t)
 	connection := dial(t, "tcp", p.Address())
-	echoes(t, connection, "before")
+	requireEcho(t, connection, "before")
 	p.Reset()
 	_, err := connection.Read(make([]byte, 1))
 	require.Error(t, err)
-	require.NotErrorIs(t, err, io.EOF, "a reset is not an orderly end")
+	require.NotErrorIs(t, err, io.EOF, "a reset must not look like an orderly close")
 	p.Set(ToClient, Faults{ResetAfterBytes: 3})
 	connection = dial(t, "tcp", p.Address())
 	_, err = connection.Write([]byte("whole"))
@@ -128,17 +128,17 @@
 	require.Error(t, err)
 }
 
-func TestTCPThrottledAndDelayedBytesArriveWhole(t *testing.T) {
+func TestTCPThrottledAndDelayedBytesArriveComplete(t *testing.T) {
 	p := startTCP(t)
 	p.SetBoth(Faults{Delay: time.Millisecond, BytesPerSecond: 1 << 20})
 	connection := dial(t, "tcp", p.Address())
 	text := string(bytes.Repeat([]byte("0123456789"), 4000))
 	started := time.Now()
-	echoes(t, connection, text)
-	require.GreaterOrEqual(t, time.Since(started), throttle(len(text), 1<<20), "no faster than the line")
+	requireEcho(t, connection, text)
+	require.GreaterOrEqual(t, time.Since(started), transmissionTime(len(text), 1<<20), "bytes arrived faster than BytesPerSecond allows")
 }
 
-// startSink counts and lists the datagrams that arrive.
+// startSink opens a UDP socket; read returns the next datagram and echoes it.
 func startSink(t *testing.T) (address string, read func() string) {
 	t.Helper()
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestUDPLossDuplicateReorderAndCut(t *testing.T) {
+func TestUDPLossDuplicateReorderAndBlocking(t *testing.T) {
 	target, read := startSink(t)
 	p, err := StartUDP(target, 1)
 	require.NoError(t, err)
@@ -165,7 +165,7 @@
 		before := p.Dropped()
 		_, err := client.Write([]byte(text))
 		require.NoError(t, err)
-		if faults, _ := p.present(ToTarget); faults.Blocked || faults.Loss == 1 {
+		if faults, _ := p.current(ToTarget); faults.Blocked || faults.Loss == 1 {
 			require.Eventually(t, func() bool { return p.Dropped() == before+1 }, awaitLimit, time.Millisecond)
 		}
 	}
@@ -218,10 +218,10 @@
 	require.Equal(t, "new", string(got[:n]))
 }
 
-// An answer without a length ends with its connection. A replica that crashes within it
-// resets the connection; were that passed on as an ordinary close, half of an answer would
-// look whole, and the fault would be the proxy's.
-func TestAResetOfOneEndReachesTheOther(t *testing.T) {
+// An answer without a length is delimited by the end of its connection, and a replica that
+// crashes while sending it resets the connection. If the proxy forwarded the reset as an
+// ordinary close, a truncated answer would look complete.
+func TestTCPResetOfOneEndIsForwarded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -244,8 +244,8 @@
 	require.ErrorIs(t, err, syscall.ECONNRESET)
 }
 
-// One client of several is parted from the target; the others must not notice.
-func TestAnIsolatedClientAloneIsCutOff(t *testing.T) {
+// One of several clients is isolated from the target; the others must not be affected.
+func TestUDPIsolationAffectsOnlyThatClient(t *testing.T) {
 	target, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = target.Close() })
@@ -274,8 +274,8 @@
 	p.Isolate(netip.MustParseAddr("127.0.0.2"), true)
 	_, err = alone.Write([]byte("x"))
 	require.NoError(t, err)
-	echoes(t, other, "y")
+	requireEcho(t, other, "y")
 	require.Equal(t, 1, p.Dropped())
 	p.Isolate(netip.MustParseAddr("127.0.0.2"), false)
-	echoes(t, alone, "z")
+	requireEcho(t, alone, "z")
 }
--- a/internal/faultproxy/faults.go
+++ b/internal/faultproxy/faults.go
@@ -1,7 +1,7 @@
-// Package faultproxy forwards TCP and UDP between two ends and injects faults
-// that can be switched while traffic flows: delay, loss, one-way cuts, flows
-// that go silent for good, resets, reordering, duplicates, throttling and
-// replies cut short. Random choices come from a seeded source. It is for tests.
+// Package faultproxy is a test proxy that forwards TCP and UDP and injects faults,
+// which can be changed while traffic flows: delay, loss, one-way blocking, flows
+// silenced permanently, resets, reordering, duplication, throttling and truncated
+// replies. Random choices come from a seeded source.
 package faultproxy
 
 import (
@@ -10,38 +10,38 @@
 	"time"
 )
 
-// Direction is the way that bytes go.
+// Direction is the direction of traffic.
 type Direction int
 
-// The directions, seen from the end that opened the flow.
+// The directions; the client is the end that opened the flow.
 const (
 	ToTarget Direction = iota
 	ToClient
 	directions
 )
 
-// Faults are what happens to bytes of one direction. The zero value forwards
-// them unchanged. Shares are parts of all datagrams, 0 to 1.
+// Faults are the faults of one direction. The zero value forwards traffic
+// unchanged. Loss, Duplicate and Reorder are fractions of all datagrams, 0 to 1.
 type Faults struct {
-	// Delay holds bytes back.
+	// Delay is added to the transmission of each datagram or chunk of bytes.
 	Delay time.Duration
-	// Blocked lets nothing through. Datagrams are lost; TCP bytes wait until the cut
-	// ends, as they would be sent again by the ends.
+	// Blocked forwards nothing. Datagrams are dropped; TCP bytes wait until the
+	// direction is unblocked, since the ends would retransmit them.
 	Blocked bool
-	// BytesPerSecond throttles; 0 is no limit.
+	// BytesPerSecond limits the throughput; 0 is no limit.
 	BytesPerSecond int
-	// Loss, Duplicate and Reorder are for UDP. A reordered datagram goes after
+	// Loss, Duplicate and Reorder apply to UDP. A reordered datagram is sent after
 	// the next one of its flow.
 	Loss      float64
 	Duplicate float64
 	Reorder   float64
-	// ResetAfterBytes is for TCP: a flow is reset once it has carried this many bytes
-	// since the fault was set; 0 is never.
+	// ResetAfterBytes applies to TCP: a flow is reset once it has carried this many
+	// bytes since the fault was set; 0 is never.
 	ResetAfterBytes int
 }
 
-// switchboard holds a proxy's present faults.
-type switchboard struct {
+// faultState holds a proxy's current faults.
+type faultState struct {
 	mutex   sync.Mutex
 	faults  [directions]Faults
 	changed chan struct{}
@@ -49,12 +49,12 @@
 	dropped int
 }
 
-func newSwitchboard(seed uint64) *switchboard {
-	return &switchboard{changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, seed))}
+func newFaultState(seed uint64) *faultState {
+	return &faultState{changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, seed))}
 }
 
 // Set replaces the faults of one direction.
-func (s *switchboard) Set(direction Direction, faults Faults) {
+func (s *faultState) Set(direction Direction, faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults[direction] = faults
@@ -63,27 +63,27 @@
 }
 
 // SetBoth replaces the faults of both directions.
-func (s *switchboard) SetBoth(faults Faults) {
+func (s *faultState) SetBoth(faults Faults) {
 	s.Set(ToTarget, faults)
 	s.Set(ToClient, faults)
 }
 
-// Dropped counts the datagrams and chunks of bytes that were swallowed.
-func (s *switchboard) Dropped() int {
+// Dropped returns the number of datagrams and chunks of bytes that were discarded.
+func (s *faultState) Dropped() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.dropped
 }
 
-// present returns the faults of a direction and a channel that is closed when
-// any of them change.
-func (s *switchboard) present(direction Direction) (Faults, <-chan struct{}) {
+// current returns the faults of a direction and a channel that is closed when the
+// faults of any direction change.
+func (s *faultState) current(direction Direction) (Faults, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults[direction], s.changed
 }
 
-func (s *switchboard) hit(share float64) bool {
+func (s *faultState) occurs(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -92,14 +92,14 @@
 	return s.random.Float64() < share
 }
 
-func (s *switchboard) drop() {
+func (s *faultState) countDrop() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.dropped++
 }
 
-// throttle returns how long bytes of this number take at the rate.
-func throttle(bytes, perSecond int) time.Duration {
+// transmissionTime returns the time to send the bytes at the rate; 0 is no limit.
+func transmissionTime(bytes, perSecond int) time.Duration {
 	if perSecond <= 0 {
 		return 0
 	}
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -15,7 +15,7 @@
 
 // TCP forwards TCP connections to a target.
 type TCP struct {
-	*switchboard
+	*faultState
 	target   string
 	listener net.Listener
 	ctx      context.Context
@@ -31,25 +31,25 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p := &TCP{switchboard: newSwitchboard(seed), target: target, listener: listener, ctx: ctx, stop: stop, flows: map[*tcpFlow]struct{}{}}
+	p := &TCP{faultState: newFaultState(seed), target: target, listener: listener, ctx: ctx, stop: stop, flows: map[*tcpFlow]struct{}{}}
 	p.done.Add(1)
 	go p.accept(listener)
 	return p, nil
 }
 
-// Address is the address to connect to.
-func (p *TCP) Address() string { return p.listening().Addr().String() }
+// Address returns the address to connect to.
+func (p *TCP) Address() string { return p.currentListener().Addr().String() }
 
-func (p *TCP) listening() net.Listener {
+func (p *TCP) currentListener() net.Listener {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.listener
 }
 
-// Refuse refuses new connections, as the address of a program that has ended does. Present flows go on.
-func (p *TCP) Refuse() error { return p.listening().Close() }
+// Refuse closes the listener, so that new connections are refused as after the exit of a process. Open flows continue.
+func (p *TCP) Refuse() error { return p.currentListener().Close() }
 
-// Accept takes new connections again at the same address, after Refuse.
+// Accept accepts new connections at the same address again, after Refuse.
 func (p *TCP) Accept() error {
 	listener, err := net.Listen("tcp", p.Address())
 	if err != nil {
@@ -63,41 +63,41 @@
 	return nil
 }
 
-// Retarget forwards the flows that open from now on to another target.
+// Retarget forwards flows opened from now on to another target.
 func (p *TCP) Retarget(target string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.target = target
 }
 
-// Close ends all flows and frees the address.
+// Close ends all flows, closes the listener and waits for the goroutines.
 func (p *TCP) Close() error {
 	p.stop()
-	err := p.listening().Close()
+	err := p.currentListener().Close()
 	p.Reset()
 	p.done.Wait()
 	return err
 }
 
-// Reset ends every present flow with a TCP reset to both ends.
+// Reset closes every open flow with a TCP reset to both ends.
 func (p *TCP) Reset() {
-	for _, flow := range p.open() {
+	for _, flow := range p.openFlows() {
 		flow.reset()
 	}
 }
 
-// Silence makes every present flow swallow its bytes for good, without closing.
+// Silence discards all further bytes of every open flow without closing it.
 // Flows opened later are forwarded.
 func (p *TCP) Silence() {
-	for _, flow := range p.open() {
+	for _, flow := range p.openFlows() {
 		flow.silent.Store(true)
 	}
 }
 
-// Flows is the number of open flows.
-func (p *TCP) Flows() int { return len(p.open()) }
+// Flows returns the number of open flows.
+func (p *TCP) Flows() int { return len(p.openFlows()) }
 
-func (p *TCP) open() []*tcpFlow {
+func (p *TCP) openFlows() []*tcpFlow {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	list := make([]*tcpFlow, 0, len(p.flows))
@@ -107,12 +107,12 @@
 	return list
 }
 
-// Set replaces the faults of one direction; CutAfter counts from now.
+// Set replaces the faults of one direction and restarts the count of ResetAfterBytes.
 func (p *TCP) Set(direction Direction, faults Faults) {
-	for _, flow := range p.open() {
+	for _, flow := range p.openFlows() {
 		flow.carried[direction].Store(0)
 	}
-	p.switchboard.Set(direction, faults)
+	p.faultState.Set(direction, faults)
 }
 
 // SetBoth replaces the faults of both directions.
@@ -155,7 +155,7 @@
 		go func() {
 			defer pumps.Done()
 			p.pump(ctx, flow, direction)
-			// A silent flow shows no end to either side.
+			// A silent flow stays open at both ends, even if one of them closes it.
 			if !flow.silent.Load() {
 				cancel()
 			}
@@ -170,18 +170,18 @@
 	p.mutex.Unlock()
 }
 
-// pump carries bytes of one direction until an end closes.
+// pump forwards the bytes of one direction until an end closes or the flow ends.
 func (p *TCP) pump(ctx context.Context, flow *tcpFlow, direction Direction) {
 	from, to := flow.ends[1-direction], flow.ends[direction]
 	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.carry(ctx, flow, direction, to, buffer[:n]) {
+		if n > 0 && !p.forwardChunk(ctx, flow, direction, to, buffer[:n]) {
 			return
 		}
 		if errors.Is(err, syscall.ECONNRESET) {
-			// Closed in the ordinary way, an answer that ends with its connection would
-			// look whole at the other end.
+			// An ordinary close would make a truncated answer that is delimited by
+			// the end of its connection look complete at the other end.
 			flow.reset()
 		}
 		if err != nil {
@@ -190,14 +190,14 @@
 	}
 }
 
-// carry applies the faults to one chunk; false ends the flow.
-func (p *TCP) carry(ctx context.Context, flow *tcpFlow, direction Direction, to net.Conn, chunk []byte) bool {
-	faults, ok := p.awaitUncut(ctx, direction)
-	if !ok || !wait.For(ctx, faults.Delay+throttle(len(chunk), faults.BytesPerSecond)) {
+// forwardChunk applies the faults to one chunk; false ends the flow.
+func (p *TCP) forwardChunk(ctx context.Context, flow *tcpFlow, direction Direction, to net.Conn, chunk []byte) bool {
+	faults, ok := p.awaitUnblocked(ctx, direction)
+	if !ok || !wait.For(ctx, faults.Delay+transmissionTime(len(chunk), faults.BytesPerSecond)) {
 		return false
 	}
 	if flow.silent.Load() {
-		p.drop()
+		p.countDrop()
 		return true
 	}
 	carried := int(flow.carried[direction].Add(int64(len(chunk))))
@@ -210,9 +210,9 @@
 	return err == nil
 }
 
-func (p *TCP) awaitUncut(ctx context.Context, direction Direction) (Faults, bool) {
+func (p *TCP) awaitUnblocked(ctx context.Context, direction Direction) (Faults, bool) {
 	for {
-		faults, changed := p.present(direction)
+		faults, changed := p.current(direction)
 		if !faults.Blocked {
 			return faults, true
 		}
@@ -224,8 +224,8 @@
 	}
 }
 
-// tcpFlow is one forwarded connection. ends[d] is where bytes of direction d
-// are written.
+// tcpFlow is one forwarded connection. ends[d] is the connection to which bytes
+// of direction d are written.
 type tcpFlow struct {
 	ends    [directions]net.Conn
 	carried [directions]atomic.Int64
@@ -238,7 +238,7 @@
 	}
 }
 
-// reset makes the close a reset: unsent bytes are thrown away.
+// reset closes both ends with a TCP reset, which discards unsent bytes.
 func (f *tcpFlow) reset() {
 	for _, end := range f.ends {
 		if connection, ok := end.(*net.TCPConn); ok {
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -9,11 +9,11 @@
 
 const datagramBytes = 64 << 10
 
-// UDP forwards datagrams to a target. A flow is all datagrams of one client
-// address, as for a middlebox that tracks flows by their addresses: a QUIC
-// client that opens a second connection from the same socket stays in its flow.
+// UDP forwards datagrams to a target. A flow is identified by the client's address,
+// as in a middlebox that tracks flows by address: a second QUIC connection from
+// the same client socket belongs to the same flow.
 type UDP struct {
-	*switchboard
+	*faultState
 	target   netip.AddrPort
 	listener *net.UDPConn
 	done     sync.WaitGroup
@@ -22,15 +22,15 @@
 	closed   bool
 }
 
-// udpFlow is one client's datagrams with a socket of its own to the target.
+// udpFlow is the flow of one client, with a separate socket to the target.
 type udpFlow struct {
 	client netip.AddrPort
 	socket *net.UDPConn
 	silent bool
-	// held is a datagram that waits for the next one to go first; free is when
-	// the throttled line is free again.
-	held [directions][]byte
-	free [directions]time.Time
+	// held is a reordered datagram that waits for the next one; linkFreeAt is the
+	// time from which the throttled link is idle.
+	held       [directions][]byte
+	linkFreeAt [directions]time.Time
 }
 
 // StartUDP listens on a free loopback port and forwards to the target.
@@ -38,7 +38,7 @@
 	return StartUDPOn("127.0.0.1:0", target, seed)
 }
 
-// StartUDPOn is StartUDP with the address to listen on.
+// StartUDPOn listens on the given address and forwards to the target.
 func StartUDPOn(listen, target string, seed uint64) (*UDP, error) {
 	from, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
@@ -52,16 +52,16 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &UDP{switchboard: newSwitchboard(seed), target: address, listener: listener, flows: map[netip.AddrPort]*udpFlow{}}
+	p := &UDP{faultState: newFaultState(seed), target: address, listener: listener, flows: map[netip.AddrPort]*udpFlow{}}
 	p.done.Add(1)
 	go p.readClients()
 	return p, nil
 }
 
-// Address is the address to send to.
+// Address returns the address to send to.
 func (p *UDP) Address() string { return p.listener.LocalAddr().String() }
 
-// Close ends all flows and frees the address.
+// Close closes all flows and the listener and waits for the goroutines.
 func (p *UDP) Close() error {
 	err := p.listener.Close()
 	p.mutex.Lock()
@@ -74,7 +74,7 @@
 	return err
 }
 
-// Silence makes every present flow swallow its datagrams for good. Flows opened
+// Silence discards all further datagrams of every existing flow. Flows opened
 // later are forwarded.
 func (p *UDP) Silence() {
 	p.mutex.Lock()
@@ -84,8 +84,7 @@
 	}
 }
 
-// Isolate swallows the datagrams from and to a client's address until it is let through
-// again.
+// Isolate starts or stops discarding the datagrams from and to a client's IP address.
 func (p *UDP) Isolate(client netip.Addr, isolated bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -95,7 +94,7 @@
 	p.isolated[client] = isolated
 }
 
-// Flows is the number of flows seen so far.
+// Flows returns the number of flows opened so far.
 func (p *UDP) Flows() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -114,11 +113,11 @@
 		if flow == nil {
 			continue
 		}
-		p.carry(flow, ToTarget, append([]byte(nil), buffer[:n]...))
+		p.forwardDatagram(flow, ToTarget, append([]byte(nil), buffer[:n]...))
 	}
 }
 
-// flow finds or opens the client's flow; nil when it can't be opened.
+// flow returns the client's flow and opens it if needed; nil when it can't be opened.
 func (p *UDP) flow(client netip.AddrPort) *udpFlow {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -144,12 +143,12 @@
 		if err != nil && p.isClosed() {
 			return
 		}
-		// A target that is not listening shows as an error of one read; the
-		// flow goes on, since it may listen again.
+		// If the target is not listening, one read returns an error. The flow
+		// continues, since the target may listen again.
 		if err != nil {
 			continue
 		}
-		p.carry(flow, ToClient, append([]byte(nil), buffer[:n]...))
+		p.forwardDatagram(flow, ToClient, append([]byte(nil), buffer[:n]...))
 	}
 }
 
@@ -159,36 +158,36 @@
 	return p.closed
 }
 
-// carry applies the faults to one datagram.
-func (p *UDP) carry(flow *udpFlow, direction Direction, datagram []byte) {
-	faults, _ := p.present(direction)
-	if faults.Blocked || p.silent(flow) || p.hit(faults.Loss) {
-		p.drop()
+// forwardDatagram applies the faults to one datagram.
+func (p *UDP) forwardDatagram(flow *udpFlow, direction Direction, datagram []byte) {
+	faults, _ := p.current(direction)
+	if faults.Blocked || p.discards(flow) || p.occurs(faults.Loss) {
+		p.countDrop()
 		return
 	}
 	batch := [][]byte{datagram}
-	if p.hit(faults.Duplicate) {
+	if p.occurs(faults.Duplicate) {
 		batch = append(batch, datagram)
 	}
-	batch = p.reorder(flow, direction, batch, p.hit(faults.Reorder))
-	for _, one := range batch {
-		wait := faults.Delay + p.queue(flow, direction, throttle(len(one), faults.BytesPerSecond))
+	batch = p.reorder(flow, direction, batch, p.occurs(faults.Reorder))
+	for _, next := range batch {
+		wait := faults.Delay + p.transmissionDelay(flow, direction, transmissionTime(len(next), faults.BytesPerSecond))
 		if wait <= 0 {
-			p.write(flow, direction, one)
+			p.write(flow, direction, next)
 			continue
 		}
-		time.AfterFunc(wait, func() { p.write(flow, direction, one) })
+		time.AfterFunc(wait, func() { p.write(flow, direction, next) })
 	}
 }
 
-func (p *UDP) silent(flow *udpFlow) bool {
+func (p *UDP) discards(flow *udpFlow) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return flow.silent || p.isolated[flow.client.Addr().Unmap()]
 }
 
-// reorder holds the first datagram back when asked, and lets one held earlier
-// follow.
+// reorder appends the datagram held earlier to the batch. If there is none and
+// hold is set, it holds the first datagram of the batch back.
 func (p *UDP) reorder(flow *udpFlow, direction Direction, batch [][]byte, hold bool) [][]byte {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -204,19 +203,20 @@
 	return batch
 }
 
-// queue returns how long a datagram waits for the throttled line.
-func (p *UDP) queue(flow *udpFlow, direction Direction, takes time.Duration) time.Duration {
-	if takes <= 0 {
+// transmissionDelay reserves the throttled link for one datagram and returns the
+// delay until its transmission has ended.
+func (p *UDP) transmissionDelay(flow *udpFlow, direction Direction, duration time.Duration) time.Duration {
+	if duration <= 0 {
 		return 0
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	if flow.free[direction].Before(now) {
-		flow.free[direction] = now
+	if flow.linkFreeAt[direction].Before(now) {
+		flow.linkFreeAt[direction] = now
 	}
-	flow.free[direction] = flow.free[direction].Add(takes)
-	return flow.free[direction].Sub(now)
+	flow.linkFreeAt[direction] = flow.linkFreeAt[direction].Add(duration)
+	return flow.linkFreeAt[direction].Sub(now)
 }
 
 func (p *UDP) write(flow *udpFlow, direction Direction, datagram []byte) {
