--- a/internal/loadmodel/caller.go
+++ b/internal/loadmodel/caller.go
@@ -7,109 +7,111 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/scatter"
 )
 
-// Between a caller and a node, one way.
-const callerWay = time.Millisecond
+// callerDelay is the one-way delay between a caller and a node.
+const callerDelay = time.Millisecond
 
 const (
-	// patienceShare is the part of the time left, one in so many, that callers wait at most before
-	// they come back.
-	patienceShare = 3
-	// earlyShare is the part of the aim, one in so many, within which a refusal is early.
-	earlyShare = 4
+	// retryWaitDivisor limits a caller's wait before its next attempt to this fraction, 1/n, of the
+	// remaining time.
+	retryWaitDivisor = 3
+	// earlyRefusalDivisor is the fraction, 1/n, of the target latency within which a refusal counts as
+	// early.
+	earlyRefusalDivisor = 4
 )
 
-// caller is one request as its caller sees it.
-type caller struct {
-	world *world
-	kind  Kind
-	place string
-	began core.Time
-	// tries are those left, tried is when the last one began.
-	tries int
-	tried core.Time
-	// refused is set when a try was refused so early that the next one may earn.
-	refused bool
+// callerRequest is one request from the caller's point of view, with all its attempts.
+type callerRequest struct {
+	simulation *simulation
+	kind       Kind
+	dataCentre string
+	began      core.Time
+	// remainingAttempts counts the attempts still allowed; attemptBegan is the start of the last one.
+	remainingAttempts int
+	attemptBegan      core.Time
+	// refusedEarly is set when the last refusal was early, so that the latency of the next attempt counts too.
+	refusedEarly bool
 }
 
-// call begins a request.
-func (w *world) call() {
-	kind := drawn(w.random.Float64(), w.pattern.Kinds, func(one Kind) float64 { return one.Share })
-	place := drawn(w.random.Float64(), w.pattern.DataCentres, func(one DataCentre) float64 { return one.CallerShare })
-	c := &caller{world: w, kind: kind, place: place.Name, began: w.clock.now, tries: 2}
-	w.report.asked(c)
-	c.try()
+// startRequest begins a request of a random kind in a random data centre.
+func (s *simulation) startRequest() {
+	kind := pickWeighted(s.random.Float64(), s.pattern.Kinds, func(k Kind) float64 { return k.Share })
+	dataCentre := pickWeighted(s.random.Float64(), s.pattern.DataCentres, func(d DataCentre) float64 { return d.CallerShare })
+	c := &callerRequest{simulation: s, kind: kind, dataCentre: dataCentre.Name, began: s.clock.now, remainingAttempts: 2}
+	s.report.addRequest(c)
+	c.attempt()
 }
 
-// drawn is the one of several that a draw, 0 to 1, falls on by their shares.
-func drawn[T any](draw float64, all []T, share func(T) float64) T {
-	for _, one := range all {
-		if draw -= share(one); draw < 0 {
-			return one
+// pickWeighted returns the element that a draw, 0 to 1, selects according to the shares.
+func pickWeighted[T any](draw float64, all []T, share func(T) float64) T {
+	for _, element := range all {
+		if draw -= share(element); draw < 0 {
+			return element
 		}
 	}
 	return all[len(all)-1]
 }
 
-func (c *caller) try() {
-	w := c.world
-	left := c.began + c.kind.Deadline - w.clock.now
-	c.tries--
-	c.tried = w.clock.now
-	var near []*node
-	for _, n := range w.nodes {
-		if n.place.Name == c.place {
-			near = append(near, n)
+func (c *callerRequest) attempt() {
+	s := c.simulation
+	remaining := c.began + c.kind.Deadline - s.clock.now
+	c.remainingAttempts--
+	c.attemptBegan = s.clock.now
+	var local []*node
+	for _, n := range s.nodes {
+		if n.dataCentre.Name == c.dataCentre {
+			local = append(local, n)
 		}
 	}
-	to := near[w.random.IntN(len(near))]
-	w.clock.after(callerWay, func() {
-		to.ask(c.kind, left, func(result scatter.Result) {
-			w.clock.after(callerWay, func() { c.answered(result) })
+	target := local[s.random.IntN(len(local))]
+	s.clock.after(callerDelay, func() {
+		target.handleRequest(c.kind, remaining, func(result scatter.Result) {
+			s.clock.after(callerDelay, func() { c.receive(result) })
 		})
 	})
 }
 
-func (c *caller) answered(result scatter.Result) {
-	w := c.world
-	now := w.clock.now
-	left := c.began + c.kind.Deadline - now
-	if result.Enough && left > 0 {
-		c.earn(float64(result.Received) / float64(w.pattern.Shards))
+func (c *callerRequest) receive(result scatter.Result) {
+	s := c.simulation
+	now := s.clock.now
+	remaining := c.began + c.kind.Deadline - now
+	if result.Enough && remaining > 0 {
+		c.recordAnswer(float64(result.Received) / float64(s.pattern.Shards))
 		return
 	}
 	refused := !result.Enough && !result.MayHaveRun
-	if c.tries == 0 || left <= 0 {
-		w.report.lost(c, refused)
+	if c.remainingAttempts == 0 || remaining <= 0 {
+		s.report.addFailure(c, refused)
 		return
 	}
 	wait := time.Duration(0)
 	if refused {
-		wait = retryAfter
+		wait = refusalRetryAfter
 		if result.Rejected {
 			wait = result.RetryAfter
 		}
-		wait = min(wait, left/patienceShare)
-		c.refused = now-c.tried <= c.kind.TargetLatency/earlyShare
+		wait = min(wait, remaining/retryWaitDivisor)
+		c.refusedEarly = now-c.attemptBegan <= c.kind.TargetLatency/earlyRefusalDivisor
 	}
-	w.clock.after(wait, c.try)
+	s.clock.after(wait, c.attempt)
 }
 
-// retryAfter is what a node tells a caller that it refuses.
-const retryAfter = 100 * time.Millisecond
+// refusalRetryAfter is the retry-after time in a node's refusal other than an early rejection.
+const refusalRetryAfter = 100 * time.Millisecond
 
-// earn credits an answer: in full within the aim, a part of it later, times the square of its
-// coverage; one that was refused early and is then served in time earns the mean of the two.
-func (c *caller) earn(coverage float64) {
-	now := c.world.clock.now
-	worth := func(took core.Time) float64 {
+// recordAnswer credits an answer: in full within the target latency, in part later, times the square of
+// its coverage. After an early refusal the credit is the mean of those for the latency of the whole
+// request and for that of the last attempt.
+func (c *callerRequest) recordAnswer(coverage float64) {
+	now := c.simulation.clock.now
+	creditFor := func(took core.Time) float64 {
 		if took <= c.kind.TargetLatency {
 			return 1
 		}
 		return c.kind.LateCreditShare
 	}
-	credit := worth(now - c.began)
-	if c.refused {
-		credit = (credit + worth(now-c.tried)) / 2
+	credit := creditFor(now - c.began)
+	if c.refusedEarly {
+		credit = (credit + creditFor(now-c.attemptBegan)) / 2
 	}
-	c.world.report.earned(c, credit*coverage*coverage, coverage, now-c.began)
+	c.simulation.report.addAnswer(c, credit*coverage*coverage, coverage, now-c.began)
 }
--- a/internal/loadmodel/compare.go
+++ b/internal/loadmodel/compare.go
@@ -14,42 +14,43 @@
 	"github.com/pistachiopier/pistachiopier/internal/plot"
 )
 
-// worstWindows is how many of the worst windows are told together.
+// worstWindows is the number of worst windows that are averaged.
 const worstWindows = 2
 
-// Means are those of several plays of a pattern. Shares are of all requests, 0 to 1.
+// Means are the mean results of several runs of a pattern. Unless stated otherwise, the fields are
+// fractions of all requests, 0 to 1.
 type Means struct {
-	// Credit is earned over owed, Worst that of the two worst windows of each play.
+	// Credit is the earned fraction of the maximum credit, WorstWindows that of the two worst windows of each run.
 	Credit       float64 `json:"credit"`
 	WorstWindows float64 `json:"worst_windows"`
 	WithinTarget float64 `json:"in_aim"`
-	// Complete are those whose answer lacks no part.
+	// Complete is the fraction with an answer that lacks no part.
 	Complete float64 `json:"whole"`
 	Late     float64 `json:"late"`
 	Refused  float64 `json:"refused"`
 	Failed   float64 `json:"failed"`
-	// Rejected are tries that were rejected early, Wrong those of them that would have been
-	// served within the aim as things stood.
+	// Rejected is the number of early rejections per request, WronglyRejected that of early rejections of
+	// attempts that the replicas could have served within the target latency.
 	Rejected        float64 `json:"rejected_tries"`
 	WronglyRejected float64 `json:"wrongly_rejected_tries"`
-	// Hedges is their part of all arrivals.
+	// Hedges is the fraction of hedges in all arrivals at replicas.
 	Hedges float64 `json:"hedges_of_arrivals"`
 
-	took []time.Duration
+	latencies []time.Duration
 }
 
-// RunAll plays a pattern with the seeds 0 to one below seeds.
+// RunAll runs a pattern with the seeds from 0 to seeds-1 and returns the means.
 func RunAll(p Pattern, options Options, seeds int) Means {
 	reports := make([]*Report, seeds)
-	places := make(chan struct{}, runtime.NumCPU())
+	slots := make(chan struct{}, runtime.NumCPU())
 	var running sync.WaitGroup
 	for seed := range reports {
 		running.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			mine := options
-			mine.Seed = uint64(seed)
-			reports[seed] = Run(p, mine)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			seeded := options
+			seeded.Seed = uint64(seed)
+			reports[seed] = Run(p, seeded)
 		})
 	}
 	running.Wait()
@@ -57,33 +58,33 @@
 	for _, r := range reports {
 		m.add(r, float64(seeds))
 	}
-	slices.Sort(m.took)
+	slices.Sort(m.latencies)
 	return m
 }
 
 func (m *Means) add(r *Report, seeds float64) {
-	asked := float64(max(r.All.Asked, 1)) * seeds
+	requests := float64(max(r.All.Asked, 1)) * seeds
 	m.Credit += r.All.CreditShare() / seeds
 	m.WorstWindows += r.WorstWindows(worstWindows) / seeds
-	m.WithinTarget += float64(r.All.WithinTarget) / asked
-	m.Complete += float64(r.All.Complete) / asked
-	m.Late += float64(r.All.Late) / asked
-	m.Refused += float64(r.All.Refused) / asked
-	m.Failed += float64(r.All.Failed) / asked
-	m.Rejected += float64(r.Rejected) / asked
-	m.WronglyRejected += float64(r.WronglyRejected) / asked
+	m.WithinTarget += float64(r.All.WithinTarget) / requests
+	m.Complete += float64(r.All.Complete) / requests
+	m.Late += float64(r.All.Late) / requests
+	m.Refused += float64(r.All.Refused) / requests
+	m.Failed += float64(r.All.Failed) / requests
+	m.Rejected += float64(r.Rejected) / requests
+	m.WronglyRejected += float64(r.WronglyRejected) / requests
 	m.Hedges += float64(r.Hedges) / float64(max(r.Arrivals, 1)) / seeds
-	m.took = append(m.took, r.Latencies...)
+	m.latencies = append(m.latencies, r.Latencies...)
 }
 
-// Variant is one way to play a pattern.
+// Variant holds the results of a pattern with one set of options.
 type Variant struct {
 	Name  string `json:"name"`
 	Means `json:"means"`
 }
 
-// Comparison is a pattern played as the product decides, by the yardstick, and without one
-// mechanism after the other.
+// Comparison holds the results of a pattern with all mechanisms, with the oracle as the yardstick,
+// and with each mechanism disabled in turn.
 type Comparison struct {
 	Pattern     string    `json:"pattern"`
 	Description string    `json:"about"`
@@ -91,17 +92,17 @@
 	Variants    []Variant `json:"variants"`
 }
 
-// FindPattern returns the pattern of a name.
+// FindPattern returns the pattern with the name.
 func FindPattern(name string) (Pattern, error) {
 	for _, p := range Patterns() {
 		if p.Name == name {
 			return p, nil
 		}
 	}
-	return Pattern{}, &fault.Error{Code: fault.CodeBadRequest, Message: "no pattern is named " + name, Fix: "run `pistachiopier model` for a list"}
+	return Pattern{}, &fault.Error{Code: fault.CodeBadRequest, Message: "unknown load pattern " + name, Fix: "run `pistachiopier model` for a list"}
 }
 
-// Compare plays all variants of a pattern.
+// Compare runs all variants of a pattern.
 func Compare(p Pattern, seeds int) *Comparison {
 	c := &Comparison{Pattern: p.Name, Description: p.Description, Seeds: seeds}
 	add := func(name string, options Options) {
@@ -109,13 +110,13 @@
 	}
 	add("the product", Options{})
 	add("yardstick", Options{Oracle: true})
-	for _, one := range Mechanisms() {
-		add("without "+string(one), Options{Without: []Mechanism{one}})
+	for _, mechanism := range Mechanisms() {
+		add("without "+string(mechanism), Options{Without: []Mechanism{mechanism}})
 	}
 	return c
 }
 
-// WriteText writes a table.
+// WriteText writes the means as a table.
 func (c *Comparison) WriteText(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "%s: %s; %d seeds\n", c.Pattern, c.Description, c.Seeds)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -126,27 +127,27 @@
 	_ = table.Flush()
 }
 
-// WriteJSON writes all figures.
+// WriteJSON writes the means as JSON.
 func (c *Comparison) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(c)
 }
 
-// pictured are the variants that are drawn: more curves than these cannot be told apart.
-const pictured = 5
+// maxPlotted limits the variants in a plot: more curves could not be distinguished.
+const maxPlotted = 5
 
-// SVG draws how long callers waited for their answers.
+// SVG returns a plot of the latencies of answers by variant.
 func (c *Comparison) SVG() string {
 	var series []plot.Series
-	for _, v := range c.Variants[:min(pictured, len(c.Variants))] {
-		one := plot.Series{Name: v.Name}
+	for _, v := range c.Variants[:min(maxPlotted, len(c.Variants))] {
+		curve := plot.Series{Name: v.Name}
 		for _, share := range plot.Quantiles() {
-			if len(v.took) > 0 {
-				one.Latencies = append(one.Latencies, v.took[int(share*float64(len(v.took)-1))])
+			if len(v.latencies) > 0 {
+				curve.Latencies = append(curve.Latencies, v.latencies[int(share*float64(len(v.latencies)-1))])
 			}
 		}
-		series = append(series, one)
+		series = append(series, curve)
 	}
 	return plot.SVG("answers, "+c.Pattern, series)
 }
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -12,237 +12,237 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/scatter"
 )
 
-// One way between processes, as the users' deployments have it, and how long the exchange of a
-// send that is not wanted any more may go on.
+// One-way delays between processes of the same and of different data centres, as in production
+// deployments, and the time for which the exchange of a withdrawn send may continue.
 const (
-	nearWay = 100 * time.Microsecond
-	farWay  = 900 * time.Microsecond
-	linger  = 250 * time.Millisecond
-	// onTheWay is what a node leaves for its answer to reach the caller.
-	onTheWay = 9 * time.Millisecond
+	localDelay             = 100 * time.Microsecond
+	remoteDelay            = 900 * time.Microsecond
+	withdrawnExchangeLimit = 250 * time.Millisecond
+	// replyTransitTime is the time that a node reserves for its answer to hedges the caller.
+	replyTransitTime = 9 * time.Millisecond
 )
 
-// Bound on extra arrivals, and what of it nodes use, as the edge divides that of the users'
-// deployments.
+// The bound on extra sends that nodes use, as the edge derives it from that of production
+// deployments. The allowance is divided among the nodes.
 const (
 	extraWindow    = 10 * time.Second
 	extraRatio     = 0.17
 	extraAllowance = 23.0
 )
 
-// node is one node of the tier, with the product's own decisions.
+// node is one node of the forwarding tier. It uses the production code for its decisions.
 type node struct {
-	world   *world
-	place   DataCentre
-	outlook *outlook.Outlook
-	pools   map[*upstream]*pool
+	simulation *simulation
+	dataCentre DataCentre
+	outlook    *outlook.Outlook
+	pools      map[*upstream]*pool
 }
 
-// pool is a node's connections to a replica. A send holds one until its exchange ends.
+// pool holds a node's connections to a replica. A send holds a connection until its exchange ends.
 type pool struct {
 	free    int
 	waiting []*transfer
 }
 
-func newNode(w *world, place DataCentre) *node {
-	bound := extra.Bound{Window: extraWindow, Ratio: extraRatio, Allowance: extraAllowance / float64(w.nodeCount())}
-	if w.options.without(ExtraSendBound) {
+func newNode(s *simulation, dataCentre DataCentre) *node {
+	bound := extra.Bound{Window: extraWindow, Ratio: extraRatio, Allowance: extraAllowance / float64(s.nodeCount())}
+	if s.options.without(ExtraSendBound) {
 		bound.Ratio, bound.Allowance = 1000, 1000
 	}
-	n := &node{world: w, place: place, outlook: outlook.New(place.Name, nil, bound, w.random.Float64), pools: map[*upstream]*pool{}}
-	n.outlook.Replicas.Pauses.Disabled = w.options.without(Pauses)
-	for _, u := range w.upstreams {
-		n.outlook.Replicas.Put(u.entry)
-		n.pools[u] = &pool{free: w.connections(place.Name, u.entry.DataCentre)}
+	n := &node{simulation: s, dataCentre: dataCentre, outlook: outlook.New(dataCentre.Name, nil, bound, s.random.Float64), pools: map[*upstream]*pool{}}
+	n.outlook.Replicas.Pauses.Disabled = s.options.without(Pauses)
+	for _, u := range s.upstreams {
+		n.outlook.Replicas.Put(u.replica)
+		n.pools[u] = &pool{free: s.connections(dataCentre.Name, u.replica.DataCentre)}
 	}
 	return n
 }
 
-// request is one caller's request at a node.
+// request is one attempt of a caller's request at a node.
 type request struct {
-	node      *node
-	kind      Kind
-	route     *policy.Route
-	machine   *scatter.Machine
-	plan      scatter.Plan
-	transfers []*transfer
-	over      bool
-	ticks     int
-	done      func(scatter.Result)
+	node         *node
+	kind         Kind
+	route        *policy.Route
+	machine      *scatter.Machine
+	plan         scatter.Plan
+	transfers    []*transfer
+	finished     bool
+	wakeSequence int
+	done         func(scatter.Result)
 }
 
-// transfer is one send and where it is.
+// transfer is one send with its state.
 type transfer struct {
 	request *request
 	send    scatter.Send
 	to      *upstream
-	// via is the node whose connection it uses.
+	// via is the node whose connection it uses; it may be in the replica's data centre.
 	via       *node
-	way       time.Duration
+	delay     time.Duration
 	began     core.Time
 	job       *job
 	withdrawn bool
 	ended     bool
 }
 
-// ask takes a request.
-func (n *node) ask(kind Kind, left time.Duration, done func(scatter.Result)) {
-	route := n.world.route(kind)
-	now := n.world.clock.now
-	plan := n.outlook.Plan(outlook.Request{Route: route, Services: n.outlook.Services(route, now), Arrived: now, MaxWait: left, RemainingTime: left, TransitTime: onTheWay})
-	n.world.options.change(&plan)
+// handleRequest plans a request and begins its state machine.
+func (n *node) handleRequest(kind Kind, remaining time.Duration, done func(scatter.Result)) {
+	route := n.simulation.route(kind)
+	now := n.simulation.clock.now
+	plan := n.outlook.Plan(outlook.Request{Route: route, Services: n.outlook.Services(route, now), Arrived: now, MaxWait: remaining, RemainingTime: remaining, TransitTime: replyTransitTime})
+	n.simulation.options.apply(&plan)
 	q := &request{node: n, kind: kind, route: route, plan: plan, done: done}
-	var chooser scatter.Chooser = unexpecting{Chooser: n.outlook.Chooser(route), early: n.world.options.without(EarlyRejection), reach: n.world.options.without(SelectiveHedges)}
-	if n.world.options.Oracle {
-		chooser = oracle{Chooser: chooser, node: n, usual: kind.MeanWork}
+	var chooser scatter.Chooser = withoutExpectations{Chooser: n.outlook.Chooser(route), early: n.simulation.options.without(EarlyRejection), hedges: n.simulation.options.without(SelectiveHedges)}
+	if n.simulation.options.Oracle {
+		chooser = oracle{Chooser: chooser, node: n, meanWork: kind.MeanWork}
 	}
 	q.machine = scatter.New(plan, chooser)
 	q.step(scatter.Begin{})
 }
 
 func (q *request) step(event scatter.Event) {
-	if q.over {
+	if q.finished {
 		return
 	}
-	w := q.node.world
-	for _, action := range slices.Clone(q.machine.Step(w.clock.now, event)) {
+	s := q.node.simulation
+	for _, action := range slices.Clone(q.machine.Step(s.clock.now, event)) {
 		switch a := action.(type) {
 		case scatter.Send:
 			q.send(a)
 		case scatter.CancelSend:
 			q.transfers[a.ID].withdraw()
 		case scatter.SendOverdue:
-			one := q.transfers[a.Send]
-			if !w.options.without(OverdueMarks) {
-				q.node.outlook.Replicas.Overdue(one.send.Replica.Incarnation(), w.clock.now)
+			overdue := q.transfers[a.Send]
+			if !s.options.without(OverdueMarks) {
+				q.node.outlook.Replicas.Overdue(overdue.send.Replica.Incarnation(), s.clock.now)
 			}
 		case scatter.Wake:
-			q.ticks++
-			turn := q.ticks
-			w.clock.at(a.At, func() {
-				if turn == q.ticks {
+			q.wakeSequence++
+			sequence := q.wakeSequence
+			s.clock.at(a.At, func() {
+				if sequence == q.wakeSequence {
 					q.step(scatter.Tick{})
 				}
 			})
 		case scatter.Finish:
-			q.over = true
+			q.finished = true
 			q.countRejection(a.Result)
 			q.done(a.Result)
 		}
 	}
 }
 
-// countRejection compares an early rejection with what the replicas could do.
+// countRejection counts an early rejection, and as wrong if the replicas could have served the request in time.
 func (q *request) countRejection(result scatter.Result) {
 	if !result.Rejected {
 		return
 	}
-	w := q.node.world
-	w.report.Rejected++
+	s := q.node.simulation
+	s.report.Rejected++
 	inTime := 0
 	for _, service := range q.plan.Services {
-		if slices.ContainsFunc(w.byService[service], func(u *upstream) bool { return u.wait(w.clock.now, q.kind.MeanWork) <= q.plan.TargetLatency }) {
+		if slices.ContainsFunc(s.byService[service], func(u *upstream) bool { return u.completionDelay(s.clock.now, q.kind.MeanWork) <= q.plan.TargetLatency }) {
 			inTime++
 		}
 	}
 	if inTime >= q.plan.MinParts {
-		w.report.WronglyRejected++
+		s.report.WronglyRejected++
 	}
 }
 
-// send gets a connection for a send: a first one to another data centre uses one of a node there.
+// send acquires a connection for a send. A first send to another data centre uses a connection of a node there.
 func (q *request) send(a scatter.Send) {
 	n := q.node
-	one := &transfer{request: q, send: a, to: n.world.byID[a.Replica.ID], via: n, way: nearWay, began: n.world.clock.now}
-	q.transfers = append(q.transfers, one)
+	t := &transfer{request: q, send: a, to: n.simulation.byID[a.Replica.ID], via: n, delay: localDelay, began: n.simulation.clock.now}
+	q.transfers = append(q.transfers, t)
 	if a.Remote {
-		one.way = farWay
-		if helper := n.world.helper(a.Replica.DataCentre); helper != nil && a.Cause == scatter.First {
-			one.via = helper
+		t.delay = remoteDelay
+		if helper := n.simulation.helper(a.Replica.DataCentre); helper != nil && a.Cause == scatter.First {
+			t.via = helper
 		}
 	}
-	n.outlook.Replicas.Sent(a.Replica.Incarnation(), n.world.clock.now)
-	p := one.via.pools[one.to]
+	n.outlook.Replicas.Sent(a.Replica.Incarnation(), n.simulation.clock.now)
+	p := t.via.pools[t.to]
 	if p.free > 0 {
 		p.free--
-		one.transmit()
+		t.transmit()
 		return
 	}
-	p.waiting = append(p.waiting, one)
+	p.waiting = append(p.waiting, t)
 }
 
-// transmit sends on a connection.
+// transmit sends the request on an acquired connection.
 func (t *transfer) transmit() {
-	w := t.request.node.world
-	w.clock.after(t.way, func() {
-		t.job = &job{work: w.work(t.request.kind), end: func(verdict scatter.Verdict) {
-			w.clock.after(t.way, func() { t.end(verdict) })
+	s := t.request.node.simulation
+	s.clock.after(t.delay, func() {
+		t.job = &job{work: s.drawWork(t.request.kind), end: func(verdict scatter.Verdict) {
+			s.clock.after(t.delay, func() { t.end(verdict) })
 		}}
-		w.report.Arrivals++
+		s.report.Arrivals++
 		if t.send.Cause == scatter.Hedge {
-			w.report.Hedges++
+			s.report.Hedges++
 		}
 		t.to.arrive(t.job)
 	})
 }
 
-// end takes the end of an exchange: its connection is free, and the node learns.
+// end handles the end of an exchange: it releases the connection and records the result.
 func (t *transfer) end(verdict scatter.Verdict) {
 	if t.ended {
 		return
 	}
 	t.ended = true
 	t.release()
-	q, w := t.request, t.request.node.world
-	life, now := t.send.Replica.Incarnation(), w.clock.now
+	q, s := t.request, t.request.node.simulation
+	incarnation, now := t.send.Replica.Incarnation(), s.clock.now
 	took := now - t.began
 	if t.via != q.node {
-		t.tell(took, verdict)
+		t.shareObservations(took, verdict)
 	}
 	if t.withdrawn {
 		if verdict == scatter.Succeeded {
-			q.node.outlook.AnsweredLate(q.route, life, took, now)
+			q.node.outlook.AnsweredLate(q.route, incarnation, took, now)
 		}
 		return
 	}
-	book := q.node.outlook.Replicas
-	book.Ended(life)
+	replicas := q.node.outlook.Replicas
+	replicas.Ended(incarnation)
 	switch verdict {
 	case scatter.Succeeded:
-		if w.options.without(Slowness) {
+		if s.options.without(Slowness) {
 			took = min(took, q.kind.MeanWork)
 		}
-		q.node.outlook.Answered(q.route, life, took, now)
+		q.node.outlook.Answered(q.route, incarnation, took, now)
 	case scatter.Refused:
-		if !w.options.without(Refusals) {
-			book.Refused(life, now)
+		if !s.options.without(Refusals) {
+			replicas.Refused(incarnation, now)
 		}
 	case scatter.Failed:
-		if !w.options.without(Failures) {
-			book.Failed(life, now)
+		if !s.options.without(Failures) {
+			replicas.Failed(incarnation, now)
 		}
 	case scatter.Unreached:
-		if !w.options.without(Failures) {
-			book.Unreached(life, now)
+		if !s.options.without(Failures) {
+			replicas.Unreached(incarnation, now)
 		}
 	}
 	q.step(scatter.SendEnded{Send: t.send.ID, Verdict: verdict})
 }
 
-// tell lets the node that sent learn from an answer, and the one that asked it from what that one
-// knows of the replica's pauses.
-func (t *transfer) tell(took time.Duration, verdict scatter.Verdict) {
-	q, life, now := t.request, t.send.Replica.Incarnation(), t.request.node.world.clock.now
+// shareObservations records an answer at the node that sent the request, and passes that node's
+// observation of the replica's pauses to the node of the caller's request.
+func (t *transfer) shareObservations(took time.Duration, verdict scatter.Verdict) {
+	q, incarnation, now := t.request, t.send.Replica.Incarnation(), t.request.node.simulation.clock.now
 	if verdict == scatter.Succeeded {
-		t.via.outlook.AnsweredLate(q.route, life, took-2*(farWay-nearWay), now)
+		t.via.outlook.AnsweredLate(q.route, incarnation, took-2*(remoteDelay-localDelay), now)
 	}
-	if age, known := t.via.outlook.Replicas.PauseAge(life, now); known {
-		q.node.outlook.Replicas.ReceivePause(life, age, now)
+	if age, known := t.via.outlook.Replicas.PauseAge(incarnation, now); known {
+		q.node.outlook.Replicas.ReceivePause(incarnation, age, now)
 	}
 }
 
-// withdraw ends a send whose answer is not wanted: one that waits leaves, another one may go on
-// for a moment.
+// withdraw cancels a send. A send that waits for a connection leaves the queue; an exchange in
+// progress may continue for withdrawnExchangeLimit.
 func (t *transfer) withdraw() {
 	if t.ended || t.withdrawn {
 		return
@@ -256,19 +256,19 @@
 		t.ended = true
 		return
 	}
-	n.world.clock.after(linger, func() {
+	n.simulation.clock.after(withdrawnExchangeLimit, func() {
 		if t.ended {
 			return
 		}
 		t.ended = true
 		if t.job != nil {
-			t.to.drop(t.job)
+			t.to.cancel(t.job)
 		}
 		t.release()
 	})
 }
 
-// release hands the connection to the next send that waits for it.
+// release passes the connection to the next waiting send, or frees it.
 func (t *transfer) release() {
 	p := t.via.pools[t.to]
 	if len(p.waiting) == 0 {
@@ -280,45 +280,45 @@
 	next.transmit()
 }
 
-// unexpecting leaves out what is expected of replicas: for early rejections, or for hedges.
-type unexpecting struct {
+// withoutExpectations removes the expected state of replicas from choices: for early rejections, or for hedges.
+type withoutExpectations struct {
 	scatter.Chooser
-	early, reach bool
+	early, hedges bool
 }
 
 // Pick implements scatter.Chooser.
-func (u unexpecting) Pick(service string, tried []string, now core.Time) (replica.Choice, bool) {
+func (u withoutExpectations) Pick(service string, tried []string, now core.Time) (replica.Choice, bool) {
 	choice, ok := u.Chooser.Pick(service, tried, now)
 	if u.early {
 		choice.Busy, choice.Unreachable = false, false
 	}
-	if u.reach && len(tried) > 0 {
+	if u.hedges && len(tried) > 0 {
 		choice.ExpectedLatency = 0
 	}
 	return choice, ok
 }
 
-// refusalRounds is how many usual works a replica that refuses everything counts as further away.
-const refusalRounds = 5
+// refusalPenalty is the penalty of a replica that refuses all requests, in units of the mean work.
+const refusalPenalty = 5
 
-// oracle chooses by what the replicas really do: a yardstick, not a policy.
+// oracle chooses replicas by their actual state. It is a reference for comparison, not a possible policy.
 type oracle struct {
 	scatter.Chooser
-	node  *node
-	usual time.Duration
+	node     *node
+	meanWork time.Duration
 }
 
 // Pick implements scatter.Chooser.
 func (o oracle) Pick(service string, tried []string, now core.Time) (replica.Choice, bool) {
 	var best *upstream
 	bestWait := time.Duration(0)
-	for _, u := range o.node.world.byService[service] {
-		if slices.Contains(tried, u.entry.ID) || u.down {
+	for _, u := range o.node.simulation.byService[service] {
+		if slices.Contains(tried, u.replica.ID) || u.down {
 			continue
 		}
-		wait := u.wait(now, o.usual) + time.Duration(u.refuses*refusalRounds)*o.usual
-		if u.entry.DataCentre != o.node.place.Name {
-			wait += 2 * farWay
+		wait := u.completionDelay(now, o.meanWork) + time.Duration(u.refuseShare*refusalPenalty)*o.meanWork
+		if u.replica.DataCentre != o.node.dataCentre.Name {
+			wait += 2 * remoteDelay
 		}
 		if best == nil || wait < bestWait {
 			best, bestWait = u, wait
@@ -327,5 +327,5 @@
 	if best == nil {
 		return replica.Choice{}, false
 	}
-	return replica.Choice{Replica: best.entry, Remote: best.entry.DataCentre != o.node.place.Name, ExpectedLatency: bestWait, Busy: true}, true
+	return replica.Choice{Replica: best.replica, Remote: best.replica.DataCentre != o.node.dataCentre.Name, ExpectedLatency: bestWait, Busy: true}, true
 }
--- a/internal/loadmodel/pattern.go
+++ b/internal/loadmodel/pattern.go
@@ -9,40 +9,40 @@
 // Kind is one kind of request.
 type Kind struct {
 	Name string
-	// Share is its part of all requests.
+	// Share is the fraction of all requests that are of this kind.
 	Share float64
-	// Credit is the credit of an answer within Aim, LateCreditShare the part of it that a later one earns.
+	// Credit is earned by an answer within TargetLatency; a later one earns the fraction LateCreditShare.
 	Credit, LateCreditShare float64
 	TargetLatency, Deadline time.Duration
-	// MeanWork is the mean work at a replica, on a replica of usual speed.
+	// MeanWork is the mean service time at a replica of normal speed.
 	MeanWork time.Duration
-	// MinCoverage is the share of shards that an answer needs.
+	// MinCoverage is the fraction of shards that an answer needs.
 	MinCoverage float64
 }
 
-// DataCentre is a data centre with nodes of the tier and, of each shard, some replicas.
+// DataCentre is a data centre with nodes of the forwarding tier and a number of replicas of each shard.
 type DataCentre struct {
 	Name            string
 	Nodes, Replicas int
-	// CallerShare is the part of all requests that come from here.
+	// CallerShare is the fraction of all requests that come from callers in it.
 	CallerShare float64
 }
 
-// Fault changes replicas for a while.
+// Fault changes the behaviour of replicas for a time.
 type Fault struct {
 	At, Duration core.Time
-	// Shards is how many shards it strikes, drawn by lot; Both strikes all replicas of
-	// these, otherwise one.
+	// Shards is the number of shards affected, chosen at random. AllReplicas affects all their
+	// replicas, otherwise one random replica of each.
 	Shards      int
 	AllReplicas bool
-	// WorkFactor multiplies work, Refuses is a share of requests turned away, Down ends them.
+	// WorkFactor multiplies service times, RefuseShare is the fraction of requests refused, Down stops the replica.
 	WorkFactor  float64
 	RefuseShare float64
 	Down        bool
 }
 
-// Noise is what other work on a replica's machine does to it: in so many of the moments of a length, work
-// takes so many times as long. The zero value is none.
+// Noise models other work on a replica's machine: in the fraction Share of the intervals of length
+// Interval, requests take WorkFactor times as long. The zero value is none.
 type Noise struct {
 	Share, WorkFactor float64
 	Interval          time.Duration
@@ -54,22 +54,22 @@
 	DataCentres       []DataCentre
 	Kinds             []Kind
 	Shards            int
-	// Slots and Queue are those of a replica; Connections is its limit for all callers.
+	// Slots and Queue are the capacities of a replica; Connections is its limit over all nodes.
 	Slots, Queue, Connections int
-	// PauseLength is how long a replica stands still each PauseInterval.
+	// Each replica pauses for PauseLength in every PauseInterval.
 	PauseLength, PauseInterval time.Duration
-	// Noise slows replicas down for moments, each by itself.
+	// Noise slows each replica down for short intervals, independently of the others.
 	Noise Noise
-	// Rate is the number of requests a second.
+	// Rate is the mean number of requests per second.
 	Rate     float64
 	Duration core.Time
 	Faults   []Fault
 }
 
-// search is the customers' search: three data centres of which two hold replicas, twenty shards of two
-// replicas, pauses of 150 ms each 3.6 s, two kinds that ask all shards. One replica of a shard can
-// do about 1.5 times the work that all callers ask of it at the usual rate.
-func search() Pattern {
+// searchPattern models a customer's search service: three data centres of which two hold replicas, 20
+// shards of two replicas, pauses of 150 ms every 3.6 s, two kinds of requests to all shards. One
+// replica has the capacity for about 1.5 times the load of its shard at the normal rate.
+func searchPattern() Pattern {
 	return Pattern{
 		DataCentres: []DataCentre{
 			{Name: "a", Nodes: 3, Replicas: 1, CallerShare: 0.37},
@@ -86,19 +86,19 @@
 	}
 }
 
-func pattern(name, about string, change func(*Pattern)) Pattern {
-	p := search()
-	p.Name, p.Description = name, about
+func searchVariant(name, description string, change func(*Pattern)) Pattern {
+	p := searchPattern()
+	p.Name, p.Description = name, description
 	change(&p)
 	return p
 }
 
-// large is the customers' search after it has grown: 180 shards of three replicas in three data centres
-// with three strong nodes each, hardly loaded, pauses of 120 ms each 3 s. A question meets seven
-// replicas in a pause on average, and nearly all parts are needed.
-func large(name, about string, change func(*Pattern)) Pattern {
+// largePattern models a grown search service: 180 shards of three replicas in three data centres with
+// three nodes each, a light load, pauses of 120 ms every 3 s. A query meets seven paused replicas on
+// average and needs nearly all parts.
+func largePattern(name, description string, change func(*Pattern)) Pattern {
 	p := Pattern{
-		Name: name, Description: about,
+		Name: name, Description: description,
 		DataCentres: []DataCentre{{Name: "a", Nodes: 3, Replicas: 1, CallerShare: 0.34}, {Name: "b", Nodes: 3, Replicas: 1, CallerShare: 0.33}, {Name: "c", Nodes: 3, Replicas: 1, CallerShare: 0.33}},
 		Kinds: []Kind{
 			{Name: "full", Share: 0.75, Credit: 2, LateCreditShare: 0.1, TargetLatency: 100 * time.Millisecond, Deadline: time.Second, MeanWork: 11 * time.Millisecond, MinCoverage: 0.95},
@@ -112,12 +112,12 @@
 	return p
 }
 
-// quick is the search of a customer whose callers ask more for quick answers: 90 shards of three replicas in
-// three of four data centres, two nodes in each; replicas pause for 200 ms each 4.5 s and share their
-// machines with other work, so that a question meets seven slow ones on average.
-func quick() Pattern {
+// quickPattern models a search service with a larger share of quick queries: 90 shards of three replicas in
+// three of four data centres, two nodes in each. Replicas pause for 200 ms every 4.5 s and share their
+// machines with other work, so that a query meets seven slow replicas on average.
+func quickPattern() Pattern {
 	return Pattern{
-		Name: "quick-calm", Description: "90 shards of three replicas, quick questions, pauses and noise alone",
+		Name: "quick-calm", Description: "90 shards with three replicas, more quick queries, pauses and noise only",
 		DataCentres: []DataCentre{
 			{Name: "a", Nodes: 2, Replicas: 1, CallerShare: 0.25}, {Name: "b", Nodes: 2, Replicas: 1, CallerShare: 0.25},
 			{Name: "c", Nodes: 2, Replicas: 1, CallerShare: 0.25}, {Name: "d", Nodes: 2, CallerShare: 0.25},
@@ -133,36 +133,36 @@
 	}
 }
 
-// Patterns lists the loads by name.
+// Patterns returns all load patterns.
 func Patterns() []Pattern {
 	return []Pattern{
-		large("large-calm", "180 shards of three replicas, pauses alone", func(*Pattern) {}),
-		large("large-slow", "of 180 shards of three replicas 80 have a slow one", func(p *Pattern) {
+		largePattern("large-calm", "180 shards with three replicas, pauses only", func(*Pattern) {}),
+		largePattern("large-slow", "180 shards with three replicas, one slow replica in 80 of them", func(p *Pattern) {
 			p.Faults = []Fault{{At: 2 * time.Second, Duration: 8 * time.Second, Shards: 80, WorkFactor: 8}}
 		}),
-		quick(),
-		pattern("calm", "pauses alone", func(*Pattern) {}),
-		pattern("some-slow", "of six shards one replica is slow, at two thirds of the usual rate", func(p *Pattern) {
+		quickPattern(),
+		searchVariant("calm", "pauses only", func(*Pattern) {}),
+		searchVariant("some-slow", "one slow replica in each of six shards, at about half the usual rate", func(p *Pattern) {
 			p.Rate = 54
 			p.Faults = []Fault{{At: 4 * time.Second, Duration: 8 * time.Second, Shards: 6, WorkFactor: 11}}
 		}),
-		pattern("refusing", "one replica of each shard turns 6 of 10 requests away at any load", func(p *Pattern) {
+		searchVariant("refusing", "one replica of each shard refuses 60% of requests at any load", func(p *Pattern) {
 			p.Faults = []Fault{{At: 4 * time.Second, Duration: 10 * time.Second, Shards: 20, RefuseShare: 0.6}}
 		}),
-		pattern("short-shards", "of most shards one replica is slow or gone, of some both", func(p *Pattern) {
+		searchVariant("short-shards", "one replica of most shards is slow or down, in some shards both are", func(p *Pattern) {
 			p.Faults = []Fault{
 				{At: 4 * time.Second, Duration: 8 * time.Second, Shards: 8, WorkFactor: 11},
 				{At: 5 * time.Second, Duration: 5 * time.Second, Shards: 5, Down: true},
 				{At: 6 * time.Second, Duration: 6 * time.Second, Shards: 7, WorkFactor: 9},
 			}
 		}),
-		pattern("one-too-few", "one shard is gone, and two have only a slow replica where one more may be missing", func(p *Pattern) {
+		searchVariant("one-too-few", "one shard is down and two have only slow replicas, where only one more may be missing", func(p *Pattern) {
 			p.Faults = []Fault{
 				{At: 4 * time.Second, Duration: 6 * time.Second, Shards: 1, AllReplicas: true, Down: true},
 				{At: 4 * time.Second, Duration: 6 * time.Second, Shards: 2, AllReplicas: true, WorkFactor: 6},
 			}
 		}),
-		pattern("all-slow", "every replica is 2.2 times slower at a fifth more load: too little room for all", func(p *Pattern) {
+		searchVariant("all-slow", "every replica is 2.2 times slower at 20% more load, which exceeds the capacity", func(p *Pattern) {
 			p.Rate = 120
 			p.Faults = []Fault{{At: 4 * time.Second, Duration: 8 * time.Second, Shards: 20, AllReplicas: true, WorkFactor: 2.2}}
 		}),
--- a/internal/loadmodel/report.go
+++ b/internal/loadmodel/report.go
@@ -7,18 +7,18 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// window is the span by which credit is told.
-const window = 2 * time.Second
+// windowLength is the length of the windows for which credit is reported.
+const windowLength = 2 * time.Second
 
-// Sum is what some requests were worth.
+// Sum holds the totals of a set of requests.
 type Sum struct {
 	Asked, WithinTarget, Late, Refused, Failed int
-	// Complete counts the answers that lack no part.
+	// Complete counts answers that lack no part.
 	Complete                int
 	MaxCredit, EarnedCredit float64
 }
 
-// CreditShare is the earned part of the credit owed.
+// CreditShare returns the earned fraction of the maximum credit.
 func (s Sum) CreditShare() float64 {
 	if s.MaxCredit == 0 {
 		return 1
@@ -26,42 +26,42 @@
 	return s.EarnedCredit / s.MaxCredit
 }
 
-// Report is what came of a play.
+// Report is the result of a run.
 type Report struct {
 	All     Sum
 	Windows []Sum
-	// Latencies are the times after which callers had their answers.
+	// Latencies are the latencies of all answers as seen by callers.
 	Latencies []time.Duration
-	// Rejected counts tries that were rejected before anything was sent, WronglyRejected those
-	// of them of which enough answers would have come within the aim as things stood.
+	// Rejected counts attempts that were rejected before anything was sent, WronglyRejected those
+	// of them for which enough replicas could have answered within the target latency.
 	Rejected, WronglyRejected int
-	// Arrivals counts sends that reached replicas, Hedges those of them that were hedges.
+	// Arrivals counts the sends to replicas, Hedges the hedges among them.
 	Arrivals, Hedges int
 }
 
 func newReport(p Pattern) *Report {
-	return &Report{Windows: make([]Sum, p.Duration/window+1)}
+	return &Report{Windows: make([]Sum, p.Duration/windowLength+1)}
 }
 
-func (r *Report) sums(c *caller) []*Sum {
-	return []*Sum{&r.All, &r.Windows[c.began/window]}
+func (r *Report) sums(c *callerRequest) []*Sum {
+	return []*Sum{&r.All, &r.Windows[c.began/windowLength]}
 }
 
-func (r *Report) asked(c *caller) {
+func (r *Report) addRequest(c *callerRequest) {
 	for _, s := range r.sums(c) {
 		s.Asked++
 		s.MaxCredit += c.kind.Credit
 	}
 }
 
-func (r *Report) earned(c *caller, credit, coverage float64, took core.Time) {
-	r.Latencies = append(r.Latencies, took)
+func (r *Report) addAnswer(c *callerRequest, credit, coverage float64, latency core.Time) {
+	r.Latencies = append(r.Latencies, latency)
 	for _, s := range r.sums(c) {
 		if coverage == 1 {
 			s.Complete++
 		}
 		s.EarnedCredit += credit * c.kind.Credit
-		if took <= c.kind.TargetLatency {
+		if latency <= c.kind.TargetLatency {
 			s.WithinTarget++
 		} else {
 			s.Late++
@@ -69,7 +69,7 @@
 	}
 }
 
-func (r *Report) lost(c *caller, refused bool) {
+func (r *Report) addFailure(c *callerRequest, refused bool) {
 	for _, s := range r.sums(c) {
 		if refused {
 			s.Refused++
@@ -79,26 +79,26 @@
 	}
 }
 
-// WorstWindows is the mean share of the worst windows that requests came in.
+// WorstWindows returns the mean credit share of the given number of worst windows with requests.
 func (r *Report) WorstWindows(count int) float64 {
 	shares := make([]float64, 0, len(r.Windows))
-	for _, one := range r.Windows {
-		if one.Asked > 0 {
-			shares = append(shares, one.CreditShare())
+	for _, window := range r.Windows {
+		if window.Asked > 0 {
+			shares = append(shares, window.CreditShare())
 		}
 	}
-	return meanOfLeast(shares, count)
+	return meanOfLowest(shares, count)
 }
 
-func meanOfLeast(shares []float64, count int) float64 {
+func meanOfLowest(shares []float64, count int) float64 {
 	slices.Sort(shares)
 	count = min(count, len(shares))
 	if count == 0 {
 		return 1
 	}
 	sum := 0.0
-	for _, one := range shares[:count] {
-		sum += one
+	for _, share := range shares[:count] {
+		sum += share
 	}
 	return sum / float64(count)
 }
--- a/internal/loadmodel/upstream.go
+++ b/internal/loadmodel/upstream.go
@@ -10,46 +10,46 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/scatter"
 )
 
-// upstream is one replica: slots, a queue, pauses, and the faults of the moment.
+// upstream is one replica with slots, a queue, pauses and its current faults.
 type upstream struct {
-	world *world
-	entry replica.Replica
-	// slow multiplies work; refuses is the share of requests that it turns away at any load;
-	// down is set while it does not run.
-	slow    float64
-	refuses float64
-	down    bool
-	// phase shifts its pauses against those of the others.
+	simulation *simulation
+	replica    replica.Replica
+	// workFactor multiplies service times; refuseShare is the fraction of requests refused at any load;
+	// down is set while the replica does not run.
+	workFactor  float64
+	refuseShare float64
+	down        bool
+	// phase offsets its pauses from those of other replicas.
 	phase time.Duration
 
-	working []*job
+	running []*job
 	queue   []*job
 }
 
 // job is one send at a replica.
 type job struct {
 	work time.Duration
-	// end tells how it ended, unless it was dropped.
-	end     func(scatter.Verdict)
-	running bool
-	over    bool
+	// end is called with the verdict, unless the job was cancelled.
+	end      func(scatter.Verdict)
+	running  bool
+	finished bool
 }
 
 func (j *job) finish(verdict scatter.Verdict) {
-	if !j.over {
-		j.over = true
+	if !j.finished {
+		j.finished = true
 		j.end(verdict)
 	}
 }
 
-// arrive takes a send, or turns it away.
+// arrive starts, queues or refuses a send.
 func (u *upstream) arrive(j *job) {
 	switch {
 	case u.down:
 		j.finish(scatter.Unreached)
-	case u.world.random.Float64() < u.refuses, len(u.working) >= u.world.pattern.Slots && len(u.queue) >= u.world.pattern.Queue:
+	case u.simulation.random.Float64() < u.refuseShare, len(u.running) >= u.simulation.pattern.Slots && len(u.queue) >= u.simulation.pattern.Queue:
 		j.finish(scatter.Refused)
-	case len(u.working) < u.world.pattern.Slots:
+	case len(u.running) < u.simulation.pattern.Slots:
 		u.start(j)
 	default:
 		u.queue = append(u.queue, j)
@@ -57,10 +57,10 @@
 }
 
 func (u *upstream) start(j *job) {
-	u.working = append(u.working, j)
+	u.running = append(u.running, j)
 	j.running = true
-	done := u.workedOff(u.world.clock.now, time.Duration(float64(j.work)*u.slow*u.noise(u.world.clock.now)))
-	u.world.clock.at(done, func() {
+	done := u.completionTime(u.simulation.clock.now, time.Duration(float64(j.work)*u.workFactor*u.noiseFactor(u.simulation.clock.now)))
+	u.simulation.clock.at(done, func() {
 		if !j.running {
 			return
 		}
@@ -72,55 +72,55 @@
 // release frees the slot of a running job and starts the next one.
 func (u *upstream) release(j *job) {
 	j.running = false
-	u.working = slices.DeleteFunc(u.working, func(one *job) bool { return one == j })
-	for len(u.queue) > 0 && len(u.working) < u.world.pattern.Slots {
+	u.running = slices.DeleteFunc(u.running, func(other *job) bool { return other == j })
+	for len(u.queue) > 0 && len(u.running) < u.simulation.pattern.Slots {
 		next := u.queue[0]
 		u.queue = u.queue[1:]
 		u.start(next)
 	}
 }
 
-// drop ends a job whose caller has gone.
-func (u *upstream) drop(j *job) {
-	if j.over {
+// cancel ends a job whose caller has disconnected.
+func (u *upstream) cancel(j *job) {
+	if j.finished {
 		return
 	}
-	j.over = true
+	j.finished = true
 	if j.running {
 		u.release(j)
 		return
 	}
-	u.queue = slices.DeleteFunc(u.queue, func(one *job) bool { return one == j })
+	u.queue = slices.DeleteFunc(u.queue, func(other *job) bool { return other == j })
 }
 
-// crash ends what it works on and holds; what was sent may have run.
+// crash fails all running and queued jobs; they may have run.
 func (u *upstream) crash() {
 	u.down = true
-	held := append(u.queue, u.working...)
-	u.queue, u.working = nil, nil
-	for _, j := range held {
+	jobs := append(u.queue, u.running...)
+	u.queue, u.running = nil, nil
+	for _, j := range jobs {
 		j.running = false
 		j.finish(scatter.Failed)
 	}
 }
 
-// noise is how many times as long work takes at a moment. It draws from the replica, the moment and the
-// seed alone, so that variants of a play meet the same noise.
-func (u *upstream) noise(now core.Time) float64 {
-	n := u.world.pattern.Noise
+// noiseFactor returns the factor on service times at a time. It depends on the replica, the interval and
+// the seed only, so that all variants of a run meet the same noise.
+func (u *upstream) noiseFactor(now core.Time) float64 {
+	n := u.simulation.pattern.Noise
 	if n.Share == 0 {
 		return 1
 	}
-	moment := uint64(now / n.Interval)
-	if rand.New(rand.NewPCG(u.world.options.Seed^uint64(u.phase), moment)).Float64() < n.Share {
+	intervalIndex := uint64(now / n.Interval)
+	if rand.New(rand.NewPCG(u.simulation.options.Seed^uint64(u.phase), intervalIndex)).Float64() < n.Share {
 		return n.WorkFactor
 	}
 	return 1
 }
 
-// workedOff is when work that begins now is done, with the pauses in between.
-func (u *upstream) workedOff(now core.Time, work time.Duration) core.Time {
-	every, length := u.world.pattern.PauseInterval, u.world.pattern.PauseLength
+// completionTime returns the time when work that begins now is done, including pauses.
+func (u *upstream) completionTime(now core.Time, work time.Duration) core.Time {
+	every, length := u.simulation.pattern.PauseInterval, u.simulation.pattern.PauseLength
 	if every <= 0 {
 		return now + work
 	}
@@ -139,14 +139,14 @@
 	}
 }
 
-// wait is how long it takes until work that comes now is done: what an oracle knows.
-func (u *upstream) wait(now core.Time, usual time.Duration) time.Duration {
+// completionDelay returns the time until work that arrives now is done. Only the oracle knows it.
+func (u *upstream) completionDelay(now core.Time, meanWork time.Duration) time.Duration {
 	if u.down {
 		return time.Hour
 	}
 	ahead := time.Duration(0)
-	if len(u.working) >= u.world.pattern.Slots {
-		ahead = time.Duration(float64(usual) * u.slow * float64(len(u.queue)+1) / float64(u.world.pattern.Slots))
+	if len(u.running) >= u.simulation.pattern.Slots {
+		ahead = time.Duration(float64(meanWork) * u.workFactor * float64(len(u.queue)+1) / float64(u.simulation.pattern.Slots))
 	}
-	return u.workedOff(now, ahead+time.Duration(float64(usual)*u.slow)) - now
+	return u.completionTime(now, ahead+time.Duration(float64(meanWork)*u.workFactor)) - now
 }
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -1,6 +1,6 @@
-// Package loadmodel plays load patterns against the product's own decisions in virtual time:
-// nodes, replicas and callers without a network, in seconds for hundreds of seeds. It tells what
-// a policy is worth before the real programs are measured.
+// Package loadmodel simulates load patterns in virtual time with the production code for decisions:
+// nodes, replicas and callers without a network, in seconds for hundreds of seeds. It estimates the
+// benefit of a policy before the real programs are measured.
 package loadmodel
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/scatter"
 )
 
-// Mechanism is one that can be left out, to see what it is worth.
+// Mechanism names a mechanism of the decisions that can be disabled to measure its benefit.
 type Mechanism string
 
-// The mechanisms.
+// The mechanisms, with the names used in reports.
 const (
 	Hedges         Mechanism = "hedges"
 	Retries        Mechanism = "retries"
 	PartialAnswers Mechanism = "partial answers"
 	OverdueMarks   Mechanism = "overdue marks"
 	Slowness       Mechanism = "slowness"
-	// Pauses expects the next pause of a replica from those that were seen.
+	// Pauses predicts the next pause of a replica from those observed.
 	Pauses          Mechanism = "pauses"
 	Failures        Mechanism = "failures"
 	Refusals        Mechanism = "refusals"
@@ -35,24 +35,24 @@
 	SelectiveHedges Mechanism = "hedges to fast replicas only"
 )
 
-// Mechanisms lists those that can be left out.
+// Mechanisms returns all mechanisms that can be disabled.
 func Mechanisms() []Mechanism {
 	return []Mechanism{Hedges, Retries, PartialAnswers, OverdueMarks, Pauses, Slowness, Failures, Refusals, ExtraSendBound, EarlyRejection, SelectiveHedges}
 }
 
-// Options change how a pattern is played.
+// Options configure a run of a pattern.
 type Options struct {
 	Seed uint64
-	// Without are the mechanisms left out.
+	// Without lists the disabled mechanisms.
 	Without []Mechanism
-	// Oracle chooses replicas by what they really do.
+	// Oracle chooses replicas by their actual state.
 	Oracle bool
 }
 
-func (o Options) without(one Mechanism) bool { return slices.Contains(o.Without, one) }
+func (o Options) without(mechanism Mechanism) bool { return slices.Contains(o.Without, mechanism) }
 
-// change leaves mechanisms of the plan out.
-func (o Options) change(plan *scatter.Plan) {
+// apply disables mechanisms in the plan.
+func (o Options) apply(plan *scatter.Plan) {
 	if o.without(Hedges) {
 		plan.HedgeAfter = 0
 	}
@@ -64,64 +64,64 @@
 	}
 }
 
-type world struct {
-	pattern   Pattern
-	options   Options
-	clock     clock
-	random    *rand.Rand
-	upstreams []*upstream
-	byService map[string][]*upstream
-	byID      map[string]*upstream
-	nodes     []*node
-	routes    map[string]*policy.Route
-	turn      int
-	report    *Report
+type simulation struct {
+	pattern     Pattern
+	options     Options
+	clock       clock
+	random      *rand.Rand
+	upstreams   []*upstream
+	byService   map[string][]*upstream
+	byID        map[string]*upstream
+	nodes       []*node
+	routes      map[string]*policy.Route
+	helperIndex int
+	report      *Report
 }
 
-// maxReplicas is how many replicas of a shard a request may be sent to.
+// maxReplicas limits the replicas of a shard to which a request may be sent.
 const maxReplicas = 2
 
-// Run plays a pattern.
+// Run simulates a pattern and returns the report.
 func Run(p Pattern, options Options) *Report {
 	const stream = 0x9e3779b97f4a7c15
-	w := &world{
+	s := &simulation{
 		pattern: p, options: options, random: rand.New(rand.NewPCG(options.Seed, stream)),
 		byService: map[string][]*upstream{}, byID: map[string]*upstream{}, routes: map[string]*policy.Route{},
 		report: newReport(p),
 	}
-	w.startUpstreams()
-	for _, place := range p.DataCentres {
-		for range place.Nodes {
-			w.nodes = append(w.nodes, newNode(w, place))
+	s.startUpstreams()
+	for _, dataCentre := range p.DataCentres {
+		for range dataCentre.Nodes {
+			s.nodes = append(s.nodes, newNode(s, dataCentre))
 		}
 	}
 	for _, fault := range p.Faults {
-		w.strike(fault)
+		s.scheduleFault(fault)
 	}
-	w.nextCaller()
-	w.clock.runUntil(p.Duration + time.Second)
-	return w.report
+	s.scheduleNextRequest()
+	s.clock.runUntil(p.Duration + time.Second)
+	return s.report
 }
 
-func (w *world) startUpstreams() {
+func (s *simulation) startUpstreams() {
 	var shards []string
-	for shard := range w.pattern.Shards {
+	for shard := range s.pattern.Shards {
 		service := shardName(shard)
 		shards = append(shards, service)
-		for _, place := range w.pattern.DataCentres {
-			for i := range place.Replicas {
+		for _, dataCentre := range s.pattern.DataCentres {
+			for i := range dataCentre.Replicas {
 				u := &upstream{
-					world: w, slow: 1, phase: time.Duration(w.random.Float64() * float64(w.pattern.PauseInterval)),
-					entry: replica.Replica{ID: fmt.Sprintf("%s-%s-%d", service, place.Name, i), Service: service, DataCentre: place.Name, Slots: w.pattern.Slots},
+					simulation: s, workFactor: 1, phase: time.Duration(s.random.Float64() * float64(s.pattern.PauseInterval)),
+					replica: replica.Replica{ID: fmt.Sprintf("%s-%s-%d", service, dataCentre.Name, i), Service: service, DataCentre: dataCentre.Name, Slots: s.pattern.Slots},
 				}
-				w.upstreams = append(w.upstreams, u)
-				w.byService[service] = append(w.byService[service], u)
-				w.byID[u.entry.ID] = u
+				s.upstreams = append(s.upstreams, u)
+				s.byService[service] = append(s.byService[service], u)
+				s.byID[u.replica.ID] = u
 			}
 		}
 	}
-	for _, kind := range w.pattern.Kinds {
-		w.routes[kind.Name] = &policy.Route{
+	for _, kind := range s.pattern.Kinds {
+		s.routes[kind.Name] = &policy.Route{
 			Name: kind.Name, Idempotent: true, Timeout: kind.Deadline, TargetLatency: kind.TargetLatency, MaxReplicas: maxReplicas,
 			Gather: &policy.Gather{Shards: shards, MinCoverage: kind.MinCoverage},
 		}
@@ -130,114 +130,115 @@
 
 func shardName(shard int) string { return fmt.Sprintf("shard-%d", shard) }
 
-func (w *world) route(kind Kind) *policy.Route { return w.routes[kind.Name] }
+func (s *simulation) route(kind Kind) *policy.Route { return s.routes[kind.Name] }
 
-func (w *world) nodeCount() int {
+func (s *simulation) nodeCount() int {
 	count := 0
-	for _, place := range w.pattern.DataCentres {
-		count += place.Nodes
+	for _, dataCentre := range s.pattern.DataCentres {
+		count += dataCentre.Nodes
 	}
 	return count
 }
 
-// connections is a node's share of a replica's connections, as the edge divides them.
-func (w *world) connections(place, of string) int {
-	near := 0
-	for _, one := range w.pattern.DataCentres {
-		if one.Name == of {
-			near = one.Nodes
+// connections returns a node's share of a replica's connections, divided as the edge divides them.
+func (s *simulation) connections(dataCentre, replicaDataCentre string) int {
+	localNodes := 0
+	for _, centre := range s.pattern.DataCentres {
+		if centre.Name == replicaDataCentre {
+			localNodes = centre.Nodes
 		}
 	}
-	return outlook.ConnectionsPerNode(w.pattern.Connections, w.nodeCount(), near, place == of)
+	return outlook.ConnectionsPerNode(s.pattern.Connections, s.nodeCount(), localNodes, dataCentre == replicaDataCentre)
 }
 
-// helper takes the nodes of a data centre in turn.
-func (w *world) helper(place string) *node {
-	w.turn++
-	for i := range w.nodes {
-		if one := w.nodes[(w.turn+i)%len(w.nodes)]; one.place.Name == place {
-			return one
+// helper returns the next node of a data centre in round-robin order, or nil.
+func (s *simulation) helper(dataCentre string) *node {
+	s.helperIndex++
+	for i := range s.nodes {
+		if n := s.nodes[(s.helperIndex+i)%len(s.nodes)]; n.dataCentre.Name == dataCentre {
+			return n
 		}
 	}
 	return nil
 }
 
-// strike sets a fault on replicas drawn by lot.
-func (w *world) strike(fault Fault) {
-	for _, shard := range w.random.Perm(w.pattern.Shards)[:fault.Shards] {
-		struck := w.byService[shardName(shard)]
+// scheduleFault schedules the begin and the end of a fault on random replicas.
+func (s *simulation) scheduleFault(fault Fault) {
+	for _, shard := range s.random.Perm(s.pattern.Shards)[:fault.Shards] {
+		affected := s.byService[shardName(shard)]
 		if !fault.AllReplicas {
-			i := w.random.IntN(len(struck))
-			struck = struck[i : i+1]
+			i := s.random.IntN(len(affected))
+			affected = affected[i : i+1]
 		}
-		for _, u := range struck {
-			w.clock.at(fault.At, func() { w.begin(u, fault) })
-			w.clock.at(fault.At+fault.Duration, func() { w.cease(u, fault) })
+		for _, u := range affected {
+			s.clock.at(fault.At, func() { s.beginFault(u, fault) })
+			s.clock.at(fault.At+fault.Duration, func() { s.endFault(u, fault) })
 		}
 	}
 }
 
-// forgottenAfter is when the registry drops a replica that is silent, restartSlow how much slower
-// one is that has just started, for restartFor.
+// registryTimeout is the time after which the registry removes a replica without heartbeats.
+// restartWorkFactor multiplies service times of a restarted replica for restartDuration.
 const (
-	forgottenAfter = 3600 * time.Millisecond
-	restartSlow    = 1.6
-	restartFor     = 3 * time.Second
+	registryTimeout   = 3600 * time.Millisecond
+	restartWorkFactor = 1.6
+	restartDuration   = 3 * time.Second
 )
 
-func (w *world) begin(u *upstream, fault Fault) {
+func (s *simulation) beginFault(u *upstream, fault Fault) {
 	if fault.WorkFactor > 0 {
-		u.slow *= fault.WorkFactor
+		u.workFactor *= fault.WorkFactor
 	}
-	u.refuses = max(u.refuses, fault.RefuseShare)
+	u.refuseShare = max(u.refuseShare, fault.RefuseShare)
 	if fault.Down {
 		u.crash()
-		w.clock.after(forgottenAfter, func() {
-			for _, n := range w.nodes {
+		s.clock.after(registryTimeout, func() {
+			for _, n := range s.nodes {
 				if u.down {
-					n.outlook.Replicas.Remove(u.entry.ID)
+					n.outlook.Replicas.Remove(u.replica.ID)
 				}
 			}
 		})
 	}
 }
 
-func (w *world) cease(u *upstream, fault Fault) {
+func (s *simulation) endFault(u *upstream, fault Fault) {
 	if fault.WorkFactor > 0 {
-		u.slow /= fault.WorkFactor
+		u.workFactor /= fault.WorkFactor
 	}
 	if fault.RefuseShare > 0 {
-		u.refuses = 0
+		u.refuseShare = 0
 	}
 	if fault.Down {
 		u.down = false
-		u.entry.Born++
-		u.slow *= restartSlow
-		w.clock.after(restartFor, func() { u.slow /= restartSlow })
-		for _, n := range w.nodes {
-			n.outlook.Replicas.Put(u.entry)
+		u.replica.Born++
+		u.workFactor *= restartWorkFactor
+		s.clock.after(restartDuration, func() { u.workFactor /= restartWorkFactor })
+		for _, n := range s.nodes {
+			n.outlook.Replicas.Put(u.replica)
 		}
 	}
 }
 
-// work draws the work of a send: log-normal around the kind's mean, one in a hundred five times as long.
-func (w *world) work(kind Kind) time.Duration {
+// drawWork draws the service time of a send: log-normal around the kind's mean, and five times as long
+// for one send in a hundred.
+func (s *simulation) drawWork(kind Kind) time.Duration {
 	const spread, tail, tailTimes = 0.35, 0.01, 5
-	work := float64(kind.MeanWork) * math.Exp(spread*w.random.NormFloat64()-spread*spread/2)
-	if w.random.Float64() < tail {
+	work := float64(kind.MeanWork) * math.Exp(spread*s.random.NormFloat64()-spread*spread/2)
+	if s.random.Float64() < tail {
 		work *= tailTimes
 	}
 	return time.Duration(work)
 }
 
-// nextCaller sets when the next request comes: a Poisson stream.
-func (w *world) nextCaller() {
-	wait := time.Duration(w.random.ExpFloat64() / w.pattern.Rate * float64(time.Second))
-	if w.clock.now+wait >= w.pattern.Duration {
+// scheduleNextRequest schedules the next request of a Poisson process.
+func (s *simulation) scheduleNextRequest() {
+	wait := time.Duration(s.random.ExpFloat64() / s.pattern.Rate * float64(time.Second))
+	if s.clock.now+wait >= s.pattern.Duration {
 		return
 	}
-	w.clock.after(wait, func() {
-		w.call()
-		w.nextCaller()
+	s.clock.after(wait, func() {
+		s.startRequest()
+		s.scheduleNextRequest()
 	})
 }
