--- a/internal/loadmodel/compare.go
+++ b/internal/loadmodel/compare.go
@@ -63,7 +63,7 @@
 }
 
 func (m *Means) add(r *Report, seeds float64) {
-	requests := float64(max(r.All.Asked, 1)) * seeds
+	requests := float64(max(r.All.Requests, 1)) * seeds
 	m.Credit += r.All.CreditShare() / seeds
 	m.WorstWindows += r.WorstWindows(worstWindows) / seeds
 	m.WithinTarget += float64(r.All.WithinTarget) / requests
--- a/internal/loadmodel/report.go
+++ b/internal/loadmodel/report.go
@@ -12,7 +12,7 @@
 
 // Sum holds the totals of a set of requests.
 type Sum struct {
-	Asked, WithinTarget, Late, Refused, Failed int
+	Requests, WithinTarget, Late, Refused, Failed int
 	// Complete counts answers that lack no part.
 	Complete                int
 	MaxCredit, EarnedCredit float64
@@ -49,7 +49,7 @@
 
 func (r *Report) addRequest(c *callerRequest) {
 	for _, s := range r.sums(c) {
-		s.Asked++
+		s.Requests++
 		s.MaxCredit += c.kind.Credit
 	}
 }
@@ -83,7 +83,7 @@
 func (r *Report) WorstWindows(count int) float64 {
 	shares := make([]float64, 0, len(r.Windows))
 	for _, window := range r.Windows {
-		if window.Asked > 0 {
+		if window.Requests > 0 {
 			shares = append(shares, window.CreditShare())
 		}
 	}
