--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -20,8 +20,8 @@
 type PlatformBehaviour struct {
 	// Down makes every call fail.
 	Down bool `yaml:"down"`
-	// Era is sent in the header of every response: the number of times the service
-	// was restored from a backup. 0 sends none.
+	// Era is the number of times the service was restored from a backup. It is sent
+	// in a header of every response but status 429. 0 sends none.
 	Era uint64 `yaml:"era"`
 	// FreezeConfig and FreezeVMs keep returning the value visible when they were
 	// set, although newer ones are published.
