--- a/internal/command/model.go
+++ b/internal/command/model.go
@@ -42,14 +42,14 @@
 func runModel(options modelOptions, out io.Writer) error {
 	if options.pattern == "" {
 		for _, pattern := range loadmodel.Patterns() {
-			_, _ = fmt.Fprintf(out, "%-14s %s\n", pattern.Name, pattern.About)
+			_, _ = fmt.Fprintf(out, "%-14s %s\n", pattern.Name, pattern.Description)
 		}
 		return nil
 	}
 	if options.seeds < 1 || options.seeds > maxModelSeeds {
 		return &fault.Error{Code: fault.CodeBadRequest, Message: fmt.Sprintf("--seeds %d is out of range", options.seeds), Fix: fmt.Sprintf("give 1 to %d", maxModelSeeds)}
 	}
-	pattern, err := loadmodel.Find(options.pattern)
+	pattern, err := loadmodel.FindPattern(options.pattern)
 	if err != nil {
 		return err
 	}
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -93,7 +93,7 @@
 	h.start("east", "west")
 	store, _ := h.startBehindProxies("east")
 	h.waitReady()
-	store.SetBoth(faultproxy.Faults{Cut: true})
+	store.SetBoth(faultproxy.Faults{Blocked: true})
 	h.store.Evacuate("east")
 	h.startOne("east", nil)
 	for _, one := range h.nodes[2:] {
--- a/internal/edge/partition_test.go
+++ b/internal/edge/partition_test.go
@@ -56,10 +56,10 @@
 	store, links := h.startBehindProxies("east")
 	h.waitReady()
 	alone := h.nodes[2]
-	store.SetBoth(faultproxy.Faults{Cut: true})
+	store.SetBoth(faultproxy.Faults{Blocked: true})
 	h.configure(2)
 	h.waitForVersion(alone, 2)
-	links.SetBoth(faultproxy.Faults{Cut: true})
+	links.SetBoth(faultproxy.Faults{Blocked: true})
 	h.configure(3)
 	h.waitForVersion(alone, 3)
 	for i := range 20 {
--- a/internal/edge/restored_test.go
+++ b/internal/edge/restored_test.go
@@ -116,7 +116,7 @@
 	for _, one := range h.nodes {
 		h.waitForVersion(one, 4)
 	}
-	store.SetBoth(faultproxy.Faults{Cut: true})
+	store.SetBoth(faultproxy.Faults{Blocked: true})
 	lost := h.restoreStore(backup)
 	h.recoverStore()
 	for _, one := range h.nodes {
@@ -297,8 +297,8 @@
 	for _, one := range h.nodes {
 		h.waitForVersion(one, 4)
 	}
-	store.SetBoth(faultproxy.Faults{Cut: true})
-	links.SetBoth(faultproxy.Faults{Cut: true})
+	store.SetBoth(faultproxy.Faults{Blocked: true})
+	links.SetBoth(faultproxy.Faults{Blocked: true})
 	lost := h.restoreStore(backup)
 	h.store.RewriteLost(lost[0])
 	h.configure(6)
