--- a/test/e2e/config_test.go
+++ b/test/e2e/config_test.go
@@ -38,23 +38,23 @@
 // back to the old text, and the next true revision comes into force.
 func TestConfigurationServiceDownAndRolledBack(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	text := harness.Text(upstreams.Addresses)
+	text := harness.ConfigText(upstreams.Addresses)
 	second := fleet.Publish(text)
 	fleet.AwaitReady(second)
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	fleet.Platform.Alter(harness.All, "{down: true}")
-	harness.Await(t, "reads fail", func() bool { return fleet.Platform.Reads().Failed >= 10 })
-	load.AwaitWhole(20)
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	fleet.Platform.PatchBehaviour(harness.AllReplicas, "{down: true}")
+	harness.Await(t, "reads fail", func() bool { return fleet.Platform.ReadCounts().Failed >= 10 })
+	load.AwaitComplete(20)
 	requireRevision(t, fleet, second)
 	fleet.Platform.Publish(second-1, strings.Replace(text, "timeout: 4s", "timeout: 1ms", 1))
-	fleet.Platform.Alter(harness.All, "{down: false}")
+	fleet.Platform.PatchBehaviour(harness.AllReplicas, "{down: false}")
 	awaitProblem(t, fleet, observe.KindConfigReverted)
-	load.AwaitWhole(20)
+	load.AwaitComplete(20)
 	requireRevision(t, fleet, second)
 	fleet.AwaitReady(fleet.Publish(text))
-	load.AwaitWhole(20)
-	require.Zero(t, load.Stop().Thin)
-	load.RequireHonest()
+	load.AwaitComplete(20)
+	require.Zero(t, load.Stop().Partial)
+	load.RequireCorrect()
 }
 
 // The configuration service answers from a stale replica: what operators publish
@@ -62,24 +62,24 @@
 // newest revision when it shows.
 func TestStaleConfigurationService(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	fleet.Platform.Alter(harness.All, "{freeze_config: true, freeze_vms: true}")
-	latest := fleet.Publish(harness.Text(upstreams.Addresses))
-	latest = max(latest, fleet.Publish(harness.Text(upstreams.Addresses)))
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(40)
+	fleet.Platform.PatchBehaviour(harness.AllReplicas, "{freeze_config: true, freeze_vms: true}")
+	latest := fleet.Publish(harness.ConfigText(upstreams.Addresses))
+	latest = max(latest, fleet.Publish(harness.ConfigText(upstreams.Addresses)))
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(40)
 	requireRevision(t, fleet, 1)
-	fleet.Platform.Alter(harness.All, "{freeze_config: false, freeze_vms: false}")
+	fleet.Platform.PatchBehaviour(harness.AllReplicas, "{freeze_config: false, freeze_vms: false}")
 	fleet.AwaitReady(latest)
-	load.AwaitWhole(20)
+	load.AwaitComplete(20)
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 }
 
 // An operator publishes a text with a mistake. The former revision stays in
 // force on every node, and the corrected one follows it.
 func TestInvalidRevisionIsRefused(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	text := harness.Text(upstreams.Addresses)
+	text := harness.ConfigText(upstreams.Addresses)
 	fleet.Publish(strings.Replace(text, "slots: 2", "slots: 0", 1))
 	for _, n := range fleet.Nodes() {
 		var refused struct{}
@@ -94,12 +94,12 @@
 // from the other nodes.
 func TestNewNodeNeverServesAnOlderRevision(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	text := harness.Text(upstreams.Addresses)
+	text := harness.ConfigText(upstreams.Addresses)
 	latest := fleet.Publish(text)
 	fleet.AwaitReady(latest)
 	fleet.Platform.Publish(latest-1, text)
 	late := fleet.Add(harness.NodeOptions{})
-	fleet.List()
+	fleet.PublishVMList()
 	fleet.AwaitReady(latest)
 	require.NotContains(t, late.Output(), fmt.Sprintf(`"revision":%d`, latest-1), "the older revision was never in force")
 }
--- a/test/e2e/harness/fleet.go
+++ b/test/e2e/harness/fleet.go
@@ -128,14 +128,14 @@
 	return n
 }
 
-// Succeed starts a node in the place of another one, which is then listed as leaving.
-func (f *Fleet) Succeed(old *Node, options NodeOptions) {
+// AddSuccessor starts a node in the place of another one, which is then listed as leaving.
+func (f *Fleet) AddSuccessor(old *Node, options NodeOptions) {
 	f.t.Helper()
 	f.Add(options)
-	f.List()
+	f.PublishVMList()
 	f.AwaitReady(1)
 	old.VM.State = confservice.VMLeaving
-	f.List()
+	f.PublishVMList()
 }
 
 // Remove takes a node off the fleet's list; List publishes it.
@@ -152,14 +152,14 @@
 // Nodes are the fleet's nodes in the order of their start.
 func (f *Fleet) Nodes() []*Node { return f.nodes }
 
-// List publishes the VM list of the fleet's nodes.
-func (f *Fleet) List() {
+// PublishVMList publishes the VM list of the fleet's nodes.
+func (f *Fleet) PublishVMList() {
 	f.t.Helper()
 	var vms []confservice.VM
 	for _, n := range f.nodes {
 		vms = append(vms, n.VM)
 	}
-	f.Platform.List(vms)
+	f.Platform.SetVMs(vms)
 }
 
 // Publish publishes the text as the next revision and returns it.
@@ -189,8 +189,8 @@
 	require.FailNow(f.t, string(n.VM.ID)+" owns no bundle of the text")
 }
 
-// Callers are the callers' addresses of the fleet's nodes.
-func (f *Fleet) Callers() []string {
+// CallerAddresses are the callers' addresses of the fleet's nodes.
+func (f *Fleet) CallerAddresses() []string {
 	var list []string
 	for _, n := range f.nodes {
 		list = append(list, n.VM.CallerAddress)
@@ -206,7 +206,7 @@
 	for range nodes {
 		f.Add(options)
 	}
-	f.List()
+	f.PublishVMList()
 	f.AwaitReady(f.Publish(text))
 	return f
 }
--- a/test/e2e/harness/invoices.go
+++ b/test/e2e/harness/invoices.go
@@ -29,8 +29,8 @@
 	submitPause   = 20 * time.Millisecond
 )
 
-// LedgerText writes the operators' text of the Ledger service alone.
-func LedgerText(addresses []string) string {
+// LedgerConfigText writes the operators' text of the Ledger service alone.
+func LedgerConfigText(addresses []string) string {
 	var b strings.Builder
 	b.WriteString("version: 1\npolicy: {bundle_size: 1}\nindexes: [ledger]\nservices:\n")
 	fmt.Fprintf(&b, "  - name: %s\n    index: ledger\n    idempotent: false\n    slots: 3\n    connections: 100\n    connect_cost: 1ms\n    timeout: 2s\n    shards:\n", Ledger)
@@ -186,9 +186,9 @@
 	Await(v.t, fmt.Sprintf("%d more invoices not run", more), func() bool { return v.sums().notRun >= from+more })
 }
 
-// AwaitTried waits until so many more keys have had their tries, whatever the
+// AwaitFinished waits until so many more keys have had their tries, whatever the
 // end.
-func (v *Invoices) AwaitTried(more int) {
+func (v *Invoices) AwaitFinished(more int) {
 	v.t.Helper()
 	from := v.sums().tried
 	Await(v.t, fmt.Sprintf("%d more invoices tried", more), func() bool { return v.sums().tried >= from+more })
--- a/test/e2e/harness/load.go
+++ b/test/e2e/harness/load.go
@@ -40,16 +40,16 @@
 
 // Tally is what a load has seen.
 type Tally struct {
-	Whole int
-	Thin  int
+	Complete int
+	Partial  int
 	// Answered counts each caller's answers, whole or thin.
 	Answered []int
 	// Failed counts typed failures by code and outcome, such as "lost/unknown".
 	Failed map[string]int
 	// Unexpected lists failures of entries that were not exempt.
 	Unexpected []string
-	// Wrong lists answers that break a promise, and questions without an end.
-	Wrong    []string
+	// Violations lists answers that break a promise, and questions without an end.
+	Violations    []string
 	Versions map[core.Version]int
 	// MissingReasons counts why shards were missing from thin answers.
 	MissingReasons map[core.Reason]int
@@ -60,8 +60,8 @@
 	return startLoad(t, callers, endless, entries)
 }
 
-// AskOnce asks one question from each caller.
-func AskOnce(t testing.TB, callers int, entries ...string) *Load {
+// QueryOnce asks one question from each caller.
+func QueryOnce(t testing.TB, callers int, entries ...string) *Load {
 	return startLoad(t, callers, 1, entries)
 }
 
@@ -72,16 +72,16 @@
 	t.Cleanup(func() {
 		tally := l.Stop()
 		if t.Failed() {
-			t.Logf("load: %d whole, %d thin, missing %v, failed %v, versions %v", tally.Whole, tally.Thin, tally.MissingReasons, tally.Failed, tally.Versions)
+			t.Logf("load: %d whole, %d thin, missing %v, failed %v, versions %v", tally.Complete, tally.Partial, tally.MissingReasons, tally.Failed, tally.Versions)
 		}
 	})
 	return l
 }
 
-// KeepAddresses makes the callers do as callers should: they ask an entry that
+// CacheAddresses makes the callers do as callers should: they ask an entry that
 // they know for the addresses to use, keep the answer for as long as it says, and
 // then ask again.
-func (l *Load) KeepAddresses() {
+func (l *Load) CacheAddresses() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.keep = true
@@ -112,26 +112,26 @@
 	return tally
 }
 
-// RequireHonest fails the test when an answer broke a promise, a question had no
+// RequireCorrect fails the test when an answer broke a promise, a question had no
 // end, or an entry that is not exempt failed one.
-func (l *Load) RequireHonest() {
+func (l *Load) RequireCorrect() {
 	l.t.Helper()
 	tally := l.Tally()
-	require.Empty(l.t, tally.Wrong)
+	require.Empty(l.t, tally.Violations)
 	require.Empty(l.t, tally.Unexpected)
 }
 
-// AwaitWhole waits for so many more whole answers.
-func (l *Load) AwaitWhole(more int) {
+// AwaitComplete waits for so many more whole answers.
+func (l *Load) AwaitComplete(more int) {
 	l.t.Helper()
-	from := l.Tally().Whole
-	Await(l.t, fmt.Sprintf("%d more whole answers", more), func() bool { return l.Tally().Whole >= from+more })
+	from := l.Tally().Complete
+	Await(l.t, fmt.Sprintf("%d more whole answers", more), func() bool { return l.Tally().Complete >= from+more })
 }
 
-// AwaitEach waits until every caller got so many more answers: a caller whose
+// AwaitEachCaller waits until every caller got so many more answers: a caller whose
 // question is held up gets none meanwhile, so that all that were held up at the
 // start have ended.
-func (l *Load) AwaitEach(more int) {
+func (l *Load) AwaitEachCaller(more int) {
 	l.t.Helper()
 	from := l.Tally().Answered
 	Await(l.t, fmt.Sprintf("%d more answers for each caller", more), func() bool {
@@ -199,16 +199,16 @@
 		l.recordFailure(entry, err)
 		return false
 	}
-	if problem := Check(id, reply); problem != nil {
-		l.tally.Wrong = append(l.tally.Wrong, problem.Error())
+	if problem := CheckReply(id, reply); problem != nil {
+		l.tally.Violations = append(l.tally.Violations, problem.Error())
 	}
 	l.tally.Answered[caller]++
 	l.tally.Versions[reply.Version]++
 	if !reply.Coverage.Thin {
-		l.tally.Whole++
+		l.tally.Complete++
 		return true
 	}
-	l.tally.Thin++
+	l.tally.Partial++
 	for _, missing := range reply.Coverage.Missing {
 		l.tally.MissingReasons[missing.Reason]++
 	}
@@ -220,7 +220,7 @@
 	name := string(typed.Code) + "/" + typed.Outcome.String()
 	l.tally.Failed[name]++
 	if errors.Is(err, context.DeadlineExceeded) {
-		l.tally.Wrong = append(l.tally.Wrong, "a question to "+entry+" had no end: "+err.Error())
+		l.tally.Violations = append(l.tally.Violations, "a question to "+entry+" had no end: "+err.Error())
 	}
 	if !l.exempt[entry] {
 		l.tally.Unexpected = append(l.tally.Unexpected, entry+": "+err.Error())
@@ -235,10 +235,10 @@
 	Versions []core.Version `json:"dependency_versions"`
 }
 
-// Check tests an answer against the promises: it is to this question, its parts
+// CheckReply tests an answer against the promises: it is to this question, its parts
 // and their dependencies' parts are of the one version that it states, and its
 // coverage counts the parts at hand and names the missing ones.
-func Check(id string, reply api.QueryReply) error {
+func CheckReply(id string, reply api.QueryReply) error {
 	coverage := reply.Coverage
 	switch {
 	case reply.RequestID != id:
--- a/test/e2e/harness/process.go
+++ b/test/e2e/harness/process.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// AwaitLimit ends a test whose awaited condition never comes. It is far above
+	// AwaitTimeout ends a test whose awaited condition never comes. It is far above
 	// what any condition takes, so that a slow machine changes no verdict.
-	AwaitLimit = 30 * time.Second
+	AwaitTimeout = 30 * time.Second
 	awaitPause = 5 * time.Millisecond
 	shownBytes = 8 << 10
 )
@@ -43,7 +43,7 @@
 // Await waits until the condition holds, and fails the test when it never does.
 func Await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(AwaitLimit); time.Now().Before(deadline); time.Sleep(awaitPause) {
+	for deadline := time.Now().Add(AwaitTimeout); time.Now().Before(deadline); time.Sleep(awaitPause) {
 		if condition() {
 			return
 		}
--- a/test/e2e/harness/sender.go
+++ b/test/e2e/harness/sender.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Use replaces the entries to send through.
-func (s *sender) Use(entries ...string) {
+// UseEntries replaces the entries to send through.
+func (s *sender) UseEntries(entries ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.entries = entries
--- a/test/e2e/harness/shipped.go
+++ b/test/e2e/harness/shipped.go
@@ -11,20 +11,20 @@
 	"github.com/pistachiopier/pistachiopier/internal/catalog"
 )
 
-// Shipped is one of the texts under examples/.
-type Shipped struct {
+// Example is one of the texts under examples/.
+type Example struct {
 	text     *catalog.Catalog
 	Replicas int
 }
 
-// ReadShipped reads a text under examples/.
-func ReadShipped(t testing.TB, path string) *Shipped {
+// ReadExample reads a text under examples/.
+func ReadExample(t testing.TB, path string) *Example {
 	t.Helper()
 	written, err := os.ReadFile(path)
 	require.NoError(t, err)
 	text, err := catalog.Parse(written)
 	require.NoError(t, err)
-	shipped := &Shipped{text: text}
+	shipped := &Example{text: text}
 	for _, service := range text.Services {
 		for _, shard := range service.Shards {
 			shipped.Replicas += len(shard.Replicas)
@@ -33,8 +33,8 @@
 	return shipped
 }
 
-// At writes the text with the replicas at the given addresses, in order.
-func (s *Shipped) At(addresses []string) string {
+// TextAt writes the text with the replicas at the given addresses, in order.
+func (s *Example) TextAt(addresses []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\nindexes: [%s]\nservices:\n", strings.Join(s.text.Indexes, ", "))
 	for _, name := range s.text.Names {
--- a/test/e2e/harness/standins.go
+++ b/test/e2e/harness/standins.go
@@ -22,8 +22,8 @@
 	Control   string   `json:"control"`
 }
 
-// All names every replica of a stand-in process.
-const All = -1
+// AllReplicas names every replica of a stand-in process.
+const AllReplicas = -1
 
 // StartUpstreams runs one process with the replicas; behaviour is YAML.
 func StartUpstreams(t testing.TB, binary string, replicas int, behaviour string) *StandIn {
@@ -39,11 +39,11 @@
 	return s
 }
 
-// Alter changes the keys written, of one replica or of All.
-func (s *StandIn) Alter(replica int, behaviour string) {
+// PatchBehaviour changes the keys written, of one replica or of All.
+func (s *StandIn) PatchBehaviour(replica int, behaviour string) {
 	s.t.Helper()
 	path := standin.PathBehaviour
-	if replica != All {
+	if replica != AllReplicas {
 		path += fmt.Sprintf("?%s=%d", standin.ParamReplica, replica)
 	}
 	s.call(http.MethodPatch, path, []byte(behaviour), nil)
@@ -85,14 +85,14 @@
 	p.put(standin.PathPublish, confservice.Config{Revision: revision, Text: text})
 }
 
-// List sets the VM list.
-func (p *Platform) List(vms []confservice.VM) {
+// SetVMs sets the VM list.
+func (p *Platform) SetVMs(vms []confservice.VM) {
 	p.t.Helper()
 	p.put(standin.PathSetVMs, vms)
 }
 
-// Reads counts the calls to the platform so far.
-func (p *Platform) Reads() standin.PlatformCounts {
+// ReadCounts counts the calls to the platform so far.
+func (p *Platform) ReadCounts() standin.PlatformCounts {
 	p.t.Helper()
 	var counts standin.PlatformCounts
 	p.call(http.MethodGet, standin.PathCounts, nil, &counts)
--- a/test/e2e/harness/text.go
+++ b/test/e2e/harness/text.go
@@ -15,11 +15,11 @@
 	bundleSize = 4
 )
 
-// Text writes the operators' text of Services services of Replicas replicas
+// ConfigText writes the operators' text of Services services of Replicas replicas
 // each, at the addresses in order; the first service is the Lead. The
 // addresses of draining replicas are marked so. Bundles are spread over the data
 // centres: a bundle's owner is a node of its data centre.
-func Text(addresses []string, draining ...string) string {
+func ConfigText(addresses []string, draining ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\npolicy: {bundle_size: %d}\nindexes: [prices]\nservices:\n", bundleSize)
 	var others []string
--- a/test/e2e/main_test.go
+++ b/test/e2e/main_test.go
@@ -48,5 +48,5 @@
 func start(t *testing.T, options harness.NodeOptions) (*harness.Fleet, *harness.StandIn) {
 	t.Helper()
 	upstreams := harness.StartUpstreams(t, binary, replicas, upstreamBehaviour)
-	return harness.StartFleet(t, binary, 3, harness.Text(upstreams.Addresses), options), upstreams
+	return harness.StartFleet(t, binary, 3, harness.ConfigText(upstreams.Addresses), options), upstreams
 }
--- a/test/e2e/node_test.go
+++ b/test/e2e/node_test.go
@@ -14,7 +14,7 @@
 // today's searches, and reads from each that the answer is whole.
 func TestEveryNodeAnswersTheCommandLine(t *testing.T) {
 	fleet, _ := start(t, harness.NodeOptions{})
-	for _, address := range fleet.Callers() {
+	for _, address := range fleet.CallerAddresses() {
 		out, err := exec.Command(binary, "query", harness.Lead, "--address", address, "--question", `"pork shoulder"`).CombinedOutput()
 		require.NoError(t, err, string(out))
 		require.Contains(t, string(out), "plate-costing: whole answer, 20 of 20 shards")
@@ -27,19 +27,19 @@
 // without end.
 func TestKilledNodeLosesNoOtherAnswer(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(50)
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(50)
 	victim := fleet.Nodes()[1]
-	fleet.RequireOwner(victim, harness.Text(upstreams.Addresses))
+	fleet.RequireOwner(victim, harness.ConfigText(upstreams.Addresses))
 	load.Exempt(victim.VM.CallerAddress)
 	victim.Kill()
 	fleet.Remove(victim)
-	load.Use(fleet.Callers()...)
-	load.AwaitWhole(10)
-	fleet.List()
-	load.AwaitWhole(50)
+	load.UseEntries(fleet.CallerAddresses()...)
+	load.AwaitComplete(10)
+	fleet.PublishVMList()
+	load.AwaitComplete(50)
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 }
 
 // A VM is suspended by its host for a while and wakes up. The others answer
@@ -47,19 +47,19 @@
 // answers whole again.
 func TestPausedNode(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(20)
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(20)
 	paused := fleet.Nodes()[2]
-	fleet.RequireOwner(paused, harness.Text(upstreams.Addresses))
+	fleet.RequireOwner(paused, harness.ConfigText(upstreams.Addresses))
 	load.Exempt(paused.VM.CallerAddress)
-	load.Use(fleet.Callers()[:2]...)
+	load.UseEntries(fleet.CallerAddresses()[:2]...)
 	paused.Pause()
-	load.AwaitWhole(20)
+	load.AwaitComplete(20)
 	paused.Resume()
-	load.Use(paused.VM.CallerAddress)
-	load.AwaitWhole(20)
+	load.UseEntries(paused.VM.CallerAddress)
+	load.AwaitComplete(20)
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 }
 
 // The network between data centres splits one node from the two others, in both
@@ -68,23 +68,23 @@
 // still does when the split heals.
 func TestPartitionBetweenNodes(t *testing.T) {
 	upstreams := harness.StartUpstreams(t, binary, replicas, upstreamBehaviour)
-	text := harness.Text(upstreams.Addresses)
+	text := harness.ConfigText(upstreams.Addresses)
 	split := harness.NewSplitFleet(t, binary, 2, 1, text)
 	for _, n := range split.Nodes() {
 		split.RequireOwner(n, text)
 	}
-	load := harness.StartLoad(t, callers, split.Callers()...)
-	load.AwaitWhole(20)
+	load := harness.StartLoad(t, callers, split.CallerAddresses()...)
+	load.AwaitComplete(20)
 	split.Cut()
-	for _, address := range split.Callers() {
-		load.Use(address)
-		load.AwaitWhole(10)
+	for _, address := range split.CallerAddresses() {
+		load.UseEntries(address)
+		load.AwaitComplete(10)
 	}
 	split.Heal()
-	load.Use(split.Callers()...)
-	load.AwaitWhole(40)
+	load.UseEntries(split.CallerAddresses()...)
+	load.AwaitComplete(40)
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 	for _, counts := range upstreams.Counts() {
 		require.LessOrEqual(t, counts.MostOpen, 25, "both sides' owners together keep to the connection limit")
 		require.Zero(t, counts.Rejected)
@@ -99,23 +99,23 @@
 	// Two questions at the stopping node and two at the others fill the slots of
 	// every shard, and each runs long enough to be seen in flight.
 	const asking = callers / 2
-	upstreams.Alter(harness.All, "{service: 400ms}")
+	upstreams.PatchBehaviour(harness.AllReplicas, "{service: 400ms}")
 	stopped := fleet.Nodes()[0]
-	fleet.RequireOwner(stopped, harness.Text(upstreams.Addresses))
-	others := harness.StartLoad(t, asking, fleet.Callers()[1:]...)
-	others.AwaitWhole(2)
-	own := harness.AskOnce(t, asking, stopped.VM.CallerAddress)
+	fleet.RequireOwner(stopped, harness.ConfigText(upstreams.Addresses))
+	others := harness.StartLoad(t, asking, fleet.CallerAddresses()[1:]...)
+	others.AwaitComplete(2)
+	own := harness.QueryOnce(t, asking, stopped.VM.CallerAddress)
 	harness.Await(t, "every question is in flight", func() bool {
 		status, ok := stopped.Status()
 		return ok && status.InFlight == asking
 	})
 	stopped.Signal(syscall.SIGTERM)
 	require.Zero(t, stopped.AwaitExit())
-	harness.Await(t, "every question is answered", func() bool { return own.Tally().Whole == asking })
-	own.RequireHonest()
-	others.AwaitWhole(4)
-	require.Zero(t, others.Stop().Thin)
-	others.RequireHonest()
+	harness.Await(t, "every question is answered", func() bool { return own.Tally().Complete == asking })
+	own.RequireCorrect()
+	others.AwaitComplete(4)
+	require.Zero(t, others.Stop().Partial)
+	others.RequireCorrect()
 }
 
 // Every VM is replaced during service, one after the other: a new node joins,
@@ -123,24 +123,24 @@
 // the old node is stopped. No question fails.
 func TestRollingReplacementOfAllNodes(t *testing.T) {
 	fleet, _ := start(t, harness.NodeOptions{Settings: shortTTL})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	for _, old := range append([]*harness.Node(nil), fleet.Nodes()...) {
-		fleet.Succeed(old, harness.NodeOptions{Settings: shortTTL})
+		fleet.AddSuccessor(old, harness.NodeOptions{Settings: shortTTL})
 		fleet.Remove(old)
-		load.Use(fleet.Callers()...)
+		load.UseEntries(fleet.CallerAddresses()...)
 		harness.Await(t, "no question is left on the leaving node", func() bool {
 			status, ok := old.Status()
 			return ok && status.InFlight == 0
 		})
 		old.Signal(syscall.SIGTERM)
 		require.Zero(t, old.AwaitExit())
-		fleet.List()
+		fleet.PublishVMList()
 		fleet.AwaitReady(1)
-		load.AwaitWhole(20)
+		load.AwaitComplete(20)
 	}
 	tally := load.Stop()
-	load.RequireHonest()
-	require.Zero(t, tally.Thin, tally.MissingReasons)
+	load.RequireCorrect()
+	require.Zero(t, tally.Partial, tally.MissingReasons)
 }
 
 // A caller keeps the address answer for a while and connects by it. A node that
@@ -148,22 +148,22 @@
 // on to serve until the answers given out have expired, and no question fails.
 func TestStoppingNodeServesUntilAddressesExpire(t *testing.T) {
 	fleet, _ := start(t, harness.NodeOptions{Settings: shortTTL})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.KeepAddresses()
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.CacheAddresses()
 	for _, old := range append([]*harness.Node(nil), fleet.Nodes()...) {
-		load.AwaitWhole(20)
-		fleet.Succeed(old, harness.NodeOptions{Settings: shortTTL})
+		load.AwaitComplete(20)
+		fleet.AddSuccessor(old, harness.NodeOptions{Settings: shortTTL})
 		old.Signal(syscall.SIGTERM)
 		require.Zero(t, old.AwaitExit())
 		fleet.Remove(old)
-		fleet.List()
+		fleet.PublishVMList()
 		fleet.AwaitReady(1)
-		load.RequireHonest()
+		load.RequireCorrect()
 	}
-	load.AwaitWhole(20)
+	load.AwaitComplete(20)
 	tally := load.Stop()
-	load.RequireHonest()
-	require.Zero(t, tally.Thin, tally.MissingReasons)
+	load.RequireCorrect()
+	require.Zero(t, tally.Partial, tally.MissingReasons)
 }
 
 // A middlebox between the nodes has lost track of their open flows: datagrams go
@@ -172,14 +172,14 @@
 // node of each order.
 func TestSilentFlowsBetweenNodesAreReplaced(t *testing.T) {
 	upstreams := harness.StartUpstreams(t, binary, replicas, upstreamBehaviour)
-	split := harness.NewSplitFleet(t, binary, 2, 1, harness.Text(upstreams.Addresses))
-	load := harness.StartLoad(t, callers, split.Callers()...)
-	load.AwaitWhole(20)
+	split := harness.NewSplitFleet(t, binary, 2, 1, harness.ConfigText(upstreams.Addresses))
+	load := harness.StartLoad(t, callers, split.CallerAddresses()...)
+	load.AwaitComplete(20)
 	proxy := split.FirstToSecond[0]
 	flows := proxy.Flows()
 	proxy.Silence()
-	load.AwaitWhole(20)
+	load.AwaitComplete(20)
 	harness.Await(t, "new flows through the proxy", func() bool { return proxy.Flows() > flows })
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 }
--- a/test/e2e/shipped_test.go
+++ b/test/e2e/shipped_test.go
@@ -18,15 +18,15 @@
 		{"brightwater.yaml", "pitching-search", "licence-records-01"},
 	} {
 		t.Run(one.file, func(t *testing.T) {
-			shipped := harness.ReadShipped(t, "../../examples/"+one.file)
+			shipped := harness.ReadExample(t, "../../examples/"+one.file)
 			upstreams := harness.StartUpstreams(t, binary, shipped.Replicas, upstreamBehaviour)
-			fleet := harness.StartFleet(t, binary, 3, shipped.At(upstreams.Addresses), harness.NodeOptions{})
-			for _, address := range fleet.Callers() {
+			fleet := harness.StartFleet(t, binary, 3, shipped.TextAt(upstreams.Addresses), harness.NodeOptions{})
+			for _, address := range fleet.CallerAddresses() {
 				out, err := exec.Command(binary, "query", one.search, "--address", address).CombinedOutput()
 				require.NoError(t, err, string(out))
 				require.Contains(t, string(out), one.search+": whole answer, 20 of 20 shards")
 			}
-			out, err := exec.Command(binary, "submit", one.record, "--address", fleet.Callers()[0], "--payload", `{"total":120}`).CombinedOutput()
+			out, err := exec.Command(binary, "submit", one.record, "--address", fleet.CallerAddresses()[0], "--payload", `{"total":120}`).CombinedOutput()
 			require.NoError(t, err, string(out))
 			require.Contains(t, string(out), "DONE: it ran once")
 		})
--- a/test/e2e/start_test.go
+++ b/test/e2e/start_test.go
@@ -18,17 +18,17 @@
 	fleet, upstreams := start(t, harness.NodeOptions{})
 	foreign, err := keys.NewAuthority(time.Now(), time.Hour)
 	require.NoError(t, err)
-	good := fleet.Callers()
+	good := fleet.CallerAddresses()
 	intruder := fleet.Add(harness.NodeOptions{Authority: foreign})
-	fleet.List()
-	fleet.RequireOwner(intruder, harness.Text(upstreams.Addresses))
+	fleet.PublishVMList()
+	fleet.RequireOwner(intruder, harness.ConfigText(upstreams.Addresses))
 	load := harness.StartLoad(t, callers, good...)
 	for _, n := range fleet.Nodes()[:len(good)] {
 		n.AwaitEvent("peer_certificate_refused", &struct{}{})
 	}
-	load.AwaitWhole(100)
-	require.Zero(t, load.Stop().Thin)
-	load.RequireHonest()
+	load.AwaitComplete(100)
+	require.Zero(t, load.Stop().Partial)
+	load.RequireCorrect()
 }
 
 // A node's caller port is taken by another process. It says so, with the address
--- a/test/e2e/submit_test.go
+++ b/test/e2e/submit_test.go
@@ -14,8 +14,8 @@
 func startLedger(t *testing.T) (*harness.Fleet, *harness.StandIn, *harness.Invoices) {
 	t.Helper()
 	upstreams := harness.StartUpstreams(t, binary, harness.LedgerReplicas, ledgerBehaviour)
-	fleet := harness.StartFleet(t, binary, 3, harness.LedgerText(upstreams.Addresses), harness.NodeOptions{Settings: shortTTL})
-	invoices := harness.StartInvoices(t, callers, fleet.Callers()...)
+	fleet := harness.StartFleet(t, binary, 3, harness.LedgerConfigText(upstreams.Addresses), harness.NodeOptions{Settings: shortTTL})
+	invoices := harness.StartInvoices(t, callers, fleet.CallerAddresses()...)
 	invoices.AwaitDone(30)
 	return fleet, upstreams, invoices
 }
@@ -25,11 +25,11 @@
 // its two tries met replicas before and after the change.
 func TestRefusedInvoicesDidNotRun(t *testing.T) {
 	_, upstreams, invoices := startLedger(t)
-	upstreams.Alter(harness.All, "{shed_share: 1}")
+	upstreams.PatchBehaviour(harness.AllReplicas, "{shed_share: 1}")
 	invoices.AwaitNotRun(10)
-	upstreams.Alter(harness.All, "{shed_share: 0.3}")
-	invoices.AwaitTried(30)
-	upstreams.Alter(harness.All, "{shed_share: 0}")
+	upstreams.PatchBehaviour(harness.AllReplicas, "{shed_share: 0.3}")
+	invoices.AwaitFinished(30)
+	upstreams.PatchBehaviour(harness.AllReplicas, "{shed_share: 0}")
 	invoices.AwaitDone(30)
 	invoices.RequireAtMostOnce(upstreams)
 }
@@ -41,10 +41,10 @@
 	fleet, upstreams, invoices := startLedger(t)
 	victim := fleet.Nodes()[1]
 	victim.Kill()
-	invoices.AwaitTried(callers)
+	invoices.AwaitFinished(callers)
 	fleet.Remove(victim)
-	fleet.List()
-	invoices.Use(fleet.Callers()...)
+	fleet.PublishVMList()
+	invoices.UseEntries(fleet.CallerAddresses()...)
 	invoices.AwaitDone(30)
 	invoices.RequireAtMostOnce(upstreams)
 }
@@ -55,7 +55,7 @@
 	fleet, upstreams, invoices := startLedger(t)
 	paused := fleet.Nodes()[0]
 	paused.Pause()
-	invoices.AwaitTried(2 * callers)
+	invoices.AwaitFinished(2 * callers)
 	paused.Resume()
 	invoices.AwaitDone(30)
 	invoices.RequireAtMostOnce(upstreams)
@@ -66,11 +66,11 @@
 // holds a key's home may run it.
 func TestInvoicesDuringAPartition(t *testing.T) {
 	upstreams := harness.StartUpstreams(t, binary, harness.LedgerReplicas, ledgerBehaviour)
-	split := harness.NewSplitFleet(t, binary, 2, 1, harness.LedgerText(upstreams.Addresses))
-	invoices := harness.StartInvoices(t, callers, split.Callers()...)
+	split := harness.NewSplitFleet(t, binary, 2, 1, harness.LedgerConfigText(upstreams.Addresses))
+	invoices := harness.StartInvoices(t, callers, split.CallerAddresses()...)
 	invoices.AwaitDone(30)
 	split.Cut()
-	invoices.AwaitTried(2 * callers)
+	invoices.AwaitFinished(2 * callers)
 	split.Heal()
 	invoices.AwaitDone(30)
 	invoices.RequireAtMostOnce(upstreams)
@@ -81,12 +81,12 @@
 func TestInvoicesDuringARollingReplacement(t *testing.T) {
 	fleet, upstreams, invoices := startLedger(t)
 	for _, old := range append([]*harness.Node(nil), fleet.Nodes()...) {
-		fleet.Succeed(old, harness.NodeOptions{Settings: shortTTL})
+		fleet.AddSuccessor(old, harness.NodeOptions{Settings: shortTTL})
 		old.Signal(syscall.SIGTERM)
 		fleet.Remove(old)
-		invoices.Use(fleet.Callers()...)
+		invoices.UseEntries(fleet.CallerAddresses()...)
 		require.Zero(t, old.AwaitExit())
-		fleet.List()
+		fleet.PublishVMList()
 		fleet.AwaitReady(1)
 		invoices.AwaitDone(20)
 	}
--- a/test/e2e/upstream_test.go
+++ b/test/e2e/upstream_test.go
@@ -17,18 +17,18 @@
 // them. No answer mixes versions, and in the end all are of the new one.
 func TestIndexChangesUnderLoad(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(20)
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(20)
 	for version := 43; version <= 45; version++ {
 		versions := "{versions: [" + strconv.Itoa(version-1) + ", " + strconv.Itoa(version) + "]}"
 		for replica := range replicas {
-			upstreams.Alter(replica, versions)
+			upstreams.PatchBehaviour(replica, versions)
 		}
-		load.AwaitWhole(20)
+		load.AwaitComplete(20)
 	}
 	harness.Await(t, "answers of version 45", func() bool { return load.Tally().Versions[core.Version(45)] >= 20 })
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 }
 
 // drainLimit is the few seconds after which a draining upstream gets no new work.
@@ -42,36 +42,36 @@
 // nothing new reaches it, from any node, and answers stay whole by its twin.
 func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(50)
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(50)
 	require.Positive(t, arrived(upstreams, 0))
-	upstreams.Alter(0, "{draining: true}")
+	upstreams.PatchBehaviour(0, "{draining: true}")
 	drained := time.Now()
 	harness.Await(t, "the few seconds are over", func() bool { return time.Since(drained) > drainLimit })
 	settled := arrived(upstreams, 0)
-	load.AwaitWhole(500)
+	load.AwaitComplete(500)
 	require.Equal(t, settled, arrived(upstreams, 0))
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 }
 
 // An operator marks a replica as draining in the text. Once the revision is in
 // force everywhere nothing new reaches it.
 func TestReplicaDrainedByTheText(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(50)
-	fleet.AwaitReady(fleet.Publish(harness.Text(upstreams.Addresses, upstreams.Addresses[0])))
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(50)
+	fleet.AwaitReady(fleet.Publish(harness.ConfigText(upstreams.Addresses, upstreams.Addresses[0])))
 	harness.Await(t, "many answers without a request to the draining replica", func() bool {
 		before := arrived(upstreams, 0)
-		load.AwaitWhole(50)
+		load.AwaitComplete(50)
 		return arrived(upstreams, 0) == before
 	})
 	settled := arrived(upstreams, 0)
-	load.AwaitWhole(200)
+	load.AwaitComplete(200)
 	require.Equal(t, settled, arrived(upstreams, 0))
-	require.Zero(t, load.Stop().Thin)
-	load.RequireHonest()
+	require.Zero(t, load.Stop().Partial)
+	load.RequireCorrect()
 }
 
 // The VM of one replica is suspended: its connections stay open and answer
@@ -80,16 +80,16 @@
 func TestPausedUpstream(t *testing.T) {
 	paused := harness.StartUpstreams(t, binary, 1, upstreamBehaviour)
 	others := harness.StartUpstreams(t, binary, replicas-1, upstreamBehaviour)
-	text := harness.Text(append(append([]string(nil), paused.Addresses...), others.Addresses...))
+	text := harness.ConfigText(append(append([]string(nil), paused.Addresses...), others.Addresses...))
 	fleet := harness.StartFleet(t, binary, 3, text, harness.NodeOptions{})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(20)
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(20)
 	paused.Pause()
-	load.AwaitEach(3)
+	load.AwaitEachCaller(3)
 	paused.Resume()
-	load.AwaitWhole(50)
+	load.AwaitComplete(50)
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 }
 
 // Something between the nodes and both replicas of one shard has lost track of
@@ -106,16 +106,16 @@
 		addresses[i] = proxy.Address()
 		proxies = append(proxies, proxy)
 	}
-	fleet := harness.StartFleet(t, binary, 3, harness.Text(addresses), harness.NodeOptions{})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(50)
+	fleet := harness.StartFleet(t, binary, 3, harness.ConfigText(addresses), harness.NodeOptions{})
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(50)
 	for _, proxy := range proxies {
 		require.Positive(t, proxy.Flows())
 		proxy.Silence()
 	}
-	load.AwaitWhole(100)
+	load.AwaitComplete(100)
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 	for _, proxy := range proxies {
 		require.Positive(t, proxy.Dropped(), "a request went into the silence")
 	}
@@ -125,13 +125,13 @@
 // and errors. No answer takes up such a part, and none hides that it is thin.
 func TestWrongRepliesNeverReachCallers(t *testing.T) {
 	fleet, upstreams := start(t, harness.NodeOptions{})
-	upstreams.Alter(harness.All, "{crossed_share: 0.02, cut_share: 0.02, fail_share: 0.02, shed_share: 0.05}")
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	harness.Await(t, "many answers", func() bool { return load.Tally().Whole+load.Tally().Thin >= 100 })
-	upstreams.Alter(harness.All, "{crossed_share: 0, cut_share: 0, fail_share: 0, shed_share: 0}")
-	load.AwaitWhole(20)
+	upstreams.PatchBehaviour(harness.AllReplicas, "{crossed_share: 0.02, cut_share: 0.02, fail_share: 0.02, shed_share: 0.05}")
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	harness.Await(t, "many answers", func() bool { return load.Tally().Complete+load.Tally().Partial >= 100 })
+	upstreams.PatchBehaviour(harness.AllReplicas, "{crossed_share: 0, cut_share: 0, fail_share: 0, shed_share: 0}")
+	load.AwaitComplete(20)
 	load.Stop()
-	load.RequireHonest()
+	load.RequireCorrect()
 }
 
 // One of two replicas is suspended and its connections answer nothing. The other
@@ -139,16 +139,16 @@
 func TestPausedUpstreamIsPassedOver(t *testing.T) {
 	paused := harness.StartUpstreams(t, binary, 1, upstreamBehaviour)
 	others := harness.StartUpstreams(t, binary, replicas-1, upstreamBehaviour)
-	text := harness.Text(append(append([]string(nil), paused.Addresses...), others.Addresses...))
+	text := harness.ConfigText(append(append([]string(nil), paused.Addresses...), others.Addresses...))
 	fleet := harness.StartFleet(t, binary, 3, text, harness.NodeOptions{})
-	load := harness.StartLoad(t, callers, fleet.Callers()...)
-	load.AwaitWhole(100)
+	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
+	load.AwaitComplete(100)
 	paused.Pause()
-	load.AwaitEach(5)
-	load.AwaitEach(5)
+	load.AwaitEachCaller(5)
+	load.AwaitEachCaller(5)
 	paused.Resume()
-	load.AwaitWhole(20)
+	load.AwaitComplete(20)
 	tally := load.Stop()
-	load.RequireHonest()
-	require.Zero(t, tally.Thin, tally.MissingReasons)
+	load.RequireCorrect()
+	require.Zero(t, tally.Partial, tally.MissingReasons)
 }
