--- a/test/e2e/config_test.go
+++ b/test/e2e/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/pistachiopier/pistachiopier/test/e2e/harness"
 )
 
-// awaitProblem waits until a node has the problem for its operators.
+// awaitProblem waits until at least one node reports the problem.
 func awaitProblem(t *testing.T, fleet *harness.Fleet, kind observe.Kind) {
 	t.Helper()
 	harness.Await(t, "a node reports "+string(kind), func() bool {
@@ -33,11 +33,11 @@
 	}
 }
 
-// The configuration service is down for a stretch and then comes back from an
-// old backup, with an older revision. Questions go on throughout, nobody falls
-// back to the old text, and the next true revision comes into force.
+// The configuration service is down for a while and is then restored from an old
+// backup, with an older revision. Queries must be answered throughout, no node may
+// revert to the old text, and the next newer revision must come into force.
 func TestConfigurationServiceDownAndRolledBack(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	text := harness.ConfigText(upstreams.Addresses)
 	second := fleet.Publish(text)
 	fleet.AwaitReady(second)
@@ -57,11 +57,11 @@
 	load.RequireCorrect()
 }
 
-// The configuration service answers from a stale replica: what operators publish
-// does not show for a long stretch. The nodes serve what they have, and take the
-// newest revision when it shows.
+// The configuration service answers from a stale replica, so that published
+// revisions stay invisible for a while. The nodes must serve the revision they
+// have, and apply the newest one once the service returns it.
 func TestStaleConfigurationService(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	fleet.Platform.PatchBehaviour(harness.AllReplicas, "{freeze_config: true, freeze_vms: true}")
 	latest := fleet.Publish(harness.ConfigText(upstreams.Addresses))
 	latest = max(latest, fleet.Publish(harness.ConfigText(upstreams.Addresses)))
@@ -75,10 +75,10 @@
 	load.RequireCorrect()
 }
 
-// An operator publishes a text with a mistake. The former revision stays in
-// force on every node, and the corrected one follows it.
+// An operator publishes an invalid text. The previous revision must stay in force
+// on every node until the corrected one is published.
 func TestInvalidRevisionIsRefused(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	text := harness.ConfigText(upstreams.Addresses)
 	fleet.Publish(strings.Replace(text, "slots: 2", "slots: 0", 1))
 	for _, n := range fleet.Nodes() {
@@ -90,16 +90,16 @@
 }
 
 // A VM is replaced while the configuration service answers from an old backup.
-// The new node must not serve by the old text: it learns the revision in force
+// The new node must not serve with the old text: it gets the revision in force
 // from the other nodes.
 func TestNewNodeNeverServesAnOlderRevision(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	text := harness.ConfigText(upstreams.Addresses)
 	latest := fleet.Publish(text)
 	fleet.AwaitReady(latest)
 	fleet.Platform.Publish(latest-1, text)
-	late := fleet.Add(harness.NodeOptions{})
+	newNode := fleet.Add(harness.NodeOptions{})
 	fleet.PublishVMList()
 	fleet.AwaitReady(latest)
-	require.NotContains(t, late.Output(), fmt.Sprintf(`"revision":%d`, latest-1), "the older revision was never in force")
+	require.NotContains(t, newNode.Output(), fmt.Sprintf(`"revision":%d`, latest-1), "the older revision was never in force")
 }
--- a/test/e2e/harness/fleet.go
+++ b/test/e2e/harness/fleet.go
@@ -23,18 +23,18 @@
 
 const (
 	dataCentres = 3
-	// validity is long enough that no node warns of its certificate's end.
-	validity  = 365 * 24 * time.Hour
-	readLimit = 2 * time.Second
+	// certificateValidity is long enough that no node warns of an expiring certificate.
+	certificateValidity = 365 * 24 * time.Hour
+	readTimeout         = 2 * time.Second
 )
 
-// Fleet is a platform and nodes as processes.
+// Fleet is a stand-in platform and a set of node processes.
 type Fleet struct {
 	t      testing.TB
 	binary string
 	folder string
 	client *client.Client
-	// Platform is the one that a node reads unless it is told another.
+	// Platform is read by the nodes, unless NodeOptions name another.
 	Platform  *Platform
 	Authority *keys.Authority
 	nodes     []*Node
@@ -42,31 +42,31 @@
 	revision  uint64
 }
 
-// Node is a node's process.
+// Node is a node process.
 type Node struct {
 	*Process
 	fleet *Fleet
-	// Stands in the VM list, unless a test lists the node otherwise.
+	// VM is the node's entry in the VM list, unless a test lists the node otherwise.
 	VM       confservice.VM
 	platform *Platform
 }
 
 // NodeOptions change how a node is started.
 type NodeOptions struct {
-	// Platform is read instead of the fleet's.
+	// Platform replaces the fleet's platform.
 	Platform *Platform
-	// Authority signs the certificate instead of the fleet's.
+	// Authority replaces the fleet's certificate authority.
 	Authority *keys.Authority
-	// Settings are further lines of the settings.
+	// Settings holds additional lines of the settings file.
 	Settings string
-	// CallerAddress instead of a free port.
+	// CallerAddress replaces the default, a free port.
 	CallerAddress string
 }
 
 // NewFleet starts a platform and no nodes.
 func NewFleet(t testing.TB, binary string) *Fleet {
 	t.Helper()
-	authority, err := keys.NewAuthority(time.Now(), validity)
+	authority, err := keys.NewAuthority(time.Now(), certificateValidity)
 	require.NoError(t, err)
 	f := &Fleet{t: t, binary: binary, folder: t.TempDir(), client: client.New(), Platform: StartPlatform(t, binary), Authority: authority}
 	t.Cleanup(f.client.Close)
@@ -96,7 +96,7 @@
 	if authority == nil {
 		authority = f.Authority
 	}
-	pair, err := authority.Issue(string(n.VM.ID), time.Now(), validity)
+	pair, err := authority.Issue(string(n.VM.ID), time.Now(), certificateValidity)
 	require.NoError(f.t, err)
 	caller := options.CallerAddress
 	if caller == "" {
@@ -110,8 +110,8 @@
 	return b.String()
 }
 
-// Add starts a node, reads its addresses and counts it among the fleet's nodes.
-// List lists it.
+// Add starts a node, reads its addresses and adds it to the fleet's nodes.
+// PublishVMList announces it.
 func (f *Fleet) Add(options NodeOptions) *Node {
 	f.t.Helper()
 	n := f.Spawn(options)
@@ -128,7 +128,7 @@
 	return n
 }
 
-// AddSuccessor starts a node in the place of another one, which is then listed as leaving.
+// AddSuccessor starts a node that replaces another one, which is then listed as leaving.
 func (f *Fleet) AddSuccessor(old *Node, options NodeOptions) {
 	f.t.Helper()
 	f.Add(options)
@@ -138,18 +138,18 @@
 	f.PublishVMList()
 }
 
-// Remove takes a node off the fleet's list; List publishes it.
+// Remove removes a node from the fleet's nodes; PublishVMList announces it.
 func (f *Fleet) Remove(n *Node) {
 	var kept []*Node
-	for _, one := range f.nodes {
-		if one != n {
-			kept = append(kept, one)
+	for _, other := range f.nodes {
+		if other != n {
+			kept = append(kept, other)
 		}
 	}
 	f.nodes = kept
 }
 
-// Nodes are the fleet's nodes in the order of their start.
+// Nodes returns the fleet's nodes in the order of their start.
 func (f *Fleet) Nodes() []*Node { return f.nodes }
 
 // PublishVMList publishes the VM list of the fleet's nodes.
@@ -171,14 +171,14 @@
 }
 
 // RequireOwner fails the test unless the node owns a bundle of the text while
-// all the fleet's nodes are live: only then is its loss felt by the others.
+// all the fleet's nodes are live: only then does its loss affect the others.
 func (f *Fleet) RequireOwner(n *Node, text string) {
 	f.t.Helper()
 	parsed, err := catalog.Parse([]byte(text))
 	require.NoError(f.t, err)
 	var nodes []route.Node
-	for _, one := range f.nodes {
-		nodes = append(nodes, route.Node{ID: one.VM.ID, DataCentre: one.VM.DataCentre})
+	for _, other := range f.nodes {
+		nodes = append(nodes, route.Node{ID: other.VM.ID, DataCentre: other.VM.DataCentre})
 	}
 	view := route.NewView(nodes)
 	for _, bundle := range parsed.Bundles {
@@ -189,7 +189,7 @@
 	require.FailNow(f.t, string(n.VM.ID)+" owns no bundle of the text")
 }
 
-// CallerAddresses are the callers' addresses of the fleet's nodes.
+// CallerAddresses returns the nodes' addresses for callers.
 func (f *Fleet) CallerAddresses() []string {
 	var list []string
 	for _, n := range f.nodes {
@@ -198,8 +198,8 @@
 	return list
 }
 
-// StartFleet starts nodes, lists them, publishes the text and awaits that all
-// have both.
+// StartFleet starts nodes, publishes the VM list and the text, and waits until
+// every node has applied both.
 func StartFleet(t testing.TB, binary string, nodes int, text string, options NodeOptions) *Fleet {
 	t.Helper()
 	f := NewFleet(t, binary)
@@ -211,25 +211,25 @@
 	return f
 }
 
-// AwaitReady waits until each node serves callers with the revision and sees as many
-// nodes as the fleet has.
+// AwaitReady waits until each node serves callers with the revision and its view
+// holds as many nodes as the fleet.
 func (f *Fleet) AwaitReady(revision uint64) {
 	f.t.Helper()
 	for _, n := range f.nodes {
 		Await(f.t, fmt.Sprintf("%s is ready with revision %d and %d nodes", n.VM.ID, revision, len(f.nodes)), func() bool {
 			status, ok := n.Status()
-			return ok && serves(status) && status.Revision == revision && status.Nodes == len(f.nodes)
+			return ok && servesCallers(status) && status.Revision == revision && status.Nodes == len(f.nodes)
 		})
 	}
 }
 
-// serves reports whether the node answers callers. A degraded one does, with a
-// problem for its operators.
-func serves(status Status) bool {
+// servesCallers reports whether the node answers callers. A degraded node does, and
+// reports a problem.
+func servesCallers(status Status) bool {
 	return status.Health.State == api.HealthReady || status.Health.State == api.HealthDegraded
 }
 
-// Status is the part of a node's status that the tests read.
+// Status holds the fields of a node's status that the tests read.
 type Status struct {
 	Health   api.Health `json:"health"`
 	Revision uint64     `json:"config_revision"`
@@ -237,19 +237,18 @@
 	InFlight int        `json:"in_flight"`
 }
 
-// Status reads the node's status; false when it does not answer.
+// Status reads the node's status; false if the node does not answer.
 func (n *Node) Status() (Status, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), readLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	var status Status
 	err := n.fleet.client.Get(ctx, n.VM.OperatorAddress, "/v1/status", &status)
 	return status, err == nil
 }
 
-// Problems reads the node's problems as they are written; empty when it does not
-// answer.
+// Problems reads the node's problems as JSON; empty if the node does not answer.
 func (n *Node) Problems() string {
-	ctx, cancel := context.WithTimeout(context.Background(), readLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	var problems json.RawMessage
 	if err := n.fleet.client.Get(ctx, n.VM.OperatorAddress, "/v1/problems", &problems); err != nil {
--- a/test/e2e/harness/invoices.go
+++ b/test/e2e/harness/invoices.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// Ledger is the service that records invoices, LedgerReplicas its size of
-	// today.
+	// Ledger is the service that records invoices, LedgerReplicas its number of
+	// replicas in production.
 	Ledger         = "invoice-review"
 	LedgerReplicas = 7
 
-	ledgerShards  = 2
-	submitTimeout = time.Second
-	submitGuard   = 5 * time.Second
-	submitTries   = 3
-	submitPause   = 20 * time.Millisecond
+	ledgerShards        = 2
+	submitTimeout       = time.Second
+	submitClientTimeout = 5 * time.Second
+	submitAttempts      = 3
+	submitRetryPause    = 20 * time.Millisecond
 )
 
-// LedgerConfigText writes the operators' text of the Ledger service alone.
+// LedgerConfigText returns a configuration text with only the Ledger service.
 func LedgerConfigText(addresses []string) string {
 	var b strings.Builder
 	b.WriteString("version: 1\npolicy: {bundle_size: 1}\nindexes: [ledger]\nservices:\n")
@@ -48,72 +48,72 @@
 	return b.String()
 }
 
-// Invoices submits invoices without end. An impatient caller sends each key
-// through two entries at once and repeats it through further ones while nobody
-// knows its outcome, and once more after it was done.
+// Invoices submits invoices continuously. Each caller sends a key through two
+// entries at once, repeats it through further entries while its outcome is
+// unknown, and sends it once more after it was done.
 type Invoices struct {
 	*sender
-	claims map[string]*claims
-	tried  int
+	outcomes map[string]*outcomeCounts
+	finished int
 }
 
-// claims counts what entries said of one key.
-type claims struct{ done, notRun, unknown int }
+// outcomeCounts counts the outcomes that entries returned for one key.
+type outcomeCounts struct{ done, notRun, unknown int }
 
 // StartInvoices begins to submit through the entries, until Stop or the test's
 // end.
 func StartInvoices(t testing.TB, callers int, entries ...string) *Invoices {
-	v := &Invoices{sender: newSender(t, entries), claims: map[string]*claims{}}
+	v := &Invoices{sender: newSender(t, entries), outcomes: map[string]*outcomeCounts{}}
 	v.start(callers, func(ctx context.Context, _ int) {
 		for ctx.Err() == nil {
-			v.one()
+			v.runKey()
 		}
 	})
 	t.Cleanup(v.Stop)
 	return v
 }
 
-// Stop ends the submits once each key has had its tries.
-func (v *Invoices) Stop() { v.end() }
+// Stop ends the load after the attempts of the keys in progress.
+func (v *Invoices) Stop() { v.stopAndWait() }
 
-func (v *Invoices) entry() string {
+func (v *Invoices) nextEntry() string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.turn()
+	return v.nextEntryLocked()
 }
 
-// one runs one key to its end.
-func (v *Invoices) one() {
-	key, ok := v.key()
+// runKey submits a new key until its outcome is known or its attempts are used up.
+func (v *Invoices) runKey() {
+	key, ok := v.newKey()
 	if !ok {
-		time.Sleep(submitPause)
+		time.Sleep(submitRetryPause)
 		return
 	}
-	var twin sync.WaitGroup
-	twin.Add(1)
+	var concurrent sync.WaitGroup
+	concurrent.Add(1)
 	go func() {
-		defer twin.Done()
+		defer concurrent.Done()
 		v.submit(key)
 	}()
-	for range submitTries {
+	for range submitAttempts {
 		if v.submit(key) != core.Unknown {
 			break
 		}
-		time.Sleep(submitPause)
+		time.Sleep(submitRetryPause)
 	}
-	twin.Wait()
-	if v.said(key).done > 0 {
+	concurrent.Wait()
+	if v.outcomesOf(key).done > 0 {
 		v.submit(key)
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.tried++
+	v.finished++
 }
 
-func (v *Invoices) key() (string, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), readLimit)
+func (v *Invoices) newKey() (string, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	entries, err := v.client.Entries(ctx, v.entry())
+	entries, err := v.client.Entries(ctx, v.nextEntry())
 	if err != nil || entries.KeyPrefix == "" {
 		return "", false
 	}
@@ -121,12 +121,12 @@
 	return key, err == nil
 }
 
-// submit sends one try and notes what the entry claims of the key.
+// submit sends one attempt and records the outcome that the entry returns.
 func (v *Invoices) submit(key string) core.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), submitGuard)
+	ctx, cancel := context.WithTimeout(context.Background(), submitClientTimeout)
 	defer cancel()
 	timeout := submitTimeout.Milliseconds()
-	reply, refusal := v.client.Submit(ctx, v.entry(), Ledger, api.SubmitRequest{
+	reply, refusal := v.client.Submit(ctx, v.nextEntry(), Ledger, api.SubmitRequest{
 		Customer:  "ham-house",
 		Key:       key,
 		Payload:   json.RawMessage(`{"total": 12}`),
@@ -134,68 +134,70 @@
 	})
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if v.claims[key] == nil {
-		v.claims[key] = &claims{}
+	if v.outcomes[key] == nil {
+		v.outcomes[key] = &outcomeCounts{}
 	}
 	switch {
 	case reply.Outcome == core.Done.String():
-		v.claims[key].done++
+		v.outcomes[key].done++
 		return core.Done
 	case refusal.Outcome == core.NotRun.String():
-		v.claims[key].notRun++
+		v.outcomes[key].notRun++
 		return core.NotRun
 	}
-	v.claims[key].unknown++
+	v.outcomes[key].unknown++
 	return core.Unknown
 }
 
-func (v *Invoices) said(key string) claims {
+func (v *Invoices) outcomesOf(key string) outcomeCounts {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if v.claims[key] == nil {
-		return claims{}
+	if v.outcomes[key] == nil {
+		return outcomeCounts{}
 	}
-	return *v.claims[key]
+	return *v.outcomes[key]
 }
 
-// sums counts the keys by what was said of them, and those that had their tries.
-type sums struct{ keys, done, notRun, tried int }
+// totals counts the keys by the outcomes returned; finished counts the keys whose
+// attempts have ended.
+type totals struct{ keys, done, notRun, finished int }
 
-func (v *Invoices) sums() sums {
+func (v *Invoices) totals() totals {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	total := sums{keys: len(v.claims), tried: v.tried}
-	for _, one := range v.claims {
-		total.done += min(one.done, 1)
-		total.notRun += min(one.notRun, 1)
+	total := totals{keys: len(v.outcomes), finished: v.finished}
+	for _, counts := range v.outcomes {
+		total.done += min(counts.done, 1)
+		total.notRun += min(counts.notRun, 1)
 	}
 	return total
 }
 
-// AwaitDone waits until so many more keys are done.
+// AwaitDone waits until the given number of further keys are done.
 func (v *Invoices) AwaitDone(more int) {
 	v.t.Helper()
-	from := v.sums().done
-	Await(v.t, fmt.Sprintf("%d more invoices recorded", more), func() bool { return v.sums().done >= from+more })
+	from := v.totals().done
+	Await(v.t, fmt.Sprintf("%d more invoices recorded", more), func() bool { return v.totals().done >= from+more })
 }
 
-// AwaitNotRun waits until so many more keys are said not to have run.
+// AwaitNotRun waits until the given number of further keys were refused as not run.
 func (v *Invoices) AwaitNotRun(more int) {
 	v.t.Helper()
-	from := v.sums().notRun
-	Await(v.t, fmt.Sprintf("%d more invoices not run", more), func() bool { return v.sums().notRun >= from+more })
+	from := v.totals().notRun
+	Await(v.t, fmt.Sprintf("%d more invoices not run", more), func() bool { return v.totals().notRun >= from+more })
 }
 
-// AwaitFinished waits until so many more keys have had their tries, whatever the
-// end.
+// AwaitFinished waits until the given number of further keys have used up their
+// attempts, whatever the outcome.
 func (v *Invoices) AwaitFinished(more int) {
 	v.t.Helper()
-	from := v.sums().tried
-	Await(v.t, fmt.Sprintf("%d more invoices tried", more), func() bool { return v.sums().tried >= from+more })
+	from := v.totals().finished
+	Await(v.t, fmt.Sprintf("%d more invoices finished", more), func() bool { return v.totals().finished >= from+more })
 }
 
-// RequireAtMostOnce compares what entries said with the upstreams' ledgers: no
-// key ran twice, what was done ran, and what was said not to have run did not.
+// RequireAtMostOnce compares the outcomes returned with the executions counted by
+// the replicas: no key ran twice, keys reported done ran, and keys reported not run
+// did not.
 func (v *Invoices) RequireAtMostOnce(upstreams *StandIn) {
 	v.t.Helper()
 	v.Stop()
@@ -205,7 +207,7 @@
 			ran[key] += count
 		}
 	}
-	total := v.sums()
+	total := v.totals()
 	v.t.Logf("invoices: %d keys, %d done, %d not run", total.keys, total.done, total.notRun)
 	require.Empty(v.t, v.contradictions(ran))
 	require.Positive(v.t, total.done)
@@ -218,12 +220,12 @@
 			wrong = append(wrong, fmt.Sprintf("%s ran %d times", key, count))
 		}
 	}
-	for key, said := range v.claims {
+	for key, counts := range v.outcomes {
 		switch {
-		case said.done > 0 && ran[key] != 1:
-			wrong = append(wrong, fmt.Sprintf("%s is said to be done and ran %d times", key, ran[key]))
-		case said.notRun > 0 && ran[key] != 0:
-			wrong = append(wrong, fmt.Sprintf("%s is said not to have run and ran %d times; said %+v", key, ran[key], *said))
+		case counts.done > 0 && ran[key] != 1:
+			wrong = append(wrong, fmt.Sprintf("%s was reported done and ran %d times", key, ran[key]))
+		case counts.notRun > 0 && ran[key] != 0:
+			wrong = append(wrong, fmt.Sprintf("%s was reported not run and ran %d times; outcomes %+v", key, ran[key], *counts))
 		}
 	}
 	return wrong
--- a/test/e2e/harness/load.go
+++ b/test/e2e/harness/load.go
@@ -19,88 +19,89 @@
 )
 
 const (
-	// askGuard is far above every timeout of the texts: a question that runs
-	// into it never got its answer.
-	askGuard   = 20 * time.Second
-	errorPause = 5 * time.Millisecond
-	endless    = math.MaxInt
+	// queryClientTimeout is far above every timeout in the configuration texts: a
+	// query that reaches it was never answered.
+	queryClientTimeout = 20 * time.Second
+	failurePause       = 5 * time.Millisecond
+	unlimited          = math.MaxInt
 )
 
-// Load asks the Lead service without end from several callers, each with one
-// question at a time, and checks every answer.
+// Load queries the Lead service continuously from several callers, each with one
+// query at a time, and checks every answer.
 type Load struct {
 	*sender
 	tally Tally
-	// exempt holds the entries whose lost answers are expected.
+	// exempt holds the entries that may fail queries.
 	exempt map[string]bool
-	// keep is set when the entries come from address answers, kept until keepTo.
-	keep   bool
-	keepTo time.Time
+	// cacheAddresses is set if callers fetch the entries and cache them until
+	// cachedUntil.
+	cacheAddresses bool
+	cachedUntil    time.Time
 }
 
-// Tally is what a load has seen.
+// Tally counts the results of a load.
 type Tally struct {
 	Complete int
 	Partial  int
-	// Answered counts each caller's answers, whole or thin.
+	// Answered counts each caller's answers, complete or partial.
 	Answered []int
 	// Failed counts typed failures by code and outcome, such as "lost/unknown".
 	Failed map[string]int
 	// Unexpected lists failures of entries that were not exempt.
 	Unexpected []string
-	// Violations lists answers that break a promise, and questions without an end.
-	Violations    []string
-	Versions map[core.Version]int
-	// MissingReasons counts why shards were missing from thin answers.
+	// Violations lists answers that fail CheckReply, and queries that were never answered.
+	Violations []string
+	Versions   map[core.Version]int
+	// MissingReasons counts the reasons for missing shards in partial answers.
 	MissingReasons map[core.Reason]int
 }
 
-// StartLoad begins to ask the entries in turn, until Stop or the test's end.
+// StartLoad sends queries to the entries in turn, until Stop or the test's end.
 func StartLoad(t testing.TB, callers int, entries ...string) *Load {
-	return startLoad(t, callers, endless, entries)
+	return startLoad(t, callers, unlimited, entries)
 }
 
-// QueryOnce asks one question from each caller.
+// QueryOnce sends one query from each caller.
 func QueryOnce(t testing.TB, callers int, entries ...string) *Load {
 	return startLoad(t, callers, 1, entries)
 }
 
-func startLoad(t testing.TB, callers, questions int, entries []string) *Load {
+func startLoad(t testing.TB, callers, queries int, entries []string) *Load {
 	l := &Load{sender: newSender(t, entries), exempt: map[string]bool{}}
 	l.tally = Tally{Answered: make([]int, callers), Failed: map[string]int{}, Versions: map[core.Version]int{}, MissingReasons: map[core.Reason]int{}}
-	l.start(callers, func(ctx context.Context, caller int) { l.run(ctx, caller, questions) })
+	l.start(callers, func(ctx context.Context, caller int) { l.run(ctx, caller, queries) })
 	t.Cleanup(func() {
 		tally := l.Stop()
 		if t.Failed() {
-			t.Logf("load: %d whole, %d thin, missing %v, failed %v, versions %v", tally.Complete, tally.Partial, tally.MissingReasons, tally.Failed, tally.Versions)
+			t.Logf("load: %d complete, %d partial, missing %v, failed %v, versions %v", tally.Complete, tally.Partial, tally.MissingReasons, tally.Failed, tally.Versions)
 		}
 	})
 	return l
 }
 
-// CacheAddresses makes the callers do as callers should: they ask an entry that
-// they know for the addresses to use, keep the answer for as long as it says, and
-// then ask again.
+// CacheAddresses makes the callers follow the documented procedure: they fetch the
+// addresses to use from a known entry, cache them for the TTL of the answer, and
+// then fetch them again.
 func (l *Load) CacheAddresses() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.keep = true
+	l.cacheAddresses = true
 }
 
-// Exempt says that answers of the entry may be lost from now on.
+// Exempt allows queries to the entry to fail from now on.
 func (l *Load) Exempt(entry string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.exempt[entry] = true
 }
 
-// Stop ends the load, once every question has its answer, and returns the tally.
+// Stop ends the load after the queries in flight and returns the tally.
 func (l *Load) Stop() Tally {
-	l.end()
+	l.stopAndWait()
 	return l.Tally()
 }
 
-// Tally returns a copy of what was seen so far.
+// Tally returns a copy of the current tally.
 func (l *Load) Tally() Tally {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -112,8 +113,8 @@
 	return tally
 }
 
-// RequireCorrect fails the test when an answer broke a promise, a question had no
-// end, or an entry that is not exempt failed one.
+// RequireCorrect fails the test if an answer failed CheckReply, a query was never
+// answered, or an entry that is not exempt failed a query.
 func (l *Load) RequireCorrect() {
 	l.t.Helper()
 	tally := l.Tally()
@@ -121,16 +122,16 @@
 	require.Empty(l.t, tally.Unexpected)
 }
 
-// AwaitComplete waits for so many more whole answers.
+// AwaitComplete waits for the given number of further complete answers.
 func (l *Load) AwaitComplete(more int) {
 	l.t.Helper()
 	from := l.Tally().Complete
-	Await(l.t, fmt.Sprintf("%d more whole answers", more), func() bool { return l.Tally().Complete >= from+more })
+	Await(l.t, fmt.Sprintf("%d more complete answers", more), func() bool { return l.Tally().Complete >= from+more })
 }
 
-// AwaitEachCaller waits until every caller got so many more answers: a caller whose
-// question is held up gets none meanwhile, so that all that were held up at the
-// start have ended.
+// AwaitEachCaller waits until every caller got the given number of further answers.
+// A caller with a blocked query gets none, so that every query which was blocked
+// at the start has then ended.
 func (l *Load) AwaitEachCaller(more int) {
 	l.t.Helper()
 	from := l.Tally().Answered
@@ -144,33 +145,33 @@
 	})
 }
 
-func (l *Load) run(ctx context.Context, caller, questions int) {
-	for number := 0; number < questions && ctx.Err() == nil; number++ {
-		entry := l.entry()
+func (l *Load) run(ctx context.Context, caller, queries int) {
+	for number := 0; number < queries && ctx.Err() == nil; number++ {
+		entry := l.nextEntry()
 		id := fmt.Sprintf("caller-%d-%d", caller, number)
-		reply, err := l.ask(entry, id)
+		reply, err := l.query(entry, id)
 		if l.record(entry, id, caller, reply, err) {
 			continue
 		}
-		time.Sleep(errorPause)
+		time.Sleep(failurePause)
 	}
 }
 
-func (l *Load) entry() string {
+func (l *Load) nextEntry() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.keep && time.Now().After(l.keepTo) {
-		l.renewAddresses()
+	if l.cacheAddresses && time.Now().After(l.cachedUntil) {
+		l.refreshAddresses()
 	}
-	return l.turn()
+	return l.nextEntryLocked()
 }
 
-// renewAddresses asks one of the known entries. When that fails the old answer
-// is used once more, and the next question asks the next entry.
-func (l *Load) renewAddresses() {
-	ctx, cancel := context.WithTimeout(context.Background(), readLimit)
+// refreshAddresses fetches the entries from a known entry. On failure the old
+// entries stay in use, and the next query tries the next entry.
+func (l *Load) refreshAddresses() {
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	answer, err := l.client.Entries(ctx, l.turn())
+	answer, err := l.client.Entries(ctx, l.nextEntryLocked())
 	if err != nil || len(answer.Entries) == 0 {
 		return
 	}
@@ -178,20 +179,20 @@
 	for _, entry := range answer.Entries {
 		l.entries = append(l.entries, entry.Address)
 	}
-	l.keepTo = time.Now().Add(time.Duration(answer.TTLMs) * time.Millisecond)
+	l.cachedUntil = time.Now().Add(time.Duration(answer.TTLMs) * time.Millisecond)
 }
 
-func (l *Load) ask(entry, id string) (api.QueryReply, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), askGuard)
+func (l *Load) query(entry, id string) (api.QueryReply, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), queryClientTimeout)
 	defer cancel()
-	question, err := json.Marshal(id)
+	payload, err := json.Marshal(id)
 	if err != nil {
 		return api.QueryReply{}, err
 	}
-	return l.client.Query(ctx, entry, Lead, api.QueryRequest{Customer: "southern-table", RequestID: id, Question: question})
+	return l.client.Query(ctx, entry, Lead, api.QueryRequest{Customer: "southern-table", RequestID: id, Question: payload})
 }
 
-// record tallies the end of one question; false when it failed.
+// record counts the result of one query; false if the query failed.
 func (l *Load) record(entry, id string, caller int, reply api.QueryReply, err error) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -220,14 +221,14 @@
 	name := string(typed.Code) + "/" + typed.Outcome.String()
 	l.tally.Failed[name]++
 	if errors.Is(err, context.DeadlineExceeded) {
-		l.tally.Violations = append(l.tally.Violations, "a question to "+entry+" had no end: "+err.Error())
+		l.tally.Violations = append(l.tally.Violations, "a query to "+entry+" was not answered: "+err.Error())
 	}
 	if !l.exempt[entry] {
 		l.tally.Unexpected = append(l.tally.Unexpected, entry+": "+err.Error())
 	}
 }
 
-// part is what a stand-in upstream puts into its part.
+// part is the content of a stand-in replica's part.
 type part struct {
 	Service  string         `json:"service"`
 	Version  core.Version   `json:"version"`
@@ -235,44 +236,44 @@
 	Versions []core.Version `json:"dependency_versions"`
 }
 
-// CheckReply tests an answer against the promises: it is to this question, its parts
-// and their dependencies' parts are of the one version that it states, and its
-// coverage counts the parts at hand and names the missing ones.
+// CheckReply checks that an answer belongs to this query, that its parts and their
+// dependencies' parts are of the version that it states, and that its coverage
+// counts the parts returned and names the missing ones.
 func CheckReply(id string, reply api.QueryReply) error {
 	coverage := reply.Coverage
 	switch {
 	case reply.RequestID != id:
-		return fmt.Errorf("asked as %s, answered as %s", id, reply.RequestID)
+		return fmt.Errorf("query %s got the answer to %s", id, reply.RequestID)
 	case coverage.Answered != len(reply.Parts):
-		return fmt.Errorf("%s: coverage counts %d, the answer holds %d parts", id, coverage.Answered, len(reply.Parts))
+		return fmt.Errorf("%s: coverage counts %d parts, the answer has %d", id, coverage.Answered, len(reply.Parts))
 	case coverage.Asked != coverage.Answered+len(coverage.Missing):
-		return fmt.Errorf("%s: asked %d, answered %d, but %d named missing", id, coverage.Asked, coverage.Answered, len(coverage.Missing))
+		return fmt.Errorf("%s: coverage has %d parts asked, %d answered, but %d missing", id, coverage.Asked, coverage.Answered, len(coverage.Missing))
 	case coverage.Thin != (coverage.Answered < coverage.Asked):
-		return fmt.Errorf("%s: thin is %t with %d of %d", id, coverage.Thin, coverage.Answered, coverage.Asked)
+		return fmt.Errorf("%s: thin is %t with %d of %d parts", id, coverage.Thin, coverage.Answered, coverage.Asked)
 	}
-	for _, one := range reply.Parts {
-		if err := checkPart(reply, one); err != nil {
+	for _, replyPart := range reply.Parts {
+		if err := checkPart(reply, replyPart); err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
 	}
 	return nil
 }
 
-func checkPart(reply api.QueryReply, written api.Part) error {
+func checkPart(reply api.QueryReply, replyPart api.Part) error {
 	var p part
-	if err := json.Unmarshal(written.Data, &p); err != nil {
-		return fmt.Errorf("part of %s: %w", written.Service, err)
+	if err := json.Unmarshal(replyPart.Data, &p); err != nil {
+		return fmt.Errorf("part of %s: %w", replyPart.Service, err)
 	}
-	if p.Service != written.Service {
-		return fmt.Errorf("the part of %s is one of %s", written.Service, p.Service)
+	if p.Service != replyPart.Service {
+		return fmt.Errorf("the part listed for %s is from %s", replyPart.Service, p.Service)
 	}
 	for _, version := range append(p.Versions, p.Version) {
 		if version != reply.Version {
-			return fmt.Errorf("version %d in the part of %s of an answer of version %d", version, written.Service, reply.Version)
+			return fmt.Errorf("version %d in the part of %s, in an answer of version %d", version, replyPart.Service, reply.Version)
 		}
 	}
 	if p.Service == Lead && !reply.Coverage.Thin && p.Seen != Services-1 {
-		return fmt.Errorf("a whole answer whose lead saw %d dependencies", p.Seen)
+		return fmt.Errorf("complete answer, but the lead service received %d dependencies", p.Seen)
 	}
 	return nil
 }
--- a/test/e2e/harness/process.go
+++ b/test/e2e/harness/process.go
@@ -1,7 +1,7 @@
-// Package harness starts the built program as real processes on loopback for
-// the end-to-end tests: nodes, stand-ins and a load of checked questions. Every
-// process is ended by its id when its test ends, and its output is shown when
-// the test failed.
+// Package harness starts the built program as processes on loopback for the
+// end-to-end tests: nodes, stand-ins and a load of checked queries. Every process
+// is killed by its id when its test ends, and its output is logged if the test
+// failed.
 package harness
 
 import (
@@ -20,11 +20,12 @@
 )
 
 const (
-	// AwaitTimeout ends a test whose awaited condition never comes. It is far above
-	// what any condition takes, so that a slow machine changes no verdict.
-	AwaitTimeout = 30 * time.Second
-	awaitPause = 5 * time.Millisecond
-	shownBytes = 8 << 10
+	// AwaitTimeout fails a test whose awaited condition does not hold in time. It is
+	// far above the time that any condition takes, so that a slow machine causes no
+	// false failure.
+	AwaitTimeout     = 30 * time.Second
+	pollInterval     = 5 * time.Millisecond
+	shownOutputBytes = 8 << 10
 )
 
 // Build builds the program into a new temporary folder. The caller removes the
@@ -40,15 +41,15 @@
 	return binary, folder, build.Run()
 }
 
-// Await waits until the condition holds, and fails the test when it never does.
+// Await waits until the condition holds, and fails the test after AwaitTimeout.
 func Await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(AwaitTimeout); time.Now().Before(deadline); time.Sleep(awaitPause) {
+	for deadline := time.Now().Add(AwaitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if condition() {
 			return
 		}
 	}
-	require.FailNow(t, "not reached: "+what)
+	require.FailNow(t, "condition not reached: "+what)
 }
 
 // Process is one running process of the program.
@@ -71,20 +72,20 @@
 		_ = p.cmd.Wait()
 		close(p.exited)
 	}()
-	t.Cleanup(p.end)
+	t.Cleanup(p.stop)
 	return p
 }
 
-func (p *Process) end() {
+func (p *Process) stop() {
 	p.Kill()
 	if !p.t.Failed() {
 		return
 	}
 	text := p.output.String()
-	p.t.Logf("output of %s:\n%s", p.name, text[max(0, len(text)-shownBytes):])
+	p.t.Logf("output of %s:\n%s", p.name, text[max(0, len(text)-shownOutputBytes):])
 }
 
-// Output is what the process has printed so far.
+// Output returns the output of the process so far.
 func (p *Process) Output() string { return p.output.String() }
 
 // Signal sends a signal to the process.
@@ -93,13 +94,13 @@
 	require.NoError(p.t, p.cmd.Process.Signal(signal))
 }
 
-// Pause stops the process where it is; Resume lets it go on.
+// Pause suspends the process until Resume.
 func (p *Process) Pause() { p.Signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume continues a suspended process.
 func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
-// Kill ends the process at once, as kill -9 does.
+// Kill ends the process with SIGKILL and waits for its exit.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
@@ -115,10 +116,10 @@
 	}
 }
 
-// AwaitExit waits for the process's own end and returns its exit code.
+// AwaitExit waits until the process ends by itself and returns its exit code.
 func (p *Process) AwaitExit() int {
 	p.t.Helper()
-	Await(p.t, p.name+" ends", p.Exited)
+	Await(p.t, p.name+" exits", p.Exited)
 	return p.cmd.ProcessState.ExitCode()
 }
 
@@ -126,7 +127,7 @@
 func (p *Process) AwaitEvent(event string, out any) {
 	p.t.Helper()
 	Await(p.t, p.name+" prints "+event, func() bool {
-		if line := p.find(event); line != nil {
+		if line := p.findEvent(event); line != nil {
 			require.NoError(p.t, json.Unmarshal(line, out))
 			return true
 		}
@@ -135,7 +136,7 @@
 	})
 }
 
-func (p *Process) find(event string) []byte {
+func (p *Process) findEvent(event string) []byte {
 	for line := range bytes.Lines([]byte(p.output.String())) {
 		var head struct {
 			Event string `json:"event"`
--- a/test/e2e/harness/sender.go
+++ b/test/e2e/harness/sender.go
@@ -8,8 +8,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/client"
 )
 
-// sender is what the kinds of load have in common: goroutines that send until they are
-// stopped, each request through the next of some entries.
+// sender is the common part of Load and Invoices: goroutines that send requests until
+// stopped, to the entries in turn.
 type sender struct {
 	t      testing.TB
 	client *client.Client
@@ -27,29 +27,29 @@
 	return &sender{t: t, client: client.New(), ctx: ctx, stop: stop, entries: entries}
 }
 
-// start runs so many callers; each ends with its function.
+// start runs the function once for each caller, concurrently.
 func (s *sender) start(callers int, call func(ctx context.Context, caller int)) {
 	for caller := range callers {
 		s.done.Go(func() { call(s.ctx, caller) })
 	}
 }
 
-// UseEntries replaces the entries to send through.
+// UseEntries replaces the entries that receive requests.
 func (s *sender) UseEntries(entries ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.entries = entries
 }
 
-// end stops the callers and waits for them.
-func (s *sender) end() {
+// stopAndWait stops the callers and waits for them.
+func (s *sender) stopAndWait() {
 	s.stop()
 	s.done.Wait()
 	s.client.Close()
 }
 
-// turn takes the next entry; the mutex must be held.
-func (s *sender) turn() string {
+// nextEntryLocked returns the next entry; the mutex must be held.
+func (s *sender) nextEntryLocked() string {
 	s.next++
 	return s.entries[s.next%len(s.entries)]
 }
--- a/test/e2e/harness/shipped.go
+++ b/test/e2e/harness/shipped.go
@@ -11,18 +11,18 @@
 	"github.com/pistachiopier/pistachiopier/internal/catalog"
 )
 
-// Example is one of the texts under examples/.
+// Example is one of the configuration texts under examples/.
 type Example struct {
 	text     *catalog.Catalog
 	Replicas int
 }
 
-// ReadExample reads a text under examples/.
+// ReadExample reads and parses a configuration text under examples/.
 func ReadExample(t testing.TB, path string) *Example {
 	t.Helper()
-	written, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	require.NoError(t, err)
-	text, err := catalog.Parse(written)
+	text, err := catalog.Parse(data)
 	require.NoError(t, err)
 	shipped := &Example{text: text}
 	for _, service := range text.Services {
@@ -33,7 +33,7 @@
 	return shipped
 }
 
-// TextAt writes the text with the replicas at the given addresses, in order.
+// TextAt returns the text with the replicas at the given addresses, in order.
 func (s *Example) TextAt(addresses []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\nindexes: [%s]\nservices:\n", strings.Join(s.text.Indexes, ", "))
--- a/test/e2e/harness/split.go
+++ b/test/e2e/harness/split.go
@@ -9,18 +9,18 @@
 	"github.com/pistachiopier/pistachiopier/internal/faultproxy"
 )
 
-// SplitFleet is a fleet of two sides. Each side reads a platform of its own,
-// whose VM list gives a proxy's address for every node of the other side: so the
-// traffic between the sides, and none else, can be cut in either direction.
+// SplitFleet is a fleet of two sides. Each side reads a platform of its own, whose
+// VM list has a proxy's address for every node of the other side, so that only the
+// traffic between the sides can be cut, in either direction.
 type SplitFleet struct {
 	*Fleet
-	// FirstToSecond and SecondToFirst carry what one side's nodes send to the
-	// other's.
+	// FirstToSecond and SecondToFirst are the proxies that forward traffic from one
+	// side's nodes to the other's.
 	FirstToSecond []*faultproxy.UDP
 	SecondToFirst []*faultproxy.UDP
 }
 
-// NewSplitFleet starts the nodes of both sides and awaits that all are ready.
+// NewSplitFleet starts the nodes of both sides and waits until all are ready.
 func NewSplitFleet(t testing.TB, binary string, first, second int, text string) *SplitFleet {
 	t.Helper()
 	s := &SplitFleet{Fleet: NewFleet(t, binary)}
@@ -34,8 +34,8 @@
 	nodes := s.Nodes()
 	s.FirstToSecond = s.proxies(nodes[first:])
 	s.SecondToFirst = s.proxies(nodes[:first])
-	s.Platform.SetVMs(append(listed(nodes[:first], nil), listed(nodes[first:], s.FirstToSecond)...))
-	other.SetVMs(append(listed(nodes[:first], s.SecondToFirst), listed(nodes[first:], nil)...))
+	s.Platform.SetVMs(append(vmList(nodes[:first], nil), vmList(nodes[first:], s.FirstToSecond)...))
+	other.SetVMs(append(vmList(nodes[:first], s.SecondToFirst), vmList(nodes[first:], nil)...))
 	revision := s.Publish(text)
 	other.Publish(revision, text)
 	s.AwaitReady(revision)
@@ -54,8 +54,8 @@
 	return list
 }
 
-// listed are the nodes' VMs, at their proxies' addresses when there are any.
-func listed(nodes []*Node, proxies []*faultproxy.UDP) []confservice.VM {
+// vmList returns the nodes' VMs, with the proxies' addresses if any are given.
+func vmList(nodes []*Node, proxies []*faultproxy.UDP) []confservice.VM {
 	var vms []confservice.VM
 	for i, n := range nodes {
 		vm := n.VM
@@ -67,13 +67,13 @@
 	return vms
 }
 
-// Cut lets nothing through between the sides.
-func (s *SplitFleet) Cut() { s.set(faultproxy.Faults{Cut: true}) }
+// Cut drops all traffic between the sides.
+func (s *SplitFleet) Cut() { s.setFaults(faultproxy.Faults{Cut: true}) }
 
-// Heal lets everything through again.
-func (s *SplitFleet) Heal() { s.set(faultproxy.Faults{}) }
+// Heal forwards all traffic between the sides again.
+func (s *SplitFleet) Heal() { s.setFaults(faultproxy.Faults{}) }
 
-func (s *SplitFleet) set(faults faultproxy.Faults) {
+func (s *SplitFleet) setFaults(faults faultproxy.Faults) {
 	for _, proxy := range append(s.FirstToSecond, s.SecondToFirst...) {
 		proxy.SetBoth(faults)
 	}
--- a/test/e2e/harness/standins.go
+++ b/test/e2e/harness/standins.go
@@ -17,15 +17,16 @@
 // StandIn is a stand-in process with its control interface.
 type StandIn struct {
 	*Process
-	// Addresses are those of the replicas, or the platform's one.
+	// Addresses holds the replicas' addresses, or the platform's address.
 	Addresses []string `json:"addresses"`
 	Control   string   `json:"control"`
 }
 
-// AllReplicas names every replica of a stand-in process.
+// AllReplicas selects every replica of a stand-in process.
 const AllReplicas = -1
 
-// StartUpstreams runs one process with the replicas; behaviour is YAML.
+// StartUpstreams starts one process with the given number of replicas; behaviour is
+// YAML.
 func StartUpstreams(t testing.TB, binary string, replicas int, behaviour string) *StandIn {
 	t.Helper()
 	return startStandIn(t, binary, "upstream", "--replicas", strconv.Itoa(replicas), "--behaviour", behaviour)
@@ -39,7 +40,8 @@
 	return s
 }
 
-// PatchBehaviour changes the keys written, of one replica or of All.
+// PatchBehaviour changes the given keys of the behaviour, for one replica or
+// AllReplicas.
 func (s *StandIn) PatchBehaviour(replica int, behaviour string) {
 	s.t.Helper()
 	path := standin.PathBehaviour
@@ -49,7 +51,7 @@
 	s.call(http.MethodPatch, path, []byte(behaviour), nil)
 }
 
-// Counts reads the counts of every replica, in order.
+// Counts reads the counts of each replica, in order.
 func (s *StandIn) Counts() []standin.Counts {
 	s.t.Helper()
 	var counts []standin.Counts
@@ -73,25 +75,26 @@
 // Platform is a stand-in platform process.
 type Platform struct{ *StandIn }
 
-// StartPlatform runs a stand-in platform.
+// StartPlatform starts a stand-in platform.
 func StartPlatform(t testing.TB, binary string) *Platform {
 	t.Helper()
 	return &Platform{StandIn: startStandIn(t, binary, "platform")}
 }
 
-// Publish sets the revision and text that the service answers, also older ones.
+// Publish sets the revision and text that the configuration service returns; the
+// revision may be lower than the current one.
 func (p *Platform) Publish(revision uint64, text string) {
 	p.t.Helper()
 	p.put(standin.PathPublish, confservice.Config{Revision: revision, Text: text})
 }
 
-// SetVMs sets the VM list.
+// SetVMs sets the VM list that the platform returns.
 func (p *Platform) SetVMs(vms []confservice.VM) {
 	p.t.Helper()
 	p.put(standin.PathSetVMs, vms)
 }
 
-// ReadCounts counts the calls to the platform so far.
+// ReadCounts reads the counts of calls to the platform.
 func (p *Platform) ReadCounts() standin.PlatformCounts {
 	p.t.Helper()
 	var counts standin.PlatformCounts
--- a/test/e2e/harness/text.go
+++ b/test/e2e/harness/text.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// Services and Replicas are the sizes of the users' largest search today.
+	// Services and Replicas are the sizes of the largest search in production.
 	Services = 20
 	Replicas = 2
-	// Lead is the service that depends on all the others.
+	// Lead is the service that depends on all other services.
 	Lead = "plate-costing"
-	// bundleSize is small, so that each of three nodes owns some bundles.
+	// bundleSize is small so that each of three nodes owns some bundles.
 	bundleSize = 4
 )
 
-// ConfigText writes the operators' text of Services services of Replicas replicas
-// each, at the addresses in order; the first service is the Lead. The
-// addresses of draining replicas are marked so. Bundles are spread over the data
-// centres: a bundle's owner is a node of its data centre.
+// ConfigText returns a configuration text with Services services of Replicas
+// replicas each, at the addresses in order; the first service is the Lead. The
+// replicas at the draining addresses are marked as draining. Bundles are spread
+// over the data centres, as a bundle's owner is a node of its data centre.
 func ConfigText(addresses []string, draining ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\npolicy: {bundle_size: %d}\nindexes: [prices]\nservices:\n", bundleSize)
@@ -44,9 +44,9 @@
 	return b.String()
 }
 
-func contains(list []string, one string) bool {
+func contains(list []string, wanted string) bool {
 	for _, item := range list {
-		if item == one {
+		if item == wanted {
 			return true
 		}
 	}
--- a/test/e2e/main_test.go
+++ b/test/e2e/main_test.go
@@ -6,14 +6,14 @@
 	"os"
 	"testing"
 
-	// The tests run the built program. The go command takes a former result for
-	// good while the packages that a test imports are unchanged, so that without
-	// this import a change of the program would be passed without a run.
+	// The tests run the built program. The go command caches a test result while
+	// the packages that the test imports are unchanged: without this import a
+	// change of the program would pass without a run.
 	_ "github.com/pistachiopier/pistachiopier/internal/command"
 	"github.com/pistachiopier/pistachiopier/test/e2e/harness"
 )
 
-// binary is the built program.
+// binary is the path of the built program.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -38,14 +38,14 @@
 
 const (
 	upstreamBehaviour = "{slots: 2, service: 1ms, versions: [41, 42], connections: 25, connect_cost: 6ms, load: 'true'}"
-	// shortTTL keeps the time short for which a stopping node goes on to serve.
+	// shortTTL shortens the time for which a stopping node continues to serve.
 	shortTTL = "entries_ttl: 500ms\n"
 	callers  = 4
 	replicas = harness.Services * harness.Replicas
 )
 
-// start runs all upstreams in one process and a fleet of three nodes.
-func start(t *testing.T, options harness.NodeOptions) (*harness.Fleet, *harness.StandIn) {
+// startFleet runs all upstream replicas in one process and a fleet of three nodes.
+func startFleet(t *testing.T, options harness.NodeOptions) (*harness.Fleet, *harness.StandIn) {
 	t.Helper()
 	upstreams := harness.StartUpstreams(t, binary, replicas, upstreamBehaviour)
 	return harness.StartFleet(t, binary, 3, harness.ConfigText(upstreams.Addresses), options), upstreams
--- a/test/e2e/node_test.go
+++ b/test/e2e/node_test.go
@@ -10,10 +10,10 @@
 	"github.com/pistachiopier/pistachiopier/test/e2e/harness"
 )
 
-// An operator asks each of three nodes by the command line, at the sizes of
-// today's searches, and reads from each that the answer is whole.
+// The query command against each of three nodes, with a search of production
+// size, must report a complete answer.
 func TestEveryNodeAnswersTheCommandLine(t *testing.T) {
-	fleet, _ := start(t, harness.NodeOptions{})
+	fleet, _ := startFleet(t, harness.NodeOptions{})
 	for _, address := range fleet.CallerAddresses() {
 		out, err := exec.Command(binary, "query", harness.Lead, "--address", address, "--question", `"pork shoulder"`).CombinedOutput()
 		require.NoError(t, err, string(out))
@@ -21,12 +21,11 @@
 	}
 }
 
-// A chef's answers go on while a VM dies: one of three nodes is killed in the
-// middle of the load, and nothing tells the others until the VM list drops it.
-// Its own callers see their answers lost; nobody else does, and nobody waits
-// without end.
+// One of three nodes is killed under load, and the others are not informed until
+// the VM list drops it. Only queries sent to the killed node may fail, and no
+// query may wait without end.
 func TestKilledNodeLosesNoOtherAnswer(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	load.AwaitComplete(50)
 	victim := fleet.Nodes()[1]
@@ -42,11 +41,11 @@
 	load.RequireCorrect()
 }
 
-// A VM is suspended by its host for a while and wakes up. The others answer
-// whole meanwhile, by the next node of each bundle's order, and the woken node
-// answers whole again.
+// A VM is suspended by its host for a while and resumed. Meanwhile the other nodes
+// must give complete answers through the next node in each bundle's ownership
+// order, and the resumed node must then give complete answers again.
 func TestPausedNode(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	load.AwaitComplete(20)
 	paused := fleet.Nodes()[2]
@@ -62,10 +61,10 @@
 	load.RequireCorrect()
 }
 
-// The network between data centres splits one node from the two others, in both
-// directions, while each side still reaches the upstreams, the platform and its
-// callers. Each side answers whole, with the other's bundles taken over, and
-// still does when the split heals.
+// A network partition separates one node from the two others, in both directions,
+// while each side still reaches the upstreams, the platform and its callers. Each
+// side must take over the other's bundles and give complete answers, also after
+// the partition heals.
 func TestPartitionBetweenNodes(t *testing.T) {
 	upstreams := harness.StartUpstreams(t, binary, replicas, upstreamBehaviour)
 	text := harness.ConfigText(upstreams.Addresses)
@@ -86,49 +85,49 @@
 	load.Stop()
 	load.RequireCorrect()
 	for _, counts := range upstreams.Counts() {
-		require.LessOrEqual(t, counts.MostOpen, 25, "both sides' owners together keep to the connection limit")
+		require.LessOrEqual(t, counts.MostOpen, 25, "the owners of both sides together must stay within the connection limit")
 		require.Zero(t, counts.Rejected)
 	}
 }
 
-// An operator stops a node while questions run on it, and while it runs
-// upstream work for the other nodes. Every question is answered whole before
-// the process ends, and it ends cleanly.
+// An operator stops a node while it runs queries of its own callers and sends
+// upstream requests for the other nodes. Every query must get a complete answer
+// before the process ends, and the exit code must be 0.
 func TestPlannedStopCutsOffNothing(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{Settings: shortTTL})
-	// Two questions at the stopping node and two at the others fill the slots of
+	fleet, upstreams := startFleet(t, harness.NodeOptions{Settings: shortTTL})
+	// Two queries at the stopping node and two at the others fill the slots of
 	// every shard, and each runs long enough to be seen in flight.
-	const asking = callers / 2
+	const callersPerLoad = callers / 2
 	upstreams.PatchBehaviour(harness.AllReplicas, "{service: 400ms}")
 	stopped := fleet.Nodes()[0]
 	fleet.RequireOwner(stopped, harness.ConfigText(upstreams.Addresses))
-	others := harness.StartLoad(t, asking, fleet.CallerAddresses()[1:]...)
+	others := harness.StartLoad(t, callersPerLoad, fleet.CallerAddresses()[1:]...)
 	others.AwaitComplete(2)
-	own := harness.QueryOnce(t, asking, stopped.VM.CallerAddress)
-	harness.Await(t, "every question is in flight", func() bool {
+	own := harness.QueryOnce(t, callersPerLoad, stopped.VM.CallerAddress)
+	harness.Await(t, "every query is in flight", func() bool {
 		status, ok := stopped.Status()
-		return ok && status.InFlight == asking
+		return ok && status.InFlight == callersPerLoad
 	})
 	stopped.Signal(syscall.SIGTERM)
 	require.Zero(t, stopped.AwaitExit())
-	harness.Await(t, "every question is answered", func() bool { return own.Tally().Complete == asking })
+	harness.Await(t, "every query is answered", func() bool { return own.Tally().Complete == callersPerLoad })
 	own.RequireCorrect()
 	others.AwaitComplete(4)
 	require.Zero(t, others.Stop().Partial)
 	others.RequireCorrect()
 }
 
-// Every VM is replaced during service, one after the other: a new node joins,
-// the old one is listed as leaving, callers fetch the address answer anew, and
-// the old node is stopped. No question fails.
+// Every VM is replaced under load, one after the other: a new node joins, the old
+// one is listed as leaving, callers switch to the new addresses, and the old node
+// is stopped. No query may fail.
 func TestRollingReplacementOfAllNodes(t *testing.T) {
-	fleet, _ := start(t, harness.NodeOptions{Settings: shortTTL})
+	fleet, _ := startFleet(t, harness.NodeOptions{Settings: shortTTL})
 	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	for _, old := range append([]*harness.Node(nil), fleet.Nodes()...) {
 		fleet.AddSuccessor(old, harness.NodeOptions{Settings: shortTTL})
 		fleet.Remove(old)
 		load.UseEntries(fleet.CallerAddresses()...)
-		harness.Await(t, "no question is left on the leaving node", func() bool {
+		harness.Await(t, "no query is in flight on the leaving node", func() bool {
 			status, ok := old.Status()
 			return ok && status.InFlight == 0
 		})
@@ -143,11 +142,11 @@
 	require.Zero(t, tally.Partial, tally.MissingReasons)
 }
 
-// A caller keeps the address answer for a while and connects by it. A node that
-// is told to stop in that while still gets questions; it leaves the answer, goes
-// on to serve until the answers given out have expired, and no question fails.
+// Callers cache the list of entry addresses until its TTL ends, so that a node
+// which is asked to stop still gets queries. It must remove itself from the list
+// and serve until the lists already returned have expired; no query may fail.
 func TestStoppingNodeServesUntilAddressesExpire(t *testing.T) {
-	fleet, _ := start(t, harness.NodeOptions{Settings: shortTTL})
+	fleet, _ := startFleet(t, harness.NodeOptions{Settings: shortTTL})
 	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	load.CacheAddresses()
 	for _, old := range append([]*harness.Node(nil), fleet.Nodes()...) {
@@ -166,10 +165,10 @@
 	require.Zero(t, tally.Partial, tally.MissingReasons)
 }
 
-// A middlebox between the nodes has lost track of their open flows: datagrams go
-// in and none come out, for good, while a flow from a new port works. Answers
-// stay whole, and the nodes go on by new flows rather than for ever by the next
-// node of each order.
+// A middlebox between the nodes loses the state of their open flows: it drops
+// their datagrams permanently, while a flow from a new port works. Answers must
+// stay complete, and the nodes must open new flows rather than use the next node
+// in each ownership order permanently.
 func TestSilentFlowsBetweenNodesAreReplaced(t *testing.T) {
 	upstreams := harness.StartUpstreams(t, binary, replicas, upstreamBehaviour)
 	split := harness.NewSplitFleet(t, binary, 2, 1, harness.ConfigText(upstreams.Addresses))
--- a/test/e2e/start_test.go
+++ b/test/e2e/start_test.go
@@ -11,19 +11,19 @@
 	"github.com/pistachiopier/pistachiopier/test/e2e/harness"
 )
 
-// A node is started whose certificate comes from another authority, and the VM
-// list names it. The others take no message of it and give it none; their
-// answers stay whole by the next node of each order.
+// A node in the VM list has a certificate of another authority. The other nodes
+// must neither accept messages from it nor send it any, and must give complete
+// answers through the next node in each bundle's ownership order.
 func TestNodeWithAForeignCertificate(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
-	foreign, err := keys.NewAuthority(time.Now(), time.Hour)
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
+	otherAuthority, err := keys.NewAuthority(time.Now(), time.Hour)
 	require.NoError(t, err)
-	good := fleet.CallerAddresses()
-	intruder := fleet.Add(harness.NodeOptions{Authority: foreign})
+	validCallers := fleet.CallerAddresses()
+	foreignNode := fleet.Add(harness.NodeOptions{Authority: otherAuthority})
 	fleet.PublishVMList()
-	fleet.RequireOwner(intruder, harness.ConfigText(upstreams.Addresses))
-	load := harness.StartLoad(t, callers, good...)
-	for _, n := range fleet.Nodes()[:len(good)] {
+	fleet.RequireOwner(foreignNode, harness.ConfigText(upstreams.Addresses))
+	load := harness.StartLoad(t, callers, validCallers...)
+	for _, n := range fleet.Nodes()[:len(validCallers)] {
 		n.AwaitEvent("peer_certificate_refused", &struct{}{})
 	}
 	load.AwaitComplete(100)
@@ -31,8 +31,8 @@
 	load.RequireCorrect()
 }
 
-// A node's caller port is taken by another process. It says so, with the address
-// and what to do, and ends.
+// A node's caller port is in use by another process. The node must exit with code
+// 1 and print the address and how to fix it.
 func TestPortInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/test/e2e/submit_test.go
+++ b/test/e2e/submit_test.go
@@ -20,9 +20,9 @@
 	return fleet, upstreams, invoices
 }
 
-// Every replica sheds for a while. An invoice is then refused as not run, which
-// tells the kitchen manager to send it anew: none of those may have run, also when
-// its two tries met replicas before and after the change.
+// Every replica sheds load for a while. Invoices are then refused as not run, after
+// which a caller may send them again: none of them may have run, also when its
+// attempts fall before and after the change.
 func TestRefusedInvoicesDidNotRun(t *testing.T) {
 	_, upstreams, invoices := startLedger(t)
 	upstreams.PatchBehaviour(harness.AllReplicas, "{shed_share: 1}")
@@ -34,9 +34,9 @@
 	invoices.RequireAtMostOnce(upstreams)
 }
 
-// A VM dies while kitchen managers record invoices, each impatiently through
-// several entries. What the dead node was home to becomes unknown at worst: no
-// invoice is doubled, and none is refused as not run that did run.
+// A node is killed while callers submit invoices, each through several entries at
+// once. Keys whose home was the killed node may get the outcome unknown: no
+// invoice may run twice, and none that ran may be refused as not run.
 func TestInvoicesDuringAKill(t *testing.T) {
 	fleet, upstreams, invoices := startLedger(t)
 	victim := fleet.Nodes()[1]
@@ -49,8 +49,8 @@
 	invoices.RequireAtMostOnce(upstreams)
 }
 
-// A VM is suspended with invoices on their way through it, and wakes up believing
-// what it believed before. What it still holds must not run a second time.
+// A VM is suspended with invoices in flight and resumes with stale state. The
+// requests that it still holds must not run a second time.
 func TestInvoicesDuringAPause(t *testing.T) {
 	fleet, upstreams, invoices := startLedger(t)
 	paused := fleet.Nodes()[0]
@@ -61,9 +61,9 @@
 	invoices.RequireAtMostOnce(upstreams)
 }
 
-// The network splits one node from the others while each side serves its callers
-// and reaches the upstreams. Both sides take the same keys; only the side that
-// holds a key's home may run it.
+// A network partition separates one node from the others while each side serves
+// its callers and reaches the upstreams. Both sides receive the same keys; only
+// the side with the key's home may run it.
 func TestInvoicesDuringAPartition(t *testing.T) {
 	upstreams := harness.StartUpstreams(t, binary, harness.LedgerReplicas, ledgerBehaviour)
 	split := harness.NewSplitFleet(t, binary, 2, 1, harness.LedgerConfigText(upstreams.Addresses))
@@ -76,8 +76,9 @@
 	invoices.RequireAtMostOnce(upstreams)
 }
 
-// Every VM is replaced while invoices are recorded. Keys of a stopped home are
-// answered by what it handed over, or are unknown; none runs again.
+// Every VM is replaced while invoices are submitted. Keys whose home has stopped
+// must be answered from the records that it handed over, or get the outcome
+// unknown; none may run again.
 func TestInvoicesDuringARollingReplacement(t *testing.T) {
 	fleet, upstreams, invoices := startLedger(t)
 	for _, old := range append([]*harness.Node(nil), fleet.Nodes()...) {
--- a/test/e2e/upstream_test.go
+++ b/test/e2e/upstream_test.go
@@ -12,11 +12,11 @@
 	"github.com/pistachiopier/pistachiopier/test/e2e/harness"
 )
 
-// The index is rebuilt while callers ask: the replicas take the new version and
-// drop the oldest one after the other, so that at times no version is on all of
-// them. No answer mixes versions, and in the end all are of the new one.
+// The index is rebuilt under load: one replica after the other loads the new
+// version and drops the oldest, so that at times no version is on all of them. No
+// answer may mix versions, and in the end all must be of the new one.
 func TestIndexChangesUnderLoad(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	load.AwaitComplete(20)
 	for version := 43; version <= 45; version++ {
@@ -31,52 +31,54 @@
 	load.RequireCorrect()
 }
 
-// drainLimit is the few seconds after which a draining upstream gets no new work.
-const drainLimit = 3 * time.Second
+// drainDeadline is the time within which a draining replica must stop getting new
+// requests.
+const drainDeadline = 3 * time.Second
 
-func arrived(upstreams *harness.StandIn, replica int) int {
+func arrivals(upstreams *harness.StandIn, replica int) int {
 	return upstreams.Counts()[replica].Arrived
 }
 
-// A replica begins to drain and says so only in its replies. After a few seconds
-// nothing new reaches it, from any node, and answers stay whole by its twin.
+// A replica begins to drain and announces it only in its replies. After the
+// deadline no node may send it a new request, and answers must stay complete
+// through the shard's other replica.
 func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	load.AwaitComplete(50)
-	require.Positive(t, arrived(upstreams, 0))
+	require.Positive(t, arrivals(upstreams, 0))
 	upstreams.PatchBehaviour(0, "{draining: true}")
 	drained := time.Now()
-	harness.Await(t, "the few seconds are over", func() bool { return time.Since(drained) > drainLimit })
-	settled := arrived(upstreams, 0)
+	harness.Await(t, "the drain deadline has passed", func() bool { return time.Since(drained) > drainDeadline })
+	arrivalsBefore := arrivals(upstreams, 0)
 	load.AwaitComplete(500)
-	require.Equal(t, settled, arrived(upstreams, 0))
+	require.Equal(t, arrivalsBefore, arrivals(upstreams, 0))
 	load.Stop()
 	load.RequireCorrect()
 }
 
-// An operator marks a replica as draining in the text. Once the revision is in
-// force everywhere nothing new reaches it.
+// An operator marks a replica as draining in the configuration text. Once the
+// revision is in force on all nodes, no new request may reach the replica.
 func TestReplicaDrainedByTheText(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	load.AwaitComplete(50)
 	fleet.AwaitReady(fleet.Publish(harness.ConfigText(upstreams.Addresses, upstreams.Addresses[0])))
 	harness.Await(t, "many answers without a request to the draining replica", func() bool {
-		before := arrived(upstreams, 0)
+		before := arrivals(upstreams, 0)
 		load.AwaitComplete(50)
-		return arrived(upstreams, 0) == before
+		return arrivals(upstreams, 0) == before
 	})
-	settled := arrived(upstreams, 0)
+	arrivalsBefore := arrivals(upstreams, 0)
 	load.AwaitComplete(200)
-	require.Equal(t, settled, arrived(upstreams, 0))
+	require.Equal(t, arrivalsBefore, arrivals(upstreams, 0))
 	require.Zero(t, load.Stop().Partial)
 	load.RequireCorrect()
 }
 
-// The VM of one replica is suspended: its connections stay open and answer
-// nothing. Answers meanwhile may be thin and then name that shard alone; when it
-// wakes up, they are whole again.
+// The VM of one replica is suspended: its connections stay open without replies.
+// Meanwhile answers may be partial and must then name the missing shard; once the
+// VM resumes, they must be complete again.
 func TestPausedUpstream(t *testing.T) {
 	paused := harness.StartUpstreams(t, binary, 1, upstreamBehaviour)
 	others := harness.StartUpstreams(t, binary, replicas-1, upstreamBehaviour)
@@ -92,9 +94,10 @@
 	load.RequireCorrect()
 }
 
-// Something between the nodes and both replicas of one shard has lost track of
-// the open connections: they take bytes and give none back, for good, while new
-// ones work. Answers are whole again once the silent connections are given up.
+// A middlebox between the nodes and both replicas of one shard loses the state of
+// the open connections: they accept bytes and never return any, while new
+// connections work. Answers must be complete again once the nodes have closed the
+// silent connections.
 func TestSilentConnectionsToUpstreams(t *testing.T) {
 	upstreams := harness.StartUpstreams(t, binary, replicas, upstreamBehaviour)
 	addresses := append([]string(nil), upstreams.Addresses...)
@@ -117,14 +120,14 @@
 	load.Stop()
 	load.RequireCorrect()
 	for _, proxy := range proxies {
-		require.Positive(t, proxy.Dropped(), "a request went into the silence")
+		require.Positive(t, proxy.Dropped(), "no request was sent on a silent connection")
 	}
 }
 
-// Replicas answer in every wrong way: other requests' replies, replies cut short
-// and errors. No answer takes up such a part, and none hides that it is thin.
+// Replicas return replies to other requests, truncated replies and errors. No
+// answer may contain such a part, and every partial answer must be marked so.
 func TestWrongRepliesNeverReachCallers(t *testing.T) {
-	fleet, upstreams := start(t, harness.NodeOptions{})
+	fleet, upstreams := startFleet(t, harness.NodeOptions{})
 	upstreams.PatchBehaviour(harness.AllReplicas, "{crossed_share: 0.02, cut_share: 0.02, fail_share: 0.02, shed_share: 0.05}")
 	load := harness.StartLoad(t, callers, fleet.CallerAddresses()...)
 	harness.Await(t, "many answers", func() bool { return load.Tally().Complete+load.Tally().Partial >= 100 })
@@ -134,8 +137,8 @@
 	load.RequireCorrect()
 }
 
-// One of two replicas is suspended and its connections answer nothing. The other
-// one answers for it, and no list is thin on its account.
+// One of a shard's two replicas is suspended and its connections give no replies.
+// The other replica must answer instead, and no answer may be partial.
 func TestPausedUpstreamIsPassedOver(t *testing.T) {
 	paused := harness.StartUpstreams(t, binary, 1, upstreamBehaviour)
 	others := harness.StartUpstreams(t, binary, replicas-1, upstreamBehaviour)
