--- a/test/session/admit.go
+++ b/test/session/admit.go
@@ -7,11 +7,11 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/admit"
 )
 
-const drainingMark = ":draining"
+const drainingSuffix = ":draining"
 
-// admitSession drives one shard's queue at its owner. Header line: "config"
-// with slots, max_queue and replicas=a,b:draining; the event "reconfigured"
-// takes the same fields.
+// admitSession drives one shard's request queue on the owner node. Header line:
+// "config" with slots, max_queue and replicas=a,b:draining; the event
+// "reconfigured" takes the same fields.
 type admitSession struct {
 	config  admit.Config
 	machine *admit.Shard
@@ -21,27 +21,27 @@
 
 func (s *admitSession) header(l line) error {
 	if l.word != "config" {
-		return l.fault("an admit session has no header %q", l.word)
+		return l.errorf("an admit session has no header line %q", l.word)
 	}
 	return s.configure(l)
 }
 
-// configure takes the fields written; the others keep their values.
+// configure sets the given fields of the configuration; the others keep their values.
 func (s *admitSession) configure(l line) error {
-	plain := l
-	plain.fields = nil
+	others := l
+	others.fields = nil
 	for _, f := range l.fields {
 		if f.key != "replicas" {
-			plain.fields = append(plain.fields, f)
+			others.fields = append(others.fields, f)
 			continue
 		}
 		s.config.Replicas = nil
 		for _, text := range strings.Split(f.value, ",") {
-			address, draining := strings.CutSuffix(text, drainingMark)
+			address, draining := strings.CutSuffix(text, drainingSuffix)
 			s.config.Replicas = append(s.config.Replicas, admit.ReplicaConfig{Address: address, Draining: draining})
 		}
 	}
-	return fill(plain, &s.config)
+	return setFields(others, &s.config)
 }
 
 func (s *admitSession) step(now time.Duration, l line) ([]any, error) {
@@ -52,34 +52,34 @@
 	if err != nil {
 		return nil, err
 	}
-	return steps(s.machine.Step(now, event)), nil
+	return anySlice(s.machine.Step(now, event)), nil
 }
 
 func (s *admitSession) event(l line) (admit.Event, error) {
 	switch l.word {
 	case "offered":
 		e := admit.Offered{Weight: 1}
-		err := fill(l, &e)
+		err := setFields(l, &e)
 		return e, err
 	case "withdrawn":
 		var e admit.Withdrawn
-		err := fill(l, &e)
+		err := setFields(l, &e)
 		return e, err
 	case "try_ended":
 		var e admit.TryEnded
-		err := fill(l, &e)
+		err := setFields(l, &e)
 		return e, err
 	case "drain_seen":
 		var e admit.DrainSeen
-		err := fill(l, &e)
+		err := setFields(l, &e)
 		return e, err
 	case "reconfigured":
 		err := s.configure(l)
 		return admit.Reconfigured{Config: s.config}, err
 	case "woken":
-		return admit.Woken{}, fill(l, &admit.Woken{})
+		return admit.Woken{}, setFields(l, &admit.Woken{})
 	}
-	return nil, l.fault("a shard's queue has no event %q", l.word)
+	return nil, l.errorf("an admit session has no event %q", l.word)
 }
 
-func (s *admitSession) name(string, any) (string, bool) { return "", false }
+func (s *admitSession) displayName(string, any) (string, bool) { return "", false }
--- a/test/session/config.go
+++ b/test/session/config.go
@@ -10,17 +10,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/route"
 )
 
-// configSession drives one node's configuration. It has no header lines. Events:
-// ask_peers peers=a,b; service_text and peer_text with revision, digest and valid;
-// peer_says with peer, revision and digest; peer_failed with peer; confirm,
-// service_answered, service_failed and tick. A line "in_force" shows what the node
-// has in force at that time.
+// configSession drives one node's configuration machine. It has no header lines.
+// Events: ask_peers peers=a,b; service_text and peer_text with revision, digest and
+// valid; peer_says with peer, revision and digest; peer_failed with peer; confirm,
+// service_answered, service_failed and tick. A line "in_force" prints the revision
+// and digest in force at that time.
 type configSession struct{ machine *config.Machine }
 
 func newConfig() machine { return &configSession{} }
 
 func (s *configSession) header(l line) error {
-	return l.fault("a config session has no header %q", l.word)
+	return l.errorf("a config session has no header line %q", l.word)
 }
 
 // configFields are the fields that a config session's events may carry.
@@ -32,7 +32,7 @@
 	Valid    bool
 }
 
-// InForce shows the mark in force in place of an action.
+// InForce is printed like an action and holds the mark in force.
 type InForce struct{ Mark config.Mark }
 
 func (s *configSession) step(now time.Duration, l line) ([]any, error) {
@@ -40,7 +40,7 @@
 		s.machine = config.New(now)
 	}
 	fields := configFields{Valid: true}
-	if err := fill(l, &fields); err != nil {
+	if err := setFields(l, &fields); err != nil {
 		return nil, err
 	}
 	if l.word == "in_force" {
@@ -48,20 +48,21 @@
 	}
 	actions, known := s.event(now, l.word, fields)
 	if !known {
-		return nil, l.fault("a node's configuration has no event %q", l.word)
+		return nil, l.errorf("a config session has no event %q", l.word)
 	}
-	return named(actions), nil
+	return withProblemNames(actions), nil
 }
 
-// Report and Clear are the machine's actions with their problem by name.
+// Report and Clear are the machine's actions with the problem's name instead of
+// its number.
 type (
 	Report struct{ Problem, Detail string }
 	Clear  struct{ Problem string }
 )
 
-// named puts names in place of the problems' numbers, the first of which is 0 and
-// would not be shown.
-func named(actions []config.Action) []any {
+// withProblemNames replaces the problems' numbers with names: the first number is
+// 0, and zero fields are not printed.
+func withProblemNames(actions []config.Action) []any {
 	list := make([]any, 0, len(actions))
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -81,11 +82,11 @@
 	peer := core.NodeID(fields.Peer)
 	switch word {
 	case "ask_peers":
-		return s.machine.AskPeers(now, peersNamed(fields.Peers)), true
+		return s.machine.AskPeers(now, nodesByName(fields.Peers)), true
 	case "service_text":
-		return s.machine.Offer(now, reading(mark, config.FromService, fields.Valid)), true
+		return s.machine.Offer(now, newReading(mark, config.FromService, fields.Valid)), true
 	case "peer_text":
-		return s.machine.Offer(now, reading(mark, config.FromPeer, fields.Valid)), true
+		return s.machine.Offer(now, newReading(mark, config.FromPeer, fields.Valid)), true
 	case "peer_says":
 		return s.machine.PeerReported(now, peer, mark), true
 	case "peer_failed":
@@ -102,7 +103,7 @@
 	return nil, false
 }
 
-func peersNamed(names []string) []route.Node {
+func nodesByName(names []string) []route.Node {
 	nodes := make([]route.Node, 0, len(names))
 	for _, name := range names {
 		nodes = append(nodes, route.Node{ID: core.NodeID(name)})
@@ -110,7 +111,7 @@
 	return nodes
 }
 
-func reading(mark config.Mark, source config.Source, valid bool) *config.Reading {
+func newReading(mark config.Mark, source config.Source, valid bool) *config.Reading {
 	r := &config.Reading{Mark: mark, Source: source}
 	if valid {
 		r.Catalog = &catalog.Catalog{}
@@ -120,7 +121,7 @@
 	return r
 }
 
-// problemNames are the problems as sessions write them.
+// problemNames holds the problems' names in session output.
 var problemNames = map[config.Problem]string{
 	config.ProblemRefused:  "refused",
 	config.ProblemConflict: "conflict",
@@ -128,7 +129,7 @@
 	config.ProblemOlder:    "older",
 }
 
-func (s *configSession) name(_ string, value any) (string, bool) {
+func (s *configSession) displayName(_ string, value any) (string, bool) {
 	if r, ok := value.(*config.Reading); ok {
 		return fmt.Sprintf("revision:%d/digest:%d", r.Mark.Revision, r.Mark.Digest), true
 	}
--- a/test/session/machine.go
+++ b/test/session/machine.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// machine is a decision machine that a session can drive.
+// machine adapts a state machine to sessions.
 type machine interface {
-	// header takes a header line.
+	// header applies a header line.
 	header(l line) error
-	// step takes an event and returns the machine's actions.
+	// step passes an event to the state machine and returns its actions.
 	step(now time.Duration, l line) ([]any, error)
-	// name renders values that the reader knows by another name, such as the
-	// number of a shard.
-	name(field string, value any) (string, bool)
+	// displayName returns the name that sessions use for a value, such as a shard's
+	// name for its number; false if there is none.
+	displayName(field string, value any) (string, bool)
 }
 
-// machines makes each machine by the name that sessions use.
+// machines holds the constructors by the machine names that sessions use.
 var machines = map[string]func() machine{
 	"query":  newQuery,
 	"admit":  newAdmit,
 	"config": newConfig,
 }
 
-// Run replays a session and returns its text with the actions after each event.
+// Run replays a session and returns its text with the resulting actions below each
+// event.
 func Run(text string) (string, error) {
 	lines, err := parseLines(text)
 	if err != nil {
@@ -40,14 +41,14 @@
 		case l.word == "machine":
 			m, err = newMachine(l)
 		case m == nil:
-			err = l.fault("the first line must be: machine NAME")
+			err = l.errorf("the first line must be: machine NAME")
 		case !l.isEvent:
 			err = m.header(l)
 		case l.at < last:
-			err = l.fault("the time runs backwards")
+			err = l.errorf("the time is before that of the previous event")
 		default:
 			last = l.at
-			err = stepInto(&out, m, l)
+			err = writeStep(&out, m, l)
 		}
 		if err != nil {
 			return "", err
@@ -59,24 +60,24 @@
 func newMachine(l line) (machine, error) {
 	create := machines[l.name]
 	if create == nil {
-		return nil, l.fault("there is no machine %q", l.name)
+		return nil, l.errorf("unknown machine %q", l.name)
 	}
 	return create(), nil
 }
 
-func stepInto(out *strings.Builder, m machine, l line) error {
+func writeStep(out *strings.Builder, m machine, l line) error {
 	actions, err := m.step(l.at, l)
 	if err != nil {
 		return err
 	}
 	for _, action := range actions {
-		fmt.Fprintf(out, "    -> %s\n", render(action, m.name))
+		fmt.Fprintf(out, "    -> %s\n", render(action, m.displayName))
 	}
 	return nil
 }
 
-// steps adapts a slice of a machine's own action type.
-func steps[A any](actions []A) []any {
+// anySlice converts a slice of a machine's action type.
+func anySlice[A any](actions []A) []any {
 	list := make([]any, 0, len(actions))
 	for _, action := range actions {
 		list = append(list, action)
--- a/test/session/query.go
+++ b/test/session/query.go
@@ -9,8 +9,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/core/query"
 )
 
-// querySession drives one question. Header lines: "service NAME shards=N
-// bundle=N needs=A,B", dependencies first, and "options" with query.Options.
+// querySession drives one query. Header lines: "service NAME shards=N bundle=N
+// needs=A,B", dependencies first, and "options" with the fields of query.Options.
 type querySession struct {
 	services []query.ServicePlan
 	needs    []query.Need
@@ -23,37 +23,37 @@
 func (s *querySession) header(l line) error {
 	switch l.word {
 	case "options":
-		return fill(l, &s.options)
+		return setFields(l, &s.options)
 	case "service":
 		return s.service(l)
 	}
-	return l.fault("a query session has no header %q", l.word)
+	return l.errorf("a query session has no header line %q", l.word)
 }
 
 func (s *querySession) service(l line) error {
-	written := struct {
+	declared := struct {
 		Shards int
 		Bundle uint32
 		Needs  []string
 	}{Shards: 1}
-	if err := fill(l, &written); err != nil {
+	if err := setFields(l, &declared); err != nil {
 		return err
 	}
-	place := len(s.services)
+	index := len(s.services)
 	service := query.ServicePlan{Name: l.name}
-	for _, needed := range written.Needs {
-		at := s.find(needed)
-		if at < 0 {
-			return l.fault("service %q is not written above", needed)
+	for _, needed := range declared.Needs {
+		dependency := s.find(needed)
+		if dependency < 0 {
+			return l.errorf("service %q is not declared above", needed)
 		}
-		service.DependsOn = append(service.DependsOn, at)
+		service.DependsOn = append(service.DependsOn, dependency)
 	}
-	for shard := range written.Shards {
+	for shard := range declared.Shards {
 		service.Shards = append(service.Shards, len(s.needs))
 		s.needs = append(s.needs, query.Need{
 			Ref:     core.ShardRef{Service: l.name, Shard: shard},
-			Bundle:  core.BundleID(written.Bundle),
-			Service: place,
+			Bundle:  core.BundleID(declared.Bundle),
+			Service: index,
 		})
 	}
 	s.services = append(s.services, service)
@@ -61,8 +61,8 @@
 }
 
 func (s *querySession) find(service string) int {
-	for i, one := range s.services {
-		if one.Name == service {
+	for i, plan := range s.services {
+		if plan.Name == service {
 			return i
 		}
 	}
@@ -77,39 +77,39 @@
 	if err != nil {
 		return nil, err
 	}
-	return steps(s.machine.Step(now, event)), nil
+	return anySlice(s.machine.Step(now, event)), nil
 }
 
 func (s *querySession) event(l line) (query.Event, error) {
-	l, err := s.numberShard(l)
+	l, err := s.resolveShard(l)
 	if err != nil {
 		return nil, err
 	}
 	switch l.word {
 	case "started":
-		return query.Started{}, fill(l, &query.Started{})
+		return query.Started{}, setFields(l, &query.Started{})
 	case "part":
 		var e query.PartArrived
-		err := fill(l, &e)
+		err := setFields(l, &e)
 		return e, err
 	case "part_failed":
 		var e query.PartFailed
-		err := fill(l, &e)
+		err := setFields(l, &e)
 		return e, err
 	case "send_failed":
 		var e query.SendFailed
-		err := fill(l, &e)
+		err := setFields(l, &e)
 		return e, err
 	case "woken":
-		return query.Woken{}, fill(l, &query.Woken{})
+		return query.Woken{}, setFields(l, &query.Woken{})
 	case "cancelled":
-		return query.Cancelled{}, fill(l, &query.Cancelled{})
+		return query.Cancelled{}, setFields(l, &query.Cancelled{})
 	}
-	return nil, l.fault("a question has no event %q", l.word)
+	return nil, l.errorf("a query session has no event %q", l.word)
 }
 
-// numberShard replaces shard=NAME/N by the number that the machine uses.
-func (s *querySession) numberShard(l line) (line, error) {
+// resolveShard replaces shard=NAME/N with the need number that the machine uses.
+func (s *querySession) resolveShard(l line) (line, error) {
 	fields := append([]field(nil), l.fields...)
 	for i, f := range fields {
 		if f.key != "shard" {
@@ -122,7 +122,7 @@
 			}
 		}
 		if number < 0 {
-			return l, l.fault("shard %s is not in the plan", f.value)
+			return l, l.errorf("shard %s is not in the plan", f.value)
 		}
 		fields[i] = field{key: "need", value: strconv.Itoa(number)}
 	}
@@ -130,7 +130,7 @@
 	return l, nil
 }
 
-func (s *querySession) name(field string, value any) (string, bool) {
+func (s *querySession) displayName(field string, value any) (string, bool) {
 	needs, ok := value.([]int)
 	if field != "Needs" || !ok {
 		return "", false
--- a/test/session/script.go
+++ b/test/session/script.go
@@ -1,9 +1,9 @@
-// Package session replays whole sessions of the decision machines. A session is
-// a text file that needs no Go: a header that describes the machine, and events
-// with the virtual times at which they happen. Run writes each event with the
-// actions that the machine gave; the tests keep that as golden files.
+// Package session replays scripts of events against the core state machines. A
+// session is a text file: a header that configures the machine, and events with
+// their virtual times. Run prints each event with the actions that the machine
+// returned; the tests compare the output with golden files.
 //
-//	# What the session is about.
+//	# The purpose of the session.
 //	machine query
 //	service base shards=2 bundle=1
 //	service top shards=1 bundle=2 needs=base
@@ -12,9 +12,9 @@
 //	at 0ms started
 //	at 5ms part send=1 shard=base/0 version=7 serves=7,8
 //
-// A line is a word with key=value fields. Keys are the names of the fields of
-// the machine's exported types in lower case with underscores; a list is written
-// with commas. Lines that start with # are comments and stay in the output.
+// A line is a word with key=value fields. Keys are the field names of the machine's
+// exported types in snake case; list items are separated by commas. Lines that
+// start with # are comments and are copied to the output.
 package session
 
 import (
@@ -27,19 +27,19 @@
 type line struct {
 	number int
 	text   string
-	// at is the event's time; isEvent tells events from header lines.
+	// at is the event's time; isEvent is false for header lines.
 	at      time.Duration
 	isEvent bool
 	word    string
-	// name is a second word without an equals sign, such as a service's name.
+	// name is the second word if it has no equals sign, such as a service's name.
 	name   string
 	fields []field
 }
 
-// field is one key=value of a line.
+// field is one key=value pair of a line.
 type field struct{ key, value string }
 
-// Error is a fault in a session's text.
+// Error is an error in a session's text.
 type Error struct {
 	Line    int
 	Message string
@@ -48,15 +48,15 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Message) }
 
-func (l line) fault(format string, values ...any) error {
+func (l line) errorf(format string, values ...any) error {
 	return &Error{Line: l.number, Message: fmt.Sprintf(format, values...)}
 }
 
 func parseLines(text string) ([]line, error) {
 	var lines []line
-	for i, written := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
-		l := line{number: i + 1, text: written}
-		words := strings.Fields(written)
+	for i, lineText := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
+		l := line{number: i + 1, text: lineText}
+		words := strings.Fields(lineText)
 		if len(words) > 0 && !strings.HasPrefix(words[0], "#") {
 			if err := l.parse(words); err != nil {
 				return nil, err
@@ -70,11 +70,11 @@
 func (l *line) parse(words []string) error {
 	if words[0] == "at" {
 		if len(words) < 3 {
-			return l.fault("write at TIME EVENT")
+			return l.errorf("expected: at TIME EVENT")
 		}
 		at, err := time.ParseDuration(words[1])
 		if err != nil {
-			return l.fault("%q is not a time such as 5ms", words[1])
+			return l.errorf("%q is not a duration such as 5ms", words[1])
 		}
 		l.at, l.isEvent = at, true
 		words = words[2:]
@@ -88,7 +88,7 @@
 		case l.name == "" && len(l.fields) == 0:
 			l.name = word
 		default:
-			return l.fault("%q is not KEY=VALUE", word)
+			return l.errorf("expected KEY=VALUE, got %q", word)
 		}
 	}
 	return nil
--- a/test/session/value.go
+++ b/test/session/value.go
@@ -11,35 +11,34 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// fill sets the fields of a struct, given by pointer, from a line's fields. It
-// goes by the fields' names, so that a machine's type may gain fields without a
-// change here.
-func fill(l line, out any) error {
+// setFields sets the fields of a struct, given by pointer, from a line's fields. It
+// finds them by name, so that new fields of a machine's type need no change here.
+func setFields(l line, out any) error {
 	value := reflect.ValueOf(out).Elem()
 	for _, f := range l.fields {
-		target, ok := fieldOf(value, f.key)
+		target, ok := findField(value, f.key)
 		if !ok {
-			return l.fault("%s has no field %q", snake(value.Type().Name()), f.key)
+			return l.errorf("%s has no field %q", snakeCase(value.Type().Name()), f.key)
 		}
-		if err := set(target, f.value); err != nil {
-			return l.fault("%s: %v", f.key, err)
+		if err := setValue(target, f.value); err != nil {
+			return l.errorf("%s: %v", f.key, err)
 		}
 	}
 	return nil
 }
 
-func fieldOf(value reflect.Value, key string) (reflect.Value, bool) {
+func findField(value reflect.Value, key string) (reflect.Value, bool) {
 	for i := range value.NumField() {
-		written := value.Type().Field(i)
-		if written.IsExported() && snake(written.Name) == key {
+		structField := value.Type().Field(i)
+		if structField.IsExported() && snakeCase(structField.Name) == key {
 			return value.Field(i), true
 		}
 	}
 	return reflect.Value{}, false
 }
 
-// set parses one value by the type of its place.
-func set(target reflect.Value, text string) error {
+// setValue parses one value by the type of its target.
+func setValue(target reflect.Value, text string) error {
 	switch target.Type() {
 	case reflect.TypeFor[time.Duration]():
 		duration, err := time.ParseDuration(text)
@@ -74,15 +73,15 @@
 		target.SetFloat(parsed)
 		return err
 	default:
-		return fmt.Errorf("a %s cannot be written in a session", target.Type())
+		return fmt.Errorf("values of type %s are not supported in sessions", target.Type())
 	}
 }
 
 func setList(target reflect.Value, text string) error {
 	texts := strings.Split(text, ",")
 	list := reflect.MakeSlice(target.Type(), len(texts), len(texts))
-	for i, one := range texts {
-		if err := set(list.Index(i), one); err != nil {
+	for i, item := range texts {
+		if err := setValue(list.Index(i), item); err != nil {
 			return err
 		}
 	}
@@ -97,32 +96,32 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is none of unknown, done and not_run", text)
+	return fmt.Errorf("%q is not one of unknown, done and not_run", text)
 }
 
-// namer renders a value of a field in the session's own words; false leaves it
-// to its type.
-type namer func(field string, value any) (string, bool)
+// valueNamer returns the name that sessions use for a field's value; false if the
+// value is printed according to its type.
+type valueNamer func(field string, value any) (string, bool)
 
-// render writes a struct as its type's name and the fields that are not zero.
-func render(value any, name namer) string {
+// render formats a struct as its type's name and the fields that are not zero.
+func render(value any, name valueNamer) string {
 	v := reflect.ValueOf(value)
-	return snake(v.Type().Name()) + renderFields(v, name)
+	return snakeCase(v.Type().Name()) + renderFields(v, name)
 }
 
-func renderFields(v reflect.Value, name namer) string {
+func renderFields(v reflect.Value, name valueNamer) string {
 	var b strings.Builder
 	for i := range v.NumField() {
-		written := v.Type().Field(i)
-		if !written.IsExported() || v.Field(i).IsZero() {
+		structField := v.Type().Field(i)
+		if !structField.IsExported() || v.Field(i).IsZero() {
 			continue
 		}
-		b.WriteString(" " + snake(written.Name) + "=" + renderValue(written.Name, v.Field(i), name))
+		b.WriteString(" " + snakeCase(structField.Name) + "=" + renderValue(structField.Name, v.Field(i), name))
 	}
 	return b.String()
 }
 
-func renderValue(field string, v reflect.Value, name namer) string {
+func renderValue(field string, v reflect.Value, name valueNamer) string {
 	if text, ok := name(field, v.Interface()); ok {
 		return text
 	}
@@ -146,8 +145,8 @@
 	}
 }
 
-// snake turns a Go name into lower case with underscores.
-func snake(name string) string {
+// snakeCase converts a Go name to snake case.
+func snakeCase(name string) string {
 	var b strings.Builder
 	previousLower := false
 	for _, r := range name {
