--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -18,23 +18,23 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-// callers send checked requests until the context ends.
+// callers sends requests until the context ends and checks the answers.
 type callers struct {
-	w      *world
-	served atomic.Int64
-	asked  atomic.Int64
-	next   atomic.Int64
-	mutex  sync.Mutex
-	// posts are the requests that must run at most once, with the status that the
-	// caller got; 0 is none.
-	posts map[string]int
+	cluster *cluster
+	served  atomic.Int64
+	sent    atomic.Int64
+	next    atomic.Int64
+	mutex   sync.Mutex
+	// postStatuses holds the requests that must run at most once, with the status of
+	// the answer; 0 is no answer.
+	postStatuses map[string]int
 }
 
 const (
 	callerCount = 6
-	// keptAnswer is how long callers keep an address answer, three times what they are told.
-	keptAnswer = 3 * time.Second
-	pause      = 15 * time.Millisecond
+	// addressCacheTime is three times the TTL that nodes return with the addresses.
+	addressCacheTime = 3 * time.Second
+	requestPause     = 15 * time.Millisecond
 )
 
 func (c *callers) run(ctx context.Context) {
@@ -43,33 +43,34 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			c.one(ctx, rand.New(rand.NewPCG(c.w.seed, uint64(i))))
+			c.runCaller(ctx, rand.New(rand.NewPCG(c.cluster.seed, uint64(i))))
 		}()
 	}
 	running.Wait()
 }
 
-// one is a caller: it asks for addresses, keeps them and its connections, and asks.
-func (c *callers) one(ctx context.Context, random *rand.Rand) {
+// runCaller is one caller: it resolves addresses, caches them, keeps its connections and
+// sends requests.
+func (c *callers) runCaller(ctx context.Context, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
 	var addresses []string
-	var askedAt time.Time
+	var resolvedAt time.Time
 	for ctx.Err() == nil {
-		time.Sleep(pause)
-		if time.Since(askedAt) > keptAnswer || len(addresses) == 0 {
-			addresses, askedAt = c.resolve(ctx, client, random), time.Now()
+		time.Sleep(requestPause)
+		if time.Since(resolvedAt) > addressCacheTime || len(addresses) == 0 {
+			addresses, resolvedAt = c.resolve(ctx, client, random), time.Now()
 			continue
 		}
 		address := addresses[random.IntN(len(addresses))]
-		if !c.ask(ctx, client, address, random.IntN(3)) {
-			addresses = slices.DeleteFunc(slices.Clone(addresses), func(one string) bool { return one == address })
+		if !c.send(ctx, client, address, random.IntN(3)) {
+			addresses = slices.DeleteFunc(slices.Clone(addresses), func(other string) bool { return other == address })
 		}
 	}
 }
 
 func (c *callers) resolve(ctx context.Context, client *http.Client, random *rand.Rand) []string {
-	node := c.w.nodes[random.IntN(nodeCount)]
+	node := c.cluster.nodes[random.IntN(nodeCount)]
 	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d/pistachiopier/resolve?zone=dc%d", node.ip, directoryPort, random.IntN(2)), nil)
 	response, err := client.Do(request)
 	if err != nil {
@@ -83,15 +84,15 @@
 	return answer.Addrs
 }
 
-// ask sends one request and checks the answer. It reports whether the node answered.
-func (c *callers) ask(ctx context.Context, client *http.Client, address string, kind int) bool {
-	c.asked.Add(1)
-	id := fmt.Sprintf("%x-%d", c.w.seed, c.next.Add(1))
+// send sends one request and checks the answer. It reports whether the node answered.
+func (c *callers) send(ctx context.Context, client *http.Client, address string, kind int) bool {
+	c.sent.Add(1)
+	id := fmt.Sprintf("%x-%d", c.cluster.seed, c.next.Add(1))
 	path, method := []string{"/plain/x?y=%2F", "/all/x", "/once/x"}[kind], http.MethodGet
 	if kind == 2 {
 		method = http.MethodPost
 	}
-	// With a body of its own net/http cannot send the request again by itself.
+	// net/http cannot rewind a body of this type, and so does not retry the request itself.
 	request, _ := http.NewRequestWithContext(ctx, method, "http://"+address+path, io.MultiReader(strings.NewReader("x")))
 	request.Host = "search.example"
 	request.Header.Set("Pistachiopier-Request-Id", id)
@@ -100,13 +101,13 @@
 	process, sentAt := node.process(), time.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		c.noAnswer(ctx, node, process, id, kind, sentAt, err)
+		c.checkNoAnswer(ctx, node, process, id, kind, sentAt, err)
 		return false
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		c.noAnswer(ctx, node, process, id, kind, sentAt, err)
+		c.checkNoAnswer(ctx, node, process, id, kind, sentAt, err)
 		return false
 	}
 	c.check(kind, id, sentAt, node, response, body)
@@ -115,90 +116,91 @@
 
 func (c *callers) node(address string) *vm {
 	host, _, _ := net.SplitHostPort(address)
-	for _, one := range c.w.nodes {
-		if one.ip == host {
-			return one
+	for _, node := range c.cluster.nodes {
+		if node.ip == host {
+			return node
 		}
 	}
 	return nil
 }
 
-// inWork is how long a request must have waited to have been read: one that crosses the close of
-// an idle connection ends sooner.
-const inWork = 50 * time.Millisecond
+// minInFlight is the shortest wait after which a request counts as read by the node: a request
+// that meets the close of an idle connection fails sooner.
+const minInFlight = 50 * time.Millisecond
 
-// noAnswer is a request without an answer. One that was read by a process which only stops as
-// planned, or whose settings are being changed, must have one. A request to the process before that one may have been cut by a kill,
-// which a caller that stood still itself notices late.
-func (c *callers) noAnswer(ctx context.Context, node *vm, process int, id string, kind int, sentAt time.Time, err error) {
-	c.remember(id, kind, 0)
+// checkNoAnswer checks a request without an answer. A process that only stops as planned, or
+// whose settings are being changed, must answer every request that it has read. A request to
+// an earlier process may have been cut by a kill, which a caller that was paused itself notices late.
+func (c *callers) checkNoAnswer(ctx context.Context, node *vm, process int, id string, kind int, sentAt time.Time, err error) {
+	c.recordStatus(id, kind, 0)
 	node.mutex.Lock()
-	planned := (node.planned || node.reloading > 0) && node.launches == process
+	plannedStop := (node.plannedStop || node.reloading > 0) && node.launches == process
 	node.mutex.Unlock()
 	var operation *net.OpError
 	refused := errors.As(err, &operation) && operation.Op == "dial"
-	if planned && ctx.Err() == nil && !refused && time.Since(sentAt) > inWork {
-		c.w.fail("request %s got no answer from %s, which only stops or reads its settings: %v", id, node.ip, err)
+	if plannedStop && ctx.Err() == nil && !refused && time.Since(sentAt) > minInFlight {
+		c.cluster.recordViolation("request %s got no answer from %s during a planned stop or a settings change: %v", id, node.ip, err)
 	}
 }
 
-func (c *callers) remember(id string, kind, status int) {
+func (c *callers) recordStatus(id string, kind, status int) {
 	if kind == 2 {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.posts[id] = status
+		c.postStatuses[id] = status
 	}
 }
 
 func (c *callers) check(kind int, id string, sentAt time.Time, node *vm, response *http.Response, body []byte) {
-	c.remember(id, kind, response.StatusCode)
+	c.recordStatus(id, kind, response.StatusCode)
 	switch {
 	case response.StatusCode == http.StatusOK && kind == 1:
 		c.checkGathered(id, sentAt, node, response, body)
 	case response.StatusCode == http.StatusOK:
 		c.checkForwarded(kind, id, sentAt, node, response, body)
 	case strings.Contains(string(body), "replicas ended under"):
-		c.w.fail("request %s, under which no replica ends, was set aside", id)
+		c.cluster.recordViolation("request %s, which crashes no replica, was set aside", id)
 	case response.StatusCode < 500:
-		c.w.fail("request %s got status %d, though each configuration allows it", id, response.StatusCode)
+		c.cluster.recordViolation("request %s got status %d, but is valid in every configuration", id, response.StatusCode)
 	}
 	if response.StatusCode == http.StatusOK {
 		c.served.Add(1)
 	}
 }
 
-// signer finds the replica that a signature is of; it must be to this request.
-func (c *callers) signer(id, stamp string) string {
-	c.w.mutex.Lock()
-	defer c.w.mutex.Unlock()
-	for _, one := range c.w.replicas {
-		if one.Stamp(id) == stamp {
-			return one.Service
+// stampedService returns the service of the replica that signed the stamp for this request;
+// empty if there is none.
+func (c *callers) stampedService(id, stamp string) string {
+	c.cluster.mutex.Lock()
+	defer c.cluster.mutex.Unlock()
+	for _, replica := range c.cluster.replicas {
+		if replica.Stamp(id) == stamp {
+			return replica.Service
 		}
 	}
 	return ""
 }
 
 func (c *callers) checkForwarded(kind int, id string, sentAt time.Time, node *vm, response *http.Response, body []byte) {
-	service := c.signer(id, response.Header.Get("Pistachiopier-Server-Stamp"))
+	service := c.stampedService(id, response.Header.Get("Pistachiopier-Server-Stamp"))
 	if service == "" || string(body) != string(records(service)) {
-		c.w.fail("request %s: a success with %d bytes that are not those of %q, which signed as %q", id, len(body), service, response.Header.Get("Pistachiopier-Server-Stamp"))
+		c.cluster.recordViolation("request %s: a success with %d bytes that are not the records of %q, stamp %q", id, len(body), service, response.Header.Get("Pistachiopier-Server-Stamp"))
 		return
 	}
-	c.w.mutex.Lock()
-	changed, former := c.w.changedAt, c.w.former
-	c.w.mutex.Unlock()
-	if kind == 0 && service == former && c.due(changed, sentAt, node) {
-		c.w.fail("request %s was handled by the former configuration", id)
+	c.cluster.mutex.Lock()
+	changed, previous := c.cluster.changedAt, c.cluster.previous
+	c.cluster.mutex.Unlock()
+	if kind == 0 && service == previous && c.mustBeInForce(changed, sentAt, node) {
+		c.cluster.recordViolation("request %s was handled with the previous configuration", id)
 	}
 }
 
-// due reports whether a change must have been in force at a node when a request was sent.
-func (c *callers) due(changed, sentAt time.Time, node *vm) bool {
-	c.w.mutex.Lock()
-	calm := c.w.storeCalm
-	c.w.mutex.Unlock()
-	return sentAt.Sub(changed) > applyWait+slack && sentAt.Sub(calm) > stable+applyWait+slack && node.calmFor(stable+applyWait+slack)
+// mustBeInForce reports whether a change must have been in force at a node when a request was sent.
+func (c *callers) mustBeInForce(changed, sentAt time.Time, node *vm) bool {
+	c.cluster.mutex.Lock()
+	storeHealthySince := c.cluster.storeHealthySince
+	c.cluster.mutex.Unlock()
+	return sentAt.Sub(changed) > applyBound+slack && sentAt.Sub(storeHealthySince) > stablePeriod+applyBound+slack && node.healthyFor(stablePeriod+applyBound+slack)
 }
 
 func (c *callers) checkGathered(id string, sentAt time.Time, node *vm, response *http.Response, body []byte) {
@@ -206,9 +208,9 @@
 	seen := map[string]bool{}
 	partitions := map[byte]bool{}
 	for _, stamp := range strings.Split(response.Header.Get("Pistachiopier-Part-Stamps"), ",") {
-		service := c.signer(id, strings.TrimSpace(stamp))
+		service := c.stampedService(id, strings.TrimSpace(stamp))
 		if !strings.HasPrefix(service, "shard") || seen[service] {
-			c.w.fail("request %s: signature %q is of no shard, or of one twice", id, stamp)
+			c.cluster.recordViolation("request %s: stamp %q is from no shard, or from a shard that has another stamp", id, stamp)
 			return
 		}
 		seen[service] = true
@@ -216,22 +218,22 @@
 		parts = append(parts, records(service)...)
 	}
 	if len(partitions) != 1 {
-		c.w.fail("request %s: parts of two sets of shards: %v", id, seen)
+		c.cluster.recordViolation("request %s: parts do not come from one set of shards: %v", id, seen)
 		return
 	}
 	partition := 0
 	if partitions['1'] {
 		partition = 1
 	}
-	asked := len(shards(partition))
-	if missing := response.Header.Get("Pistachiopier-Missing-Parts"); missing != fmt.Sprint(asked-len(seen)) || 2*len(seen) < asked {
-		c.w.fail("request %s: %d parts and %s missing", id, len(seen), missing)
+	requested := len(shards(partition))
+	if missing := response.Header.Get("Pistachiopier-Missing-Parts"); missing != fmt.Sprint(requested-len(seen)) || 2*len(seen) < requested {
+		c.cluster.recordViolation("request %s: %d parts, but the header states %s missing", id, len(seen), missing)
 	}
-	c.w.mutex.Lock()
-	repartitioned, inForce := c.w.repartitionedAt, c.w.partition
-	c.w.mutex.Unlock()
-	if partition != inForce && c.due(repartitioned, sentAt, node) {
-		c.w.fail("request %s was answered from the former shards", id)
+	c.cluster.mutex.Lock()
+	repartitioned, inForce := c.cluster.repartitionedAt, c.cluster.partition
+	c.cluster.mutex.Unlock()
+	if partition != inForce && c.mustBeInForce(repartitioned, sentAt, node) {
+		c.cluster.recordViolation("request %s was answered from the previous set of shards", id)
 	}
 	var all []string
 	for ; len(parts) >= 16; parts = parts[16:] {
@@ -240,41 +242,41 @@
 	slices.Sort(all)
 	slices.Reverse(all)
 	if string(body) != strings.Join(all[:min(3, len(all))], "") {
-		c.w.fail("request %s: the records are not the greatest of the parts named", id)
+		c.cluster.recordViolation("request %s: the records are not the greatest ones of the stamped parts", id)
 	}
 }
 
-// checkLedgers compares what callers were told with what replicas ran.
-func (c *callers) checkLedgers() {
+// checkExecutions compares the answers that callers got with the requests that replicas ran.
+func (c *callers) checkExecutions() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for id, status := range c.posts {
+	for id, status := range c.postStatuses {
 		runs := 0
-		for _, one := range c.w.replicas {
-			runs += one.Runs(id)
+		for _, replica := range c.cluster.replicas {
+			runs += replica.Runs(id)
 		}
 		switch {
 		case runs > 1:
-			c.w.fail("request %s ran %d times", id, runs)
+			c.cluster.recordViolation("request %s ran %d times", id, runs)
 		case status == http.StatusServiceUnavailable && runs != 0:
-			c.w.fail("request %s ran and was called not run", id)
+			c.cluster.recordViolation("request %s ran and was reported not run", id)
 		case status == http.StatusOK && runs != 1:
-			c.w.fail("request %s was answered and did not run", id)
+			c.cluster.recordViolation("request %s got status 200 and did not run", id)
 		}
 	}
 }
 
-// checkExtra compares the arrivals beyond the first of each request with the bound, for each
-// service and any window.
-func (c *callers) checkExtra() {
+// checkExtraSends compares the number of arrivals beyond the first of each request with the
+// bound, for each service and every window.
+func (c *callers) checkExtraSends() {
 	arrivals := map[string][]platformtest.ReceivedRequest{}
-	for _, one := range c.w.replicas {
-		arrivals[one.Service] = append(arrivals[one.Service], one.Arrivals()...)
+	for _, replica := range c.cluster.replicas {
+		arrivals[replica.Service] = append(arrivals[replica.Service], replica.Arrivals()...)
 	}
 	for service, list := range arrivals {
 		slices.SortFunc(list, func(a, b platformtest.ReceivedRequest) int { return a.At.Compare(b.At) })
 		known := map[string]bool{}
-		// extra is 1 for an arrival beyond the first of its request.
+		// extra is 1 for each arrival that is not the first of its request.
 		extra := make([]int, len(list))
 		for i, seen := range list {
 			if known[seen.ID] {
@@ -290,7 +292,7 @@
 			}
 			firsts := i + 1 - begin - extras
 			if bound := extraRatio*float64(firsts) + extraAllowance; float64(extras) > bound {
-				c.w.fail("service %s got %d arrivals for %d requests within %v, over %.0f beyond them", service, firsts+extras, firsts, extraWindow, bound)
+				c.cluster.recordViolation("service %s got %d arrivals for %d requests within %v, more than %.0f extra", service, firsts+extras, firsts, extraWindow, bound)
 				break
 			}
 		}
--- a/test/soak/deadly_test.go
+++ b/test/soak/deadly_test.go
@@ -15,128 +15,128 @@
 )
 
 const (
-	// deadlyTries is how often a deadly request comes, each time at a node drawn anew. They go on for about as long again
-	// as news has to be everywhere, so that a request that is not set aside shows.
-	deadlyTries = 40
-	// deadlyPause is the longest pause between two tries.
-	deadlyPause = 400 * time.Millisecond
-	// longestEnded is the longest that a replica is away that ended under a request.
-	longestEnded = time.Second
-	// enoughEnded replicas must have ended before the tries are counted, of which sendsLeft may reach replicas.
-	enoughEnded, sendsLeft = 3, 3
+	// crashAttempts is how often a crashing request is sent, each time to a random node. The attempts last about twice
+	// as long as quarantine records may take to reach all nodes, so that a request that is not set aside is detected.
+	crashAttempts = 40
+	// maxAttemptPause is the longest pause between two attempts.
+	maxAttemptPause = 400 * time.Millisecond
+	// maxRestartDelay is the longest time until a crashed replica starts again.
+	maxRestartDelay = time.Second
+	// Once crashThreshold replicas have crashed and the records have spread, allowedLateAttempts may still reach replicas.
+	crashThreshold, allowedLateAttempts = 3, 3
 )
 
-// deadly tells the requests that end each replica that begins to run them, by path or body.
-func deadly(seen platformtest.ReceivedRequest) bool {
+// crashesReplica reports, by path or body, whether a request crashes every replica that begins to run it.
+func crashesReplica(seen platformtest.ReceivedRequest) bool {
 	return strings.Contains(seen.Target, "deadly") || strings.HasPrefix(seen.Body, "deadly")
 }
 
-// revive starts a replica that ended under a request again after a while, on its address and under another id.
-func (w *world) revive(one *upstream) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	one.gone = true
-	if !one.drainedAt.IsZero() {
+// restartAfterCrash starts a replica again after a random delay, on the same address and under another id.
+func (cl *cluster) restartAfterCrash(replica *upstream) {
+	cl.mutex.Lock()
+	defer cl.mutex.Unlock()
+	replica.crashed = true
+	if !replica.drainedAt.IsZero() {
 		return
 	}
-	away := time.Duration(rand.Int64N(int64(longestEnded)))
-	w.reviving.Go(func() {
-		_ = one.proxy.Refuse()
-		time.Sleep(away)
-		w.mutex.Lock()
-		next := w.newReplica(one.Service)
-		next.proxy, next.dataCentre = one.proxy, one.dataCentre
-		w.mutex.Unlock()
+	restartDelay := time.Duration(rand.Int64N(int64(maxRestartDelay)))
+	cl.restarting.Go(func() {
+		_ = replica.proxy.Refuse()
+		time.Sleep(restartDelay)
+		cl.mutex.Lock()
+		next := cl.newReplica(replica.Service)
+		next.proxy, next.dataCentre = replica.proxy, replica.dataCentre
+		cl.mutex.Unlock()
 		next.proxy.Retarget(next.Address())
-		require.NoError(w.t, next.proxy.Accept())
-		w.store.Remove(one.Key())
-		w.store.Put(next.Key(), next.entry(platformtest.StateReady))
+		require.NoError(cl.t, next.proxy.Accept())
+		cl.store.Remove(replica.Key())
+		cl.store.Put(next.Key(), next.entry(platformtest.StateReady))
 	})
 }
 
-// deadlyTry is one try of a deadly request.
-type deadlyTry struct {
+// crashAttempt is one attempt of a crashing request.
+type crashAttempt struct {
 	id     string
 	sentAt time.Time
-	// calm is set when the node had been without trouble for so long that it must know what the others know.
-	calm   bool
-	status int
+	// nodeHealthy is set if the node had no fault for so long that it must have the quarantine records of the others.
+	nodeHealthy bool
+	status      int
 }
 
-// sendDeadly sends one deadly request again and again, of a kind that is drawn, and checks how often it reached replicas
-// after it had ended some.
-func (w *world) sendDeadly(f fault) {
+// sendCrashingRequest sends one crashing request of a random form repeatedly, and checks how often it reached replicas
+// after the threshold of crashes.
+func (cl *cluster) sendCrashingRequest(f fault) {
 	random := rand.New(rand.NewPCG(f.draw, 2))
 	name := fmt.Sprintf("deadly-%x", f.draw)
-	form := []deadlyForm{
+	form := []requestForm{
 		{http.MethodGet, "/plain/" + name, "x"}, {http.MethodGet, "/all/" + name, "x"}, {http.MethodPost, "/once/x", name},
 	}[random.IntN(3)]
 	client := &http.Client{Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
-	var tries []deadlyTry
-	for i := range deadlyTries {
-		tries = append(tries, w.tryDeadly(client, form, fmt.Sprintf("%s-%d", name, i), w.nodes[random.IntN(nodeCount)]))
-		time.Sleep(time.Duration(random.Int64N(int64(deadlyPause))))
+	var attempts []crashAttempt
+	for i := range crashAttempts {
+		attempts = append(attempts, cl.sendCrashAttempt(client, form, fmt.Sprintf("%s-%d", name, i), cl.nodes[random.IntN(nodeCount)]))
+		time.Sleep(time.Duration(random.Int64N(int64(maxAttemptPause))))
 	}
-	w.checkDeadly(name, tries)
+	cl.checkCrashAttempts(name, attempts)
 }
 
-// deadlyForm is how a deadly request is sent.
-type deadlyForm struct{ method, path, body string }
+// requestForm is the method, path and body of a crashing request.
+type requestForm struct{ method, path, body string }
 
-func (w *world) tryDeadly(client *http.Client, form deadlyForm, id string, one *vm) deadlyTry {
-	try := deadlyTry{id: id, sentAt: time.Now(), calm: one.calmFor(stable)}
-	request, _ := http.NewRequestWithContext(context.Background(), form.method, fmt.Sprintf("http://%s:%d%s", one.ip, callerPort, form.path), io.MultiReader(strings.NewReader(form.body)))
+func (cl *cluster) sendCrashAttempt(client *http.Client, form requestForm, id string, node *vm) crashAttempt {
+	attempt := crashAttempt{id: id, sentAt: time.Now(), nodeHealthy: node.healthyFor(stablePeriod)}
+	request, _ := http.NewRequestWithContext(context.Background(), form.method, fmt.Sprintf("http://%s:%d%s", node.ip, callerPort, form.path), io.MultiReader(strings.NewReader(form.body)))
 	request.Host = "search.example"
 	request.Header.Set("Pistachiopier-Request-Id", id)
 	request.Header.Set("Pistachiopier-Deadline-Ms", "1500")
 	response, err := client.Do(request)
 	if err != nil {
-		return try
+		return attempt
 	}
 	_ = response.Body.Close()
-	try.status = response.StatusCode
-	return try
+	attempt.status = response.StatusCode
+	return attempt
 }
 
-// checkDeadly counts the tries that reached replicas later than news takes after the third had ended, and those
-// that were called not run.
-func (w *world) checkDeadly(name string, tries []deadlyTry) {
-	third, late := time.Time{}, 0
-	var ends []time.Time
-	for _, one := range tries {
-		began := w.begins(one.id)
-		if one.status == http.StatusServiceUnavailable && len(began) > 0 {
-			w.fail("request %s ran and was called not run", one.id)
+// checkCrashAttempts counts the attempts that reached replicas after the records of the third crash must have spread,
+// and checks that no attempt that ran was reported not run.
+func (cl *cluster) checkCrashAttempts(name string, attempts []crashAttempt) {
+	thresholdAt, late := time.Time{}, 0
+	var crashTimes []time.Time
+	for _, attempt := range attempts {
+		starts := cl.executionStarts(attempt.id)
+		if attempt.status == http.StatusServiceUnavailable && len(starts) > 0 {
+			cl.recordViolation("request %s ran and was reported not run", attempt.id)
 		}
-		if len(began) > 0 && one.calm && !third.IsZero() && one.sentAt.Sub(third) > stable {
+		if len(starts) > 0 && attempt.nodeHealthy && !thresholdAt.IsZero() && attempt.sentAt.Sub(thresholdAt) > stablePeriod {
 			late++
 		}
-		ends = append(ends, began...)
-		if third.IsZero() && len(ends) >= enoughEnded {
-			third = ends[enoughEnded-1]
+		crashTimes = append(crashTimes, starts...)
+		if thresholdAt.IsZero() && len(crashTimes) >= crashThreshold {
+			thresholdAt = crashTimes[crashThreshold-1]
 		}
 	}
-	w.note("%s ended %d replicas", name, len(ends))
-	if late > sendsLeft {
-		w.fail("%s reached replicas in %d tries after it had ended %d, %d in all", name, late, enoughEnded, len(ends))
+	cl.logEvent("%s crashed %d replicas", name, len(crashTimes))
+	if late > allowedLateAttempts {
+		cl.recordViolation("%s reached replicas in %d attempts after it had crashed %d replicas, %d in all", name, late, crashThreshold, len(crashTimes))
 	}
 }
 
-// begins are the times at which replicas began a request. Each ends the replica.
-func (w *world) begins(id string) []time.Time {
-	w.mutex.Lock()
-	replicas := make([]*upstream, 0, len(w.replicas))
-	for _, one := range w.replicas {
-		replicas = append(replicas, one)
+// executionStarts returns the times at which replicas began to run a request. Each such replica crashed.
+func (cl *cluster) executionStarts(id string) []time.Time {
+	cl.mutex.Lock()
+	replicas := make([]*upstream, 0, len(cl.replicas))
+	for _, replica := range cl.replicas {
+		replicas = append(replicas, replica)
 	}
-	w.mutex.Unlock()
+	cl.mutex.Unlock()
 	var times []time.Time
-	for _, one := range replicas {
-		if one.Runs(id) == 0 {
+	for _, replica := range replicas {
+		if replica.Runs(id) == 0 {
 			continue
 		}
-		for _, seen := range one.Arrivals() {
+		for _, seen := range replica.Arrivals() {
 			if seen.ID == id {
 				times = append(times, seen.At)
 				break
--- a/test/soak/entries_test.go
+++ b/test/soak/entries_test.go
@@ -9,47 +9,47 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-// restartReplica lets a replica die and start again under its id, on the same address. Three times in
-// four it dies in the dark, with requests in work: its connections hang, and only its new entry
-// tells. One time in four it drained before.
-func (w *world) restartReplica(f fault) {
-	one := w.pick(f.draw)
-	if one == nil {
+// restartReplica ends a replica and starts it again under the same id and address. With a probability
+// of 3/4 it ends silently, with requests in flight: its connections hang, and only its new registry
+// entry shows the restart. With a probability of 1/4 it was draining before.
+func (cl *cluster) restartReplica(f fault) {
+	replica := cl.pickReplica(f.draw)
+	if replica == nil {
 		return
 	}
 	if f.draw>>16%4 == 0 {
-		w.store.Put(one.Key(), one.entry(platformtest.StateDraining))
+		cl.store.Put(replica.Key(), replica.entry(platformtest.StateDraining))
 	}
-	dark := f.draw>>20%4 != 0
-	if dark {
-		one.SetServiceTime(longWork)
-		time.Sleep(longWork / 2)
+	silent := f.draw>>20%4 != 0
+	if silent {
+		replica.SetServiceTime(longServiceTime)
+		time.Sleep(longServiceTime / 2)
 	}
-	w.mutex.Lock()
-	one.gone = true
-	again, err := platformtest.StartReplica(one.ID, one.Service, records(one.Service))
-	require.NoError(w.t, err)
-	again.SetServiceTime(usualWork)
-	again.SetCrashOn(deadly)
-	w.made++
-	next := &upstream{Replica: again, proxy: one.proxy, dataCentre: one.dataCentre, born: max(time.Now().UnixMilli(), one.born+1)}
-	again.OnCrash(func() { w.revive(next) })
-	w.replicas[fmt.Sprintf("%s#%d", one.ID, w.made)] = next
-	w.mutex.Unlock()
-	if dark {
-		one.proxy.Silence()
+	cl.mutex.Lock()
+	replica.crashed = true
+	restarted, err := platformtest.StartReplica(replica.ID, replica.Service, records(replica.Service))
+	require.NoError(cl.t, err)
+	restarted.SetServiceTime(usualServiceTime)
+	restarted.SetCrashOn(crashesReplica)
+	cl.replicasStarted++
+	next := &upstream{Replica: restarted, proxy: replica.proxy, dataCentre: replica.dataCentre, born: max(time.Now().UnixMilli(), replica.born+1)}
+	restarted.OnCrash(func() { cl.restartAfterCrash(next) })
+	cl.replicas[fmt.Sprintf("%s#%d", replica.ID, cl.replicasStarted)] = next
+	cl.mutex.Unlock()
+	if silent {
+		replica.proxy.Silence()
 	} else {
-		one.Close()
+		replica.Close()
 	}
 	next.proxy.Retarget(next.Address())
-	time.Sleep(f.lasts / 4)
-	w.store.Put(next.Key(), next.entry(platformtest.StateReady))
-	time.Sleep(f.lasts)
-	one.Close()
+	time.Sleep(f.duration / 4)
+	cl.store.Put(next.Key(), next.entry(platformtest.StateReady))
+	time.Sleep(f.duration)
+	replica.Close()
 }
 
-// spoilers make an entry one that names no replica, each in its way.
-var spoilers = []func(entry map[string]any){
+// corruptions make a registry entry invalid, each in a different way.
+var corruptions = []func(entry map[string]any){
 	func(entry map[string]any) { entry["state"] = "resting" },
 	func(entry map[string]any) { delete(entry, "version") },
 	func(entry map[string]any) { entry["slots"] = "two" },
@@ -57,51 +57,51 @@
 	func(entry map[string]any) { entry["zone"] = nil },
 }
 
-// writeForeign writes entries that name no replica: one in place of a live replica's own for a
-// while, and some that list traps, which no request may reach.
-func (w *world) writeForeign(f fault) {
-	one := w.pick(f.draw)
-	if one == nil {
+// writeInvalidEntries writes invalid registry entries: one that replaces a live replica's entry for
+// a while, and some for decoy replicas, which no request may reach.
+func (cl *cluster) writeInvalidEntries(f fault) {
+	replica := cl.pickReplica(f.draw)
+	if replica == nil {
 		return
 	}
-	var traps []*platformtest.Replica
-	for i, spoil := range spoilers {
-		trap, err := platformtest.StartReplica(fmt.Sprintf("i-trap-%d-%d", f.draw, i), one.Service, records(one.Service))
-		require.NoError(w.t, err)
-		defer trap.Close()
-		entry := trap.Entry(one.dataCentre, platformtest.StateReady)
-		spoil(entry)
-		w.store.Put(trap.Key(), entry)
-		traps = append(traps, trap)
+	var decoys []*platformtest.Replica
+	for i, corrupt := range corruptions {
+		decoy, err := platformtest.StartReplica(fmt.Sprintf("i-trap-%d-%d", f.draw, i), replica.Service, records(replica.Service))
+		require.NoError(cl.t, err)
+		defer decoy.Close()
+		entry := decoy.Entry(replica.dataCentre, platformtest.StateReady)
+		corrupt(entry)
+		cl.store.Put(decoy.Key(), entry)
+		decoys = append(decoys, decoy)
 	}
-	own := one.entry(platformtest.StateReady)
-	spoilers[f.draw>>16%uint64(len(spoilers))](own)
-	w.store.Put(one.Key(), own)
-	time.Sleep(f.lasts)
-	for _, trap := range traps {
-		if arrived := len(trap.Arrivals()); arrived > 0 {
-			w.fail("%d requests reached %s, which no valid entry names", arrived, trap.ID)
+	corrupted := replica.entry(platformtest.StateReady)
+	corruptions[f.draw>>16%uint64(len(corruptions))](corrupted)
+	cl.store.Put(replica.Key(), corrupted)
+	time.Sleep(f.duration)
+	for _, decoy := range decoys {
+		if arrived := len(decoy.Arrivals()); arrived > 0 {
+			cl.recordViolation("%d requests reached %s, which has no valid entry", arrived, decoy.ID)
 		}
-		w.store.Remove(trap.Key())
+		cl.store.Remove(decoy.Key())
 	}
-	w.mutex.Lock()
-	live := one.drainedAt.IsZero() && !one.gone
-	w.mutex.Unlock()
+	cl.mutex.Lock()
+	live := replica.drainedAt.IsZero() && !replica.crashed
+	cl.mutex.Unlock()
 	if live {
-		w.store.Put(one.Key(), one.entry(platformtest.StateReady))
+		cl.store.Put(replica.Key(), replica.entry(platformtest.StateReady))
 	}
 }
 
-// stall lets all replicas of two shards stand still, so that questions lack more than they may.
-func (w *world) stall(f fault) {
-	w.mutex.Lock()
-	names := shards(w.partition)
-	var stalled []*upstream
-	for _, one := range w.replicas {
-		if one.Service == names[0] || one.Service == names[1] {
-			stalled = append(stalled, one)
+// hangShards makes all replicas of two shards hang, so that coverage falls below the minimum.
+func (cl *cluster) hangShards(f fault) {
+	cl.mutex.Lock()
+	names := shards(cl.partition)
+	var hanging []*upstream
+	for _, replica := range cl.replicas {
+		if replica.Service == names[0] || replica.Service == names[1] {
+			hanging = append(hanging, replica)
 		}
 	}
-	w.mutex.Unlock()
-	w.misbehave(stalled, f.lasts, 1, func(uint64) platformtest.Behaviour { return platformtest.Hang })
+	cl.mutex.Unlock()
+	cl.misbehave(hanging, f.duration, 1, func(uint64) platformtest.Behaviour { return platformtest.Hang })
 }
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -14,176 +14,179 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-// fault is one entry of a schedule: it begins at a time and lasts for a while.
+// fault is one entry of a schedule. at is its start, relative to the start of the run, and draw a
+// random number that sets its details.
 type fault struct {
-	at, lasts time.Duration
-	kind      kind
-	node      int
-	draw      uint64
+	at, duration time.Duration
+	kind         kind
+	node         int
+	draw         uint64
 }
 
 // kind is a kind of fault.
 type kind string
 
-// The kinds of faults, named as the schedule tells them.
+// The kinds of faults, with their names in the printed schedule.
 const (
-	killNode        kind = "kill"
-	stopNode        kind = "planned stop"
-	pauseNode       kind = "pause"
-	storeBusy       kind = "store turns all away"
-	storeSilent     kind = "store silent"
-	storeCut        kind = "store cut off"
-	storeForgets    kind = "store forgets history"
-	replicaActs     kind = "replica misbehaves"
-	replicaDrains   kind = "replica drains"
-	configChanges   kind = "configuration changes"
-	storeSlow       kind = "store slow"
-	linkCut         kind = "links cut one way"
-	nodeIsolated    kind = "parted from all nodes"
-	linkPoor        kind = "links lossy and late"
-	linkSilent      kind = "links silent"
-	replicaWay      kind = "way to a replica disturbed"
-	replicaReplaced kind = "replica replaced on its address"
-	shardsChange    kind = "shards change"
-	settingsChange  kind = "settings change"
-	serviceFails    kind = "service fails"
-	serviceActs     kind = "service misbehaves"
-	allKilled       kind = "all nodes killed"
-	replicaRestarts kind = "replica starts again under its id"
-	foreignEntry    kind = "entry of another writer"
-	shardsShort     kind = "several shards stand still"
-	evacuated       kind = "a data centre evacuated"
-	storeRestored   kind = "store comes back from a copy"
-	deadlyComes     kind = "a request ends the replicas that run it"
+	killNode             kind = "kill"
+	stopNode             kind = "planned stop"
+	pauseNode            kind = "pause"
+	storeBusy            kind = "store rejects all requests"
+	storeSilent          kind = "store silent"
+	storeCut             kind = "store cut off"
+	storeDropsHistory    kind = "store drops its history"
+	replicaMisbehaves    kind = "replica misbehaves"
+	replicaDrains        kind = "replica drains"
+	configChanges        kind = "configuration changes"
+	storeSlow            kind = "store slow"
+	linkCut              kind = "links cut one way"
+	nodeIsolated         kind = "node isolated from all others"
+	linkLossy            kind = "links lossy and slow"
+	linkSilent           kind = "links silent"
+	replicaLinkDisturbed kind = "link to a replica disturbed"
+	replicaReplaced      kind = "replica replaced on its address"
+	shardsChange         kind = "shards change"
+	settingsChange       kind = "settings change"
+	serviceFails         kind = "service fails"
+	serviceMisbehaves    kind = "service misbehaves"
+	allNodesKilled       kind = "all nodes killed"
+	replicaRestarts      kind = "replica restarts under the same id"
+	invalidEntries       kind = "invalid registry entries"
+	shardsHang           kind = "two shards hang"
+	dataCentreEvacuated  kind = "data centre evacuated"
+	storeRestored        kind = "store restored from a backup"
+	crashingRequest      kind = "request crashes the replicas that run it"
 )
 
-// drawn are the kinds that a schedule draws from, some of them several times: what replicas
-// do wrong shows only while requests meet it. Further ones go to the end, so that a kept seed
-// still draws from those of its time.
-var drawn = []kind{
-	killNode, stopNode, pauseNode, storeBusy, storeSilent, storeCut, storeForgets,
-	replicaActs, replicaActs, replicaActs, replicaDrains, configChanges,
-	storeSlow, linkCut, nodeIsolated, linkPoor, linkSilent,
-	replicaWay, replicaWay, replicaReplaced, shardsChange, settingsChange,
-	serviceFails, serviceActs, serviceActs, allKilled,
-	replicaRestarts, replicaRestarts, foreignEntry, shardsShort, evacuated,
-	storeRestored, storeRestored, deadlyComes, deadlyComes,
+// drawnKinds holds the kinds that a schedule draws from. Some occur several times, as faults of
+// replicas take effect only if requests meet them. New kinds go to the end, so that the schedule of
+// a kept seed stays the same.
+var drawnKinds = []kind{
+	killNode, stopNode, pauseNode, storeBusy, storeSilent, storeCut, storeDropsHistory,
+	replicaMisbehaves, replicaMisbehaves, replicaMisbehaves, replicaDrains, configChanges,
+	storeSlow, linkCut, nodeIsolated, linkLossy, linkSilent,
+	replicaLinkDisturbed, replicaLinkDisturbed, replicaReplaced, shardsChange, settingsChange,
+	serviceFails, serviceMisbehaves, serviceMisbehaves, allNodesKilled,
+	replicaRestarts, replicaRestarts, invalidEntries, shardsHang, dataCentreEvacuated,
+	storeRestored, storeRestored, crashingRequest, crashingRequest,
 }
 
-// schedule draws the faults of a seed. They come in series and overlap.
-func schedule(random *rand.Rand, length time.Duration, drawn []kind) []fault {
+// schedule draws the faults of a seed. Faults can overlap.
+func schedule(random *rand.Rand, length time.Duration, kinds []kind) []fault {
 	var faults []fault
 	for at := time.Second; at < length; at += time.Duration(100+random.IntN(900)) * time.Millisecond {
 		faults = append(faults, fault{
-			at: at, lasts: time.Duration(200+random.IntN(2500)) * time.Millisecond,
-			kind: drawn[random.IntN(len(drawn))], node: random.IntN(nodeCount), draw: random.Uint64(),
+			at: at, duration: time.Duration(200+random.IntN(2500)) * time.Millisecond,
+			kind: kinds[random.IntN(len(kinds))], node: random.IntN(nodeCount), draw: random.Uint64(),
 		})
 	}
 	return faults
 }
 
-// play carries a schedule out and returns when all of it is over.
-func (w *world) play(faults []fault) {
+// injectAll injects the faults of a schedule and returns when all have ended.
+func (cl *cluster) injectAll(faults []fault) {
 	var running sync.WaitGroup
-	for _, one := range faults {
-		time.Sleep(time.Until(w.began.Add(one.at)))
-		w.note("%s, node %d, %v", one.kind, one.node, one.lasts)
+	for _, f := range faults {
+		time.Sleep(time.Until(cl.startedAt.Add(f.at)))
+		cl.logEvent("%s, node %d, %v", f.kind, f.node, f.duration)
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			w.carryOut(one)
+			cl.inject(f)
 		}()
 	}
 	running.Wait()
 }
 
-func (w *world) carryOut(f fault) {
-	one := w.nodes[f.node]
+func (cl *cluster) inject(f fault) {
+	node := cl.nodes[f.node]
 	switch f.kind {
 	case killNode, stopNode, pauseNode:
-		w.disturb(one, f)
+		cl.disturbProcess(node, f)
 	case storeBusy:
-		w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Busy })
-		w.storeTrouble(f.lasts)
+		cl.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Busy })
+		cl.holdStoreFault(f.duration)
 	case storeSilent:
-		w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Silent })
-		w.storeTrouble(f.lasts)
+		cl.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Silent })
+		cl.holdStoreFault(f.duration)
 	case storeCut:
-		// One node alone is cut off; the others are to tell it.
-		over := one.trouble()
-		defer over()
-		one.store.SetBoth(faultproxy.Faults{Cut: true})
-		time.Sleep(f.lasts)
-		one.store.SetBoth(faultproxy.Faults{})
-		one.store.Reset()
-	case storeForgets:
-		w.store.DropHistory()
-	case replicaActs:
-		if one := w.pick(f.draw); one != nil {
-			w.misbehave([]*upstream{one}, f.lasts, 1+f.draw>>16%4, func(uint64) platformtest.Behaviour { return platformtest.Behaviour(f.draw >> 8 % firstActs) })
+		// Only one node is cut off; it must get updates from the other nodes.
+		endFault := node.beginFault()
+		defer endFault()
+		node.store.SetBoth(faultproxy.Faults{Cut: true})
+		time.Sleep(f.duration)
+		node.store.SetBoth(faultproxy.Faults{})
+		node.store.Reset()
+	case storeDropsHistory:
+		cl.store.DropHistory()
+	case replicaMisbehaves:
+		if replica := cl.pickReplica(f.draw); replica != nil {
+			cl.misbehave([]*upstream{replica}, f.duration, 1+f.draw>>16%4, func(uint64) platformtest.Behaviour { return platformtest.Behaviour(f.draw >> 8 % firstBehaviours) })
 		}
-	case serviceActs:
-		// All its replicas, so that none can be used in place of the others, and rarely enough
-		// for them to stay in use.
-		w.misbehave(w.all(f.draw), f.lasts, 4+f.draw>>16%4, func(count uint64) platformtest.Behaviour { return platformtest.Behaviour((f.draw>>8 + count) % acts) })
-	case allKilled:
-		w.killAll(f)
+	case serviceMisbehaves:
+		// All replicas of the service misbehave, so that none can replace another, but so rarely
+		// that they stay in use.
+		cl.misbehave(cl.replicasOfDrawnService(f.draw), f.duration, 4+f.draw>>16%4, func(count uint64) platformtest.Behaviour {
+			return platformtest.Behaviour((f.draw>>8 + count) % behaviours)
+		})
+	case allNodesKilled:
+		cl.killAll(f)
 	case replicaDrains:
-		w.drain(f)
+		cl.drain(f)
 	case configChanges:
-		w.configure()
+		cl.configure()
 	case shardsChange:
-		w.repartition()
+		cl.repartition()
 	case storeSlow:
-		w.store.SetDelay(time.Duration(50+f.draw%750) * time.Millisecond)
-		w.storeTrouble(f.lasts)
+		cl.store.SetDelay(time.Duration(50+f.draw%750) * time.Millisecond)
+		cl.holdStoreFault(f.duration)
 	case serviceFails:
-		// What is tried again then must keep the bound.
-		w.misbehave(w.all(f.draw), f.lasts, 1, func(uint64) platformtest.Behaviour { return platformtest.Fail })
+		// The retries that follow must stay within the bound on extra sends.
+		cl.misbehave(cl.replicasOfDrawnService(f.draw), f.duration, 1, func(uint64) platformtest.Behaviour { return platformtest.Fail })
 	case settingsChange:
-		w.changeSettings(one, f)
+		cl.changeSettings(node, f)
 	case replicaRestarts:
-		w.restartReplica(f)
-	case foreignEntry:
-		w.writeForeign(f)
-	case shardsShort:
-		w.stall(f)
-	case evacuated:
-		w.evacuate(f)
+		cl.restartReplica(f)
+	case invalidEntries:
+		cl.writeInvalidEntries(f)
+	case shardsHang:
+		cl.hangShards(f)
+	case dataCentreEvacuated:
+		cl.evacuate(f)
 	case storeRestored:
-		backup := w.store.Backup()
-		time.Sleep(f.lasts)
-		w.restore(backup, f)
-	case deadlyComes:
-		w.sendDeadly(f)
-	case replicaWay, replicaReplaced:
-		w.disturbReplica(f)
+		backup := cl.store.Backup()
+		time.Sleep(f.duration)
+		cl.restore(backup, f)
+	case crashingRequest:
+		cl.sendCrashingRequest(f)
+	case replicaLinkDisturbed, replicaReplaced:
+		cl.disturbReplica(f)
 	default:
-		w.disturbLinks(one, f)
+		cl.disturbLinks(node, f)
 	}
 }
 
-// disturb kills, stops or pauses a process that nothing else happens to.
-func (w *world) disturb(one *vm, f fault) {
-	if !one.hold() {
+// disturbProcess kills, stops or pauses a process, unless another fault has reserved it.
+func (cl *cluster) disturbProcess(node *vm, f fault) {
+	if !node.reserve() {
 		return
 	}
-	defer one.release()
-	over := one.trouble()
-	defer over()
+	defer node.release()
+	endFault := node.beginFault()
+	defer endFault()
 	switch f.kind {
 	case killNode:
-		_ = one.signal(syscall.SIGKILL).Wait()
-		time.Sleep(f.lasts / 4)
-		w.launch(one)
+		_ = node.signal(syscall.SIGKILL).Wait()
+		time.Sleep(f.duration / 4)
+		cl.launch(node)
 	case stopNode:
-		// Work that takes long is in work when the node ends.
-		w.setWork(longWork)
-		defer w.setWork(usualWork)
-		one.mutex.Lock()
-		one.planned = true
-		one.mutex.Unlock()
-		cmd := one.signal(syscall.SIGTERM)
+		// With long requests, some are in flight when the node stops.
+		cl.setServiceTimes(longServiceTime)
+		defer cl.setServiceTimes(usualServiceTime)
+		node.mutex.Lock()
+		node.plannedStop = true
+		node.mutex.Unlock()
+		cmd := node.signal(syscall.SIGTERM)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -192,174 +195,175 @@
 		select {
 		case <-ended:
 		case <-time.After(graceSeconds*time.Second + slack):
-			w.fail("vm %s did not stop within its time", one.ip)
+			cl.recordViolation("vm %s did not stop within its grace period", node.ip)
 			_ = cmd.Process.Kill()
 			<-ended
 		}
-		w.launch(one)
+		cl.launch(node)
 	case pauseNode:
-		one.signal(syscall.SIGSTOP)
-		time.Sleep(f.lasts)
-		one.signal(syscall.SIGCONT)
+		node.signal(syscall.SIGSTOP)
+		time.Sleep(f.duration)
+		node.signal(syscall.SIGCONT)
 	}
 }
 
-// killAll kills all nodes at once while the store turns everybody away. Callers keep their
-// addresses and ask nodes that know nothing yet.
-func (w *world) killAll(f fault) {
-	w.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Busy })
+// killAll kills all nodes at once while the store rejects all requests. Callers still use the
+// cached addresses and send to nodes that have no state yet.
+func (cl *cluster) killAll(f fault) {
+	cl.store.SetFault(func(string) platformtest.StoreFault { return platformtest.Busy })
 	var killed sync.WaitGroup
-	for _, one := range w.nodes {
-		if !one.hold() {
+	for _, node := range cl.nodes {
+		if !node.reserve() {
 			continue
 		}
-		over := one.trouble()
+		endFault := node.beginFault()
 		killed.Go(func() {
-			defer one.release()
-			defer over()
-			_ = one.signal(syscall.SIGKILL).Wait()
-			w.launch(one)
+			defer node.release()
+			defer endFault()
+			_ = node.signal(syscall.SIGKILL).Wait()
+			cl.launch(node)
 		})
 	}
-	w.storeTrouble(f.lasts)
+	cl.holdStoreFault(f.duration)
 	killed.Wait()
 }
 
-// setWork sets how long replicas work on each request.
-func (w *world) setWork(work time.Duration) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for _, one := range w.replicas {
-		one.SetServiceTime(work)
+// setServiceTimes sets the service time of all replicas.
+func (cl *cluster) setServiceTimes(work time.Duration) {
+	cl.mutex.Lock()
+	defer cl.mutex.Unlock()
+	for _, replica := range cl.replicas {
+		replica.SetServiceTime(work)
 	}
 }
 
-// storeTrouble ends a trouble of the whole store after a while. Troubles overlap: the store
-// is calm when the last one has ended.
-func (w *world) storeTrouble(lasts time.Duration) {
-	w.mutex.Lock()
-	w.troubled++
-	w.storeCalm = time.Now().Add(time.Hour)
-	w.mutex.Unlock()
-	time.Sleep(lasts)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.troubled--
-	if w.troubled == 0 {
-		w.store.SetFault(nil)
-		w.store.SetDelay(0)
-		w.storeCalm = time.Now()
+// holdStoreFault ends a fault of the whole store after the duration. Faults overlap: the store
+// is healthy when the last one has ended.
+func (cl *cluster) holdStoreFault(duration time.Duration) {
+	cl.mutex.Lock()
+	cl.activeStoreFaults++
+	cl.storeHealthySince = time.Now().Add(time.Hour)
+	cl.mutex.Unlock()
+	time.Sleep(duration)
+	cl.mutex.Lock()
+	defer cl.mutex.Unlock()
+	cl.activeStoreFaults--
+	if cl.activeStoreFaults == 0 {
+		cl.store.SetFault(nil)
+		cl.store.SetDelay(0)
+		cl.storeHealthySince = time.Now()
 	}
 }
 
-// all draws a service and returns its replicas by their ids, one in two times those of the
-// service whose requests must run at most once: what goes wrong there is what must never be
-// said wrongly.
-func (w *world) all(draw uint64) []*upstream {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	services := w.services()
+// replicasOfDrawnService draws a service and returns its replicas in the order of their ids. With a
+// probability of 1/2 it is the service whose requests must run at most once, as its outcomes must
+// never be reported wrongly.
+func (cl *cluster) replicasOfDrawnService(draw uint64) []*upstream {
+	cl.mutex.Lock()
+	defer cl.mutex.Unlock()
+	services := cl.services()
 	service := services[draw%uint64(len(services))]
 	if draw>>32%2 == 0 {
 		service = "invoices"
 	}
 	var all []*upstream
-	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
-		if one := w.replicas[id]; one.Service == service {
-			all = append(all, one)
+	for _, id := range slices.Sorted(maps.Keys(cl.replicas)) {
+		if replica := cl.replicas[id]; replica.Service == service {
+			all = append(all, replica)
 		}
 	}
 	return all
 }
 
-// pick draws a replica that neither drains nor has crashed; nil is none.
-func (w *world) pick(draw uint64) *upstream {
-	for _, one := range w.all(draw) {
-		w.mutex.Lock()
-		usable := one.drainedAt.IsZero() && !one.gone
-		w.mutex.Unlock()
+// pickReplica returns a replica that neither drains nor has crashed; nil if there is none.
+func (cl *cluster) pickReplica(draw uint64) *upstream {
+	for _, replica := range cl.replicasOfDrawnService(draw) {
+		cl.mutex.Lock()
+		usable := replica.drainedAt.IsZero() && !replica.crashed
+		cl.mutex.Unlock()
 		if usable {
-			return one
+			return replica
 		}
 	}
 	return nil
 }
 
-// acts is the number of ways in which a stand-in of a replica answers, firstActs that of the
-// time of the first seeds.
+// behaviours is the number of behaviours of a stand-in replica, firstBehaviours their number when
+// the first seeds were kept.
 const (
-	firstActs = uint64(platformtest.Hang + 1)
-	acts      = uint64(platformtest.DelayedDuplicate + 1)
+	firstBehaviours = uint64(platformtest.Hang + 1)
+	behaviours      = uint64(platformtest.DelayedDuplicate + 1)
 )
 
-// misbehave makes replicas answer wrongly now and then for a while.
-func (w *world) misbehave(replicas []*upstream, lasts time.Duration, every uint64, wrong func(count uint64) platformtest.Behaviour) {
-	for _, one := range replicas {
+// misbehave makes every nth answer of the replicas wrong for the duration.
+func (cl *cluster) misbehave(replicas []*upstream, duration time.Duration, every uint64, wrong func(count uint64) platformtest.Behaviour) {
+	for _, replica := range replicas {
 		var count atomic.Uint64
-		one.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour {
+		replica.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour {
 			if n := count.Add(1); n%every == 0 {
 				return wrong(n / every)
 			}
 			return platformtest.Answer
 		})
 	}
-	time.Sleep(lasts)
-	for _, one := range replicas {
-		one.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour { return platformtest.Answer })
+	time.Sleep(duration)
+	for _, replica := range replicas {
+		replica.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour { return platformtest.Answer })
 	}
 }
 
-// drain lets another replica start, drains one, and ends it later.
-func (w *world) drain(f fault) {
-	one := w.pick(f.draw)
-	if one == nil {
+// drain starts another replica, drains one, and ends it later.
+func (cl *cluster) drain(f fault) {
+	replica := cl.pickReplica(f.draw)
+	if replica == nil {
 		return
 	}
-	w.addReplica(one.Service)
-	w.mutex.Lock()
-	one.drainedAt = time.Now()
-	w.mutex.Unlock()
-	w.store.Put(one.Key(), one.entry(platformtest.StateDraining))
-	w.requireLeft(fmt.Sprintf("replica %s, which drains,", one.ID), func() int { return len(one.Arrivals()) })
-	w.store.Remove(one.Key())
-	one.Close()
+	cl.addReplica(replica.Service)
+	cl.mutex.Lock()
+	replica.drainedAt = time.Now()
+	cl.mutex.Unlock()
+	cl.store.Put(replica.Key(), replica.entry(platformtest.StateDraining))
+	cl.requireNoNewWork(fmt.Sprintf("draining replica %s", replica.ID), func() int { return len(replica.Arrivals()) })
+	cl.store.Remove(replica.Key())
+	replica.Close()
 }
 
-// requireLeft checks that what is to get no new work gets none once the time for that is over.
-func (w *world) requireLeft(what string, arrivals func() int) {
-	time.Sleep(drainWait + slack)
-	w.mutex.Lock()
-	calm := time.Since(w.storeCalm) >= stable+drainWait+slack
-	w.mutex.Unlock()
-	for _, node := range w.nodes {
-		calm = calm && node.calmFor(stable+drainWait+slack)
+// requireNoNewWork checks that a draining replica or evacuated data centre gets no new requests once
+// drainBound has passed.
+func (cl *cluster) requireNoNewWork(name string, arrivals func() int) {
+	time.Sleep(drainBound + slack)
+	cl.mutex.Lock()
+	healthy := time.Since(cl.storeHealthySince) >= stablePeriod+drainBound+slack
+	cl.mutex.Unlock()
+	for _, node := range cl.nodes {
+		healthy = healthy && node.healthyFor(stablePeriod+drainBound+slack)
 	}
 	before := arrivals()
 	time.Sleep(time.Second)
-	if after := arrivals(); calm && after > before {
-		w.fail("%s got %d requests later than is allowed", what, after-before)
+	if after := arrivals(); healthy && after > before {
+		cl.recordViolation("%s got %d requests after the deadline", name, after-before)
 	}
 }
 
-// evacuate empties a data centre of work for a while, unless one is evacuated already: the other one
-// then has to serve.
-func (w *world) evacuate(f fault) {
-	if !w.evacuating.CompareAndSwap(false, true) {
+// evacuate evacuates a data centre for a while, unless one is evacuated already, as the other one must
+// then serve.
+func (cl *cluster) evacuate(f fault) {
+	if !cl.evacuating.CompareAndSwap(false, true) {
 		return
 	}
-	defer w.evacuating.Store(false)
+	defer cl.evacuating.Store(false)
 	dataCentre := dataCentreName(int(f.draw >> 40 % dataCentres))
-	w.store.Evacuate(dataCentre)
-	w.requireLeft("the evacuated "+dataCentre, func() int {
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
+	cl.store.Evacuate(dataCentre)
+	cl.requireNoNewWork("evacuated data centre "+dataCentre, func() int {
+		cl.mutex.Lock()
+		defer cl.mutex.Unlock()
 		sum := 0
-		for _, one := range w.replicas {
-			if one.dataCentre == dataCentre {
-				sum += len(one.Arrivals())
+		for _, replica := range cl.replicas {
+			if replica.dataCentre == dataCentre {
+				sum += len(replica.Arrivals())
 			}
 		}
 		return sum
 	})
-	w.store.EndEvacuation(dataCentre)
+	cl.store.EndEvacuation(dataCentre)
 }
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-var mutants = flag.Int("soak.mutants", 0, "play defects in place of the program, each with at most so many seeds; every one must be found")
+var mutants = flag.Int("soak.mutants", 0, "run programs with a built-in defect, each with at most this number of seeds; every defect must be found")
 
-// mutant is a defect, built into the program, that one of the soak's checks must find.
+// mutant is a defect, built into the program, that the checks of the soak test must find.
 type mutant struct {
 	name, file string
-	// old is replaced by new.
+	// old is replaced with new in the file.
 	old, new string
 }
 
@@ -64,11 +64,11 @@
 	{"an outage of the store takes the configuration away", "internal/edge/registry.go", "	r.log.Life(\"dependency_lost\"", "	r.state.config.Store(nil)\n	r.log.Life(\"dependency_lost\""},
 }
 
-// rareDefects need two failures within a moment, which seeds draw too rarely: the tests of a package must find
-// them.
+// rareDefects show only if two faults coincide, which is too rare in the soak test: the tests of a package must
+// find them.
 var rareDefects = []struct {
 	mutant
-	by string
+	testPackage string
 }{
 	{mutant{"an era is another one, not a newer one", "internal/mirror/copy.go", "	if delta.Era < c.era || delta.Era > c.era && !delta.Whole {", "	if delta.Era != c.era && !delta.Whole {"}, "./internal/mirror"},
 	{mutant{"deltas of an older era are taken", "internal/mirror/copy.go", "	if delta.Era < c.era || delta.Era > c.era && !delta.Whole {", "	if delta.Era > c.era && !delta.Whole {"}, "./internal/mirror"},
@@ -78,23 +78,23 @@
 	{mutant{"a restore takes the configuration back", "platform/store.go", "	return wire.Version\n", "	return wire.Version * 0\n"}, "./internal/edge"},
 }
 
-// TestMutants shows that no check is blind: each defect must be found by a few seeds.
+// TestMutants tests the checks of the soak test: a few seeds must find each defect.
 func TestMutants(t *testing.T) {
 	if *mutants == 0 {
-		t.Skip("by hand: go test ./test/soak -run TestMutants -soak.mutants 4 -timeout 60m")
+		t.Skip("run by hand: go test ./test/soak -run TestMutants -soak.mutants 4 -timeout 60m")
 	}
-	for _, one := range rareDefects {
-		t.Run(strings.ReplaceAll(one.name, " ", "_"), func(t *testing.T) { one.requireFound(t, one.by) })
+	for _, defect := range rareDefects {
+		t.Run(strings.ReplaceAll(defect.name, " ", "_"), func(t *testing.T) { defect.requireFound(t, defect.testPackage) })
 	}
-	for number, one := range defects {
-		t.Run(strings.ReplaceAll(one.name, " ", "_"), func(t *testing.T) {
+	for number, defect := range defects {
+		t.Run(strings.ReplaceAll(defect.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
-			binary := one.build(t)
-			for try := range *mutants {
-				// The first worlds of the loopback block are those of TestSoak.
-				broken := play(t, binary, run{rand.Uint64() >> 1, len(drawn)}, 100+number)
-				if len(broken) > 0 {
-					t.Logf("found by seed %d: %s", try+1, broken[0])
+			binary := defect.build(t)
+			for attempt := range *mutants {
+				// The first numbers of the loopback block are those of TestSoak.
+				violations := runSeed(t, binary, seedRun{rand.Uint64() >> 1, len(drawnKinds)}, 100+number)
+				if len(violations) > 0 {
+					t.Logf("found by seed %d: %s", attempt+1, violations[0])
 					return
 				}
 			}
@@ -104,16 +104,16 @@
 }
 
 // requireFound requires that the tests of a package fail with the defect.
-func (m mutant) requireFound(t *testing.T, by string) {
+func (m mutant) requireFound(t *testing.T, testPackage string) {
 	root, overlay := m.overlay(t)
-	test := exec.Command("go", "test", "-overlay", overlay, by)
+	test := exec.Command("go", "test", "-overlay", overlay, testPackage)
 	test.Dir = root
 	out, err := test.CombinedOutput()
 	require.Error(t, err)
-	require.Contains(t, string(out), "--- FAIL", "it must build: %s", out)
+	require.Contains(t, string(out), "--- FAIL", "the tests must build and fail: %s", out)
 }
 
-// build builds the program with the defect in place of the text.
+// build builds the program with the defect.
 func (m mutant) build(t *testing.T) string {
 	_, overlay := m.overlay(t)
 	binary := filepath.Join(t.TempDir(), "pistachiopier")
@@ -123,14 +123,14 @@
 	return binary
 }
 
-// overlay writes the source with the defect, and the overlay that puts it in place of the file.
+// overlay writes the source with the defect, and the build overlay that replaces the file with it.
 func (m mutant) overlay(t *testing.T) (root, overlay string) {
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	source := filepath.Join(root, m.file)
 	text, err := os.ReadFile(source)
 	require.NoError(t, err)
-	require.Equal(t, 1, strings.Count(string(text), m.old), "%s must hold the text once", m.file)
+	require.Equal(t, 1, strings.Count(string(text), m.old), "%s must contain the text to replace exactly once", m.file)
 	folder := t.TempDir()
 	changed, overlay := filepath.Join(folder, "changed.go"), filepath.Join(folder, "overlay.json")
 	require.NoError(t, os.WriteFile(changed, []byte(strings.Replace(string(text), m.old, m.new, 1)), 0o600))
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,9 +1,9 @@
-// Package soak_test runs the built program as processes on loopback and injects faults from
-// outside, drawn from a seed: the same seed gives the same schedule. It checks the promises
-// from what callers and replicas see.
+// Package soak_test runs the built program as processes on loopback and injects external faults
+// drawn from a seed: the same seed gives the same schedule. It checks the program's guarantees by
+// the answers of callers, the requests of replicas and the logs of nodes.
 //
-//	go test ./test/soak -soak.seeds 50          fifty fresh seeds
-//	go test ./test/soak -soak.seed 12345        one seed again
+//	go test ./test/soak -soak.seeds 50          fifty new random seeds
+//	go test ./test/soak -soak.seed 12345        a given seed only
 package soak_test
 
 import (
@@ -26,152 +26,152 @@
 )
 
 var (
-	seeds  = flag.Int("soak.seeds", 1, "fresh seeds to play")
-	seed   = flag.Uint64("soak.seed", 0, "play this seed only")
-	keep   = flag.Bool("soak.keep", false, "keep the nodes' logs of seeds that pass, too")
-	length = flag.Duration("soak.length", 8*time.Second, "how long faults come")
+	seeds  = flag.Int("soak.seeds", 1, "number of new random seeds to run")
+	seed   = flag.Uint64("soak.seed", 0, "run this seed only")
+	keep   = flag.Bool("soak.keep", false, "keep the nodes' logs also of seeds that pass")
+	length = flag.Duration("soak.length", 8*time.Second, "how long faults are injected")
 )
 
-// servedAgain is the time within which all is well after the last fault.
-const servedAgain = 12 * time.Second
+// recoveryTimeout is the time after the last fault within which requests must be served again.
+const recoveryTimeout = 12 * time.Second
 
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes real processes and half a minute")
+		t.Skip("starts processes and takes half a minute")
 	}
 	binary, folder, err := harness.Build()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(folder) })
-	for number, one := range toPlay(t) {
-		t.Run(strconv.FormatUint(one.seed, 10), func(t *testing.T) {
+	for number, r := range seedsToRun(t) {
+		t.Run(strconv.FormatUint(r.seed, 10), func(t *testing.T) {
 			t.Parallel()
-			if broken := play(t, binary, one, number%100); len(broken) > 0 {
-				t.Errorf("seed %d broke a promise:\n%s", one.seed, strings.Join(broken, "\n"))
+			if violations := runSeed(t, binary, r, number%100); len(violations) > 0 {
+				t.Errorf("seed %d violated a guarantee:\n%s", r.seed, strings.Join(violations, "\n"))
 			}
 		})
 	}
 }
 
-// run is a seed and how many of the kinds of faults it draws from.
-type run struct {
+// seedRun is a seed and the number of fault kinds that its schedule draws from.
+type seedRun struct {
 	seed  uint64
 	kinds int
 }
 
-// toPlay are the seeds that ever failed, with the number of kinds of their time, and the
-// fresh ones.
-func toPlay(t *testing.T) []run {
+// seedsToRun returns the kept seeds, which have failed, with the number of kinds at that time, and
+// the new random ones.
+func seedsToRun(t *testing.T) []seedRun {
 	if *seed != 0 {
-		return []run{{*seed, len(drawn)}}
+		return []seedRun{{*seed, len(drawnKinds)}}
 	}
 	file, err := os.Open("seeds")
 	require.NoError(t, err)
 	defer func() { _ = file.Close() }()
-	var list []run
+	var list []seedRun
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
-		var one run
-		if _, err := fmt.Sscanf(lines.Text(), "%d %d ", &one.seed, &one.kinds); err == nil {
-			list = append(list, one)
+		var kept seedRun
+		if _, err := fmt.Sscanf(lines.Text(), "%d %d ", &kept.seed, &kept.kinds); err == nil {
+			list = append(list, kept)
 		}
 	}
 	for range *seeds {
-		list = append(list, run{rand.Uint64() >> 1, len(drawn)})
+		list = append(list, seedRun{rand.Uint64() >> 1, len(drawnKinds)})
 	}
 	return list
 }
 
-// play plays a seed in a world with a number of its own and returns the broken promises.
-func play(t *testing.T, binary string, played run, number int) []string {
-	w := newWorld(t, binary, played.seed, number)
-	defer w.close()
-	c := &callers{w: w, posts: map[string]int{}}
+// runSeed runs a seed in a cluster with the given number and returns the violations.
+func runSeed(t *testing.T, binary string, r seedRun, number int) []string {
+	cl := newCluster(t, binary, r.seed, number)
+	defer cl.close()
+	c := &callers{cluster: cl, postStatuses: map[string]int{}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		c.run(ctx)
 	}()
-	w.play(schedule(w.random, *length, drawn[:played.kinds]))
-	w.note("the last fault is over")
-	c.awaitService()
-	w.changeInCalm()
+	cl.injectAll(schedule(cl.random, *length, drawnKinds[:r.kinds]))
+	cl.logEvent("the last fault has ended")
+	c.awaitRecovery()
+	cl.changeWhileHealthy()
 	stop()
 	<-ended
-	c.checkLedgers()
-	c.checkExtra()
-	w.checkLogs()
-	t.Logf("seed %d: %d requests, %d served", played.seed, c.asked.Load(), c.served.Load())
-	if len(w.broken) > 0 {
-		t.Logf("schedule:\n%s", strings.Join(w.log, "\n"))
+	c.checkExecutions()
+	c.checkExtraSends()
+	cl.checkLogs()
+	t.Logf("seed %d: %d requests, %d served", r.seed, c.sent.Load(), c.served.Load())
+	if len(cl.violations) > 0 {
+		t.Logf("schedule:\n%s", strings.Join(cl.eventLog, "\n"))
 	}
-	if *keep || len(w.broken) > 0 {
-		keepLogs(t, w)
+	if *keep || len(cl.violations) > 0 {
+		keepLogs(t, cl)
 	}
-	return w.broken
+	return cl.violations
 }
 
-// changeInCalm drains a replica, evacuates a data centre, changes the configuration and the shards, and stops a node
-// while nothing else happens: the promises with a time bound hold only then, and are checked
-// at least once a seed.
-func (w *world) changeInCalm() {
-	time.Sleep(stable + slack)
-	w.note("a drain and a change in calm")
-	backup := w.store.Backup()
-	w.configure()
-	w.repartition()
+// changeWhileHealthy drains a replica, evacuates a data centre, changes the configuration and the shards, and stops a
+// node without other faults: guarantees with a time bound hold only then, and are so checked at least once for each
+// seed.
+func (cl *cluster) changeWhileHealthy() {
+	time.Sleep(stablePeriod + slack)
+	cl.logEvent("drain and configuration change without other faults")
+	backup := cl.store.Backup()
+	cl.configure()
+	cl.repartition()
 	var leaving sync.WaitGroup
-	leaving.Go(func() { w.evacuate(fault{draw: w.seed << 40}) })
-	leaving.Go(func() { w.sendDeadly(fault{draw: w.seed}) })
-	w.drain(fault{draw: w.random.Uint64()})
+	leaving.Go(func() { cl.evacuate(fault{draw: cl.seed << 40}) })
+	leaving.Go(func() { cl.sendCrashingRequest(fault{draw: cl.seed}) })
+	cl.drain(fault{draw: cl.random.Uint64()})
 	leaving.Wait()
-	w.restoreInCalm(backup)
-	w.note("a planned stop in calm")
-	w.disturb(w.nodes[w.random.IntN(nodeCount)], fault{kind: stopNode})
+	cl.restoreWhileHealthy(backup)
+	cl.logEvent("planned stop without other faults")
+	cl.disturbProcess(cl.nodes[cl.random.IntN(nodeCount)], fault{kind: stopNode})
 	time.Sleep(slack)
 }
 
-// awaitService waits until nearly all requests of a second are served.
-func (c *callers) awaitService() {
+// awaitRecovery waits until at least 95 % of the requests of a second are served.
+func (c *callers) awaitRecovery() {
 	const enough = 0.95
-	for deadline := time.Now().Add(servedAgain); time.Now().Before(deadline); {
-		asked, served := c.asked.Load(), c.served.Load()
+	for deadline := time.Now().Add(recoveryTimeout); time.Now().Before(deadline); {
+		sent, served := c.sent.Load(), c.served.Load()
 		time.Sleep(time.Second)
-		if asked = c.asked.Load() - asked; asked > 0 && float64(c.served.Load()-served) >= enough*float64(asked) {
+		if sent = c.sent.Load() - sent; sent > 0 && float64(c.served.Load()-served) >= enough*float64(sent) {
 			return
 		}
 	}
-	c.w.fail("%v after the last fault requests are still not served", servedAgain)
+	c.cluster.recordViolation("%v after the last fault, fewer than 95 %% of requests are served", recoveryTimeout)
 }
 
-// checkLogs checks that nodes wrote nothing but JSON lines that name their event, and that no
-// process failed.
-func (w *world) checkLogs() {
-	for _, one := range w.nodes {
-		failures, err := os.ReadFile(one.failures.Name())
-		require.NoError(w.t, err)
-		if len(failures) > 0 {
-			w.fail("vm %s failed: %.300s", one.ip, failures)
+// checkLogs checks that nodes wrote only JSON lines with an event and their node id, that no version
+// decreased, and that no process wrote to its standard error.
+func (cl *cluster) checkLogs() {
+	for _, node := range cl.nodes {
+		stderr, err := os.ReadFile(node.stderr.Name())
+		require.NoError(cl.t, err)
+		if len(stderr) > 0 {
+			cl.recordViolation("vm %s wrote to its standard error: %.300s", node.ip, stderr)
 		}
-		text, err := os.ReadFile(one.out.Name())
-		require.NoError(w.t, err)
+		text, err := os.ReadFile(node.stdout.Name())
+		require.NoError(cl.t, err)
 		var highest uint64
 		for line := range strings.Lines(string(text)) {
 			var read logLine
 			if err := json.Unmarshal([]byte(line), &read); err != nil || read.Event == "" || read.Node == "" {
-				w.fail("vm %s wrote a line that is no event: %s", one.ip, line)
+				cl.recordViolation("vm %s wrote a log line that is not a JSON event: %s", node.ip, line)
 			}
-			highest = w.checkVersion(one, read, highest)
+			highest = cl.checkVersion(node, read, highest)
 		}
 	}
 }
 
-// keepLogs copies the nodes' logs of a failed seed to a place that outlives the test.
-func keepLogs(t *testing.T, w *world) {
-	folder, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", w.seed))
+// keepLogs copies the nodes' logs to a folder that is not removed after the test.
+func keepLogs(t *testing.T, cl *cluster) {
+	folder, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", cl.seed))
 	require.NoError(t, err)
-	for i, one := range w.nodes {
-		text, err := os.ReadFile(one.out.Name())
+	for i, node := range cl.nodes {
+		text, err := os.ReadFile(node.stdout.Name())
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(fmt.Sprintf("%s/vm-%d.log", folder, i), text, 0o600))
 	}
