--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs_test compares the pages with the code.
+// Package docs_test checks that the documentation pages match the code.
 package docs_test
 
 import (
@@ -21,8 +21,8 @@
 	return string(text)
 }
 
-// requireListed finds what the pattern's group names in the source and requires
-// each name on the page, behind a backquote or a quotation mark.
+// requireListed finds the names that the pattern's group matches in the source, and
+// requires each of them on the page, after a backquote or a quotation mark.
 func requireListed(t *testing.T, source, pattern, page string) {
 	t.Helper()
 	found := regexp.MustCompile(pattern).FindAllStringSubmatch(source, -1)
@@ -34,7 +34,7 @@
 	}
 }
 
-// sources joins the code that is not a test.
+// sources returns the joined source of internal/ without the tests.
 func sources(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
@@ -48,16 +48,16 @@
 	return all.String()
 }
 
-func TestOperationsListsEveryLogEventAndProblem(t *testing.T) {
+func TestOperationsPageListsEveryLogEventAndProblem(t *testing.T) {
 	requireListed(t, sources(t), `(?:"event"|FieldEvent)[,:]\s+"([a-z_]+)"[,:})]`, "OPERATIONS.md")
 	for _, kind := range observe.Kinds() {
 		require.Contains(t, read(t, "OPERATIONS.md"), "| `"+string(kind)+"` |")
 	}
 	declared := regexp.MustCompile(`\bKind\s+= "`).FindAllString(read(t, "../internal/observe/problems.go"), -1)
-	require.Len(t, observe.Kinds(), len(declared), "observe.Kinds lacks a kind")
+	require.Len(t, observe.Kinds(), len(declared), "observe.Kinds does not list all kinds of problems")
 }
 
-func TestInterfaceListsEveryKeyCodeAndReason(t *testing.T) {
+func TestInterfacePageListsEveryKeyCodeAndReason(t *testing.T) {
 	requireListed(t, read(t, "../internal/catalog/text.go"), `yaml:"([a-z_]+)"`, "INTERFACE.md")
 	requireListed(t, read(t, "../internal/core/core.go"), `Reason\w+ +Reason = "([a-z_]+)"`, "INTERFACE.md")
 	requireListed(t, read(t, "../internal/fault/fault.go"), `Code\w+ +Code = "([a-z_]+)"`, "INTERFACE.md")
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestLinksBetweenPagesLeadSomewhere(t *testing.T) {
+func TestLinksBetweenPagesResolve(t *testing.T) {
 	pages, err := filepath.Glob("*.md")
 	require.NoError(t, err)
 	design, err := filepath.Glob("design/*.md")
@@ -76,23 +76,23 @@
 	for _, page := range append(pages, "../README.md", "../CONTRIBUTING.md", "../CHANGELOG.md") {
 		for _, link := range regexp.MustCompile(`\]\(([^):#]+)\)`).FindAllStringSubmatch(read(t, page), -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(page), link[1]))
-			require.NoError(t, err, "%s links to %s", page, link[1])
+			require.NoError(t, err, "%s has a broken link to %s", page, link[1])
 		}
 	}
 }
 
-func TestTheDesignListsEveryPackage(t *testing.T) {
+func TestDesignPageListsEveryPackage(t *testing.T) {
 	entries, err := os.ReadDir("../internal")
 	require.NoError(t, err)
 	page := read(t, "DESIGN.md")
 	table := page[strings.Index(page, "## Packages"):strings.Index(page, "## Decisions apart")]
 	for _, entry := range entries {
-		require.Contains(t, table, "`"+entry.Name()+"`", "the package table of DESIGN.md")
+		require.Contains(t, table, "`"+entry.Name()+"`", "missing from the package table of DESIGN.md")
 	}
 }
 
-// An engineer on call meets an event in the logs and looks it up.
-func TestTheLogsPageListsEveryDecision(t *testing.T) {
+// LOGS.md must explain every event that an engineer on call may find in the logs.
+func TestLogsPageListsEveryDecision(t *testing.T) {
 	source := sources(t)
 	requireListed(t, source, `(?:\.Life|\.Decision)\("([a-z_]+)"`, "LOGS.md")
 	requireListed(t, source, `(?:step|Line)\{Event: "([a-z_]+)"`, "LOGS.md")
