--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -126,9 +126,7 @@
 	case serviceMisbehaves:
 		// All replicas of the service misbehave, so that none can replace another, but so rarely
 		// that they stay in use.
-		cl.misbehave(cl.replicasOfDrawnService(f.draw), f.duration, 4+f.draw>>16%4, func(count uint64) platformtest.Behaviour {
-			return platformtest.Behaviour((f.draw>>8 + count) % behaviours)
-		})
+		cl.misbehave(cl.replicasOfDrawnService(f.draw), f.duration, 4+f.draw>>16%4, func(n uint64) platformtest.Behaviour { return platformtest.Behaviour((f.draw>>8 + n) % behaviours) })
 	case allNodesKilled:
 		cl.killAll(f)
 	case replicaDrains:
