--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -210,7 +210,7 @@
 	for _, stamp := range strings.Split(response.Header.Get("Pistachiopier-Part-Stamps"), ",") {
 		service := c.stampedService(id, strings.TrimSpace(stamp))
 		if !strings.HasPrefix(service, "shard") || seen[service] {
-			c.cluster.recordViolation("request %s: stamp %q is from no shard, or from a shard that has another stamp", id, stamp)
+			c.cluster.recordViolation("request %s: stamp %q is from no shard, or from a shard that is listed twice", id, stamp)
 			return
 		}
 		seen[service] = true
