--- a/internal/confwatch/confwatch_test.go
+++ b/internal/confwatch/confwatch_test.go
@@ -64,8 +64,8 @@
 
 func countReporting(nodes []*node, kind observe.Kind) int {
 	count := 0
-	for _, one := range nodes {
-		if one.hasProblem(kind) {
+	for _, node := range nodes {
+		if node.hasProblem(kind) {
 			count++
 		}
 	}
@@ -150,9 +150,9 @@
 			time.Sleep(time.Minute + phase)
 			lost := config.Relays(s.nodes[0].belief.View(), "dc0", 1)[0].ID
 			var others []*node
-			for _, one := range s.nodes {
-				if one.ID != lost {
-					others = append(others, one)
+			for _, node := range s.nodes {
+				if node.ID != lost {
+					others = append(others, node)
 				}
 			}
 			s.partition(func(id core.NodeID) bool { return id == lost })
@@ -222,8 +222,8 @@
 		s.publish(2, text("b"))
 		assert.Less(t, s.await("in force", everywhere(s.nodes, 2, text("b"))), maxPropagation)
 		misfits := int64(0)
-		for _, one := range s.nodes {
-			misfits += observe.Counter(one.watcher.Metrics, "config_misfits_total").Count()
+		for _, node := range s.nodes {
+			misfits += observe.Counter(node.watcher.Metrics, "config_misfits_total").Count()
 		}
 		assert.Positive(t, misfits)
 	})
--- a/internal/confwatch/paired_test.go
+++ b/internal/confwatch/paired_test.go
@@ -30,9 +30,9 @@
 				lost[relay.ID] = true
 			}
 			var others []*node
-			for _, one := range s.nodes {
-				if !lost[one.ID] {
-					others = append(others, one)
+			for _, node := range s.nodes {
+				if !lost[node.ID] {
+					others = append(others, node)
 				}
 			}
 			s.silenceLinks(func(id core.NodeID) bool { return lost[id] })
--- a/internal/confwatch/restored_test.go
+++ b/internal/confwatch/restored_test.go
@@ -18,8 +18,8 @@
 // textEverywhere reports whether the text is in force at all of the nodes, under any revision.
 func textEverywhere(nodes []*node, text string) func() bool {
 	return func() bool {
-		for _, one := range nodes {
-			if inForce := one.belief.Config(); inForce == nil || string(inForce.Text) != text {
+		for _, node := range nodes {
+			if inForce := node.belief.Config(); inForce == nil || string(inForce.Text) != text {
 				return false
 			}
 		}
--- a/internal/confwatch/world_test.go
+++ b/internal/confwatch/world_test.go
@@ -79,8 +79,8 @@
 			s.nodes = append(s.nodes, s.newNode(n, dataCentres))
 		}
 		test(s)
-		for _, one := range s.nodes {
-			one.watcher.Close()
+		for _, node := range s.nodes {
+			node.watcher.Close()
 		}
 		close(s.ended)
 		// Messages, dials and watches in flight must end before the bubble does.
@@ -94,18 +94,18 @@
 	log.SetOutput(io.Discard)
 	started := time.Now()
 	now := func() core.Time { return time.Since(started) }
-	one := &node{
+	node := &node{
 		Node:       route.Node{ID: id, DataCentre: fmt.Sprintf("dc%d", n%dataCentres), PeerAddress: string(id)},
 		simulation: s,
 		belief:     belief.NewStore(),
 		problems:   observe.NewProblems(now),
 	}
-	one.belief.OnChange(one.recordRevision)
-	one.watcher = New(Options{
-		Self: id, DataCentre: one.DataCentre, Service: one, Belief: one.belief, Peers: one,
-		Now: now, Ticks: s.ticks(), Log: log, Problems: one.problems, Metrics: observe.NewRegistry(), Seed: uint64(n),
+	node.belief.OnChange(node.recordRevision)
+	node.watcher = New(Options{
+		Self: id, DataCentre: node.DataCentre, Service: node, Belief: node.belief, Peers: node,
+		Now: now, Ticks: s.ticks(), Log: log, Problems: node.problems, Metrics: observe.NewRegistry(), Seed: uint64(n),
 	})
-	return one
+	return node
 }
 
 func (s *simulation) ticks() <-chan time.Time {
@@ -147,13 +147,13 @@
 // start starts nodes whose view has all nodes of the simulation.
 func (s *simulation) start(nodes ...*node) {
 	list := make([]route.Node, 0, len(s.nodes))
-	for _, one := range s.nodes {
-		list = append(list, one.Node)
+	for _, node := range s.nodes {
+		list = append(list, node.Node)
 	}
 	view := route.NewView(list)
-	for _, one := range nodes {
-		one.belief.SetView(view)
-		one.watcher.Start()
+	for _, node := range nodes {
+		node.belief.SetView(view)
+		node.watcher.Start()
 	}
 }
 
@@ -204,8 +204,8 @@
 // everywhere reports whether the text is in force at all of the nodes under the revision.
 func everywhere(nodes []*node, revision uint64, text string) func() bool {
 	return func() bool {
-		for _, one := range nodes {
-			if inForce := one.belief.Config(); inForce == nil || inForce.Revision != revision || string(inForce.Text) != text {
+		for _, node := range nodes {
+			if inForce := node.belief.Config(); inForce == nil || inForce.Revision != revision || string(inForce.Text) != text {
 				return false
 			}
 		}
@@ -302,9 +302,9 @@
 			}
 		})
 	}
-	for _, one := range s.nodes {
-		if one.ID == to && ctx.Err() == nil {
-			one.watcher.Handle(peer.NewInbound(ctx, peer.Identity{Node: from.ID}, request, reply))
+	for _, node := range s.nodes {
+		if node.ID == to && ctx.Err() == nil {
+			node.watcher.Handle(peer.NewInbound(ctx, peer.Identity{Node: from.ID}, request, reply))
 		}
 	}
 }
--- a/internal/core/replica/choice.go
+++ b/internal/core/replica/choice.go
@@ -57,12 +57,12 @@
 func (t *Table) Pick(criteria Criteria, now core.Time) (Choice, bool) {
 	var best *state
 	bestCost := math.Inf(1)
-	for _, one := range t.byService[criteria.Service] {
-		if !t.usable(one) || slices.Contains(criteria.Tried, one.ID) || !t.inRegions(one, criteria.Regions) || !t.hasColdCapacity(one, now) {
+	for _, candidate := range t.byService[criteria.Service] {
+		if !t.usable(candidate) || slices.Contains(criteria.Tried, candidate.ID) || !t.inRegions(candidate, criteria.Regions) || !t.hasColdCapacity(candidate, now) {
 			continue
 		}
-		if cost := t.cost(one, criteria.TypicalLatency, now); cost < bestCost {
-			best, bestCost = one, cost
+		if cost := t.cost(candidate, criteria.TypicalLatency, now); cost < bestCost {
+			best, bestCost = candidate, cost
 		}
 	}
 	if best == nil {
--- a/internal/core/replica/life_test.go
+++ b/internal/core/replica/life_test.go
@@ -64,13 +64,13 @@
 				table.Remove("near")
 			}
 			born, sequence := rapid.Int64Range(1, 4).Draw(t, "born"), rapid.Int64Range(1, 6).Draw(t, "sequence")
-			one := report(born, sequence, sequence >= 4)
+			replica := report(born, sequence, sequence >= 4)
 			before, listed := table.Get("near")
-			result := table.Put(one)
+			result := table.Put(replica)
 			if born < newest.Born {
 				require.Equal(t, Outdated, result)
 			} else {
-				newest = one
+				newest = replica
 			}
 			after, ok := table.Get("near")
 			if listed {
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -159,9 +159,9 @@
 	}
 	t.removed[id] = lastReport{born: known.Born, sequence: known.Sequence}
 	kept := make([]*state, 0, len(t.byService[known.Service]))
-	for _, one := range t.byService[known.Service] {
-		if one != known {
-			kept = append(kept, one)
+	for _, s := range t.byService[known.Service] {
+		if s != known {
+			kept = append(kept, s)
 		}
 	}
 	t.byService[known.Service] = kept
--- a/internal/core/scatter/further.go
+++ b/internal/core/scatter/further.go
@@ -110,8 +110,8 @@
 // hedge is possible now, it is reconsidered after another hedge delay.
 func (m *Machine) overdue(i int) {
 	s := &m.services[i]
-	for id, one := range m.sends {
-		if one.inFlight && one.service == i {
+	for id, send := range m.sends {
+		if send.inFlight && send.service == i {
 			m.act(SendOverdue{Send: id})
 		}
 	}
--- a/internal/core/scatter/scatter.go
+++ b/internal/core/scatter/scatter.go
@@ -202,29 +202,29 @@
 }
 
 func (m *Machine) sendEnded(e SendEnded) {
-	one := &m.sends[e.Send]
-	if !one.inFlight {
+	ended := &m.sends[e.Send]
+	if !ended.inFlight {
 		return
 	}
-	one.inFlight = false
-	s := &m.services[one.service]
+	ended.inFlight = false
+	s := &m.services[ended.service]
 	s.inFlight--
 	if e.Verdict == Failed {
 		m.result.MayHaveRun = true
 	}
-	m.recordEnd(one, e)
+	m.recordEnd(ended, e)
 	if s.isSettled() {
 		return
 	}
 	if e.Verdict == Succeeded {
-		m.settle(one.service, e.Send)
+		m.settle(ended.service, e.Send)
 		return
 	}
 	if e.Verdict == Unreached {
 		// An unreached send did not arrive and does not count against MaxReplicas.
 		s.sent--
 	}
-	m.afterFailure(one.service, e.Verdict)
+	m.afterFailure(ended.service, e.Verdict)
 }
 
 func (m *Machine) settle(i, sendID int) {
--- a/internal/core/scatter/scatter_test.go
+++ b/internal/core/scatter/scatter_test.go
@@ -51,8 +51,8 @@
 func sends(actions []Action) []Send {
 	var found []Send
 	for _, action := range actions {
-		if one, ok := action.(Send); ok {
-			found = append(found, one)
+		if send, ok := action.(Send); ok {
+			found = append(found, send)
 		}
 	}
 	return found
@@ -60,8 +60,8 @@
 
 func finishResult(actions []Action) *Result {
 	for _, action := range actions {
-		if one, ok := action.(Finish); ok {
-			return &one.Result
+		if finish, ok := action.(Finish); ok {
+			return &finish.Result
 		}
 	}
 	return nil
@@ -200,9 +200,9 @@
 		mayHaveRun := map[int]bool{}
 		now := core.Time(0)
 		take := func(actions []Action) {
-			for _, one := range sends(actions) {
-				require.False(t, !plan.Idempotent && mayHaveRun[one.Service], "resent after it may have run")
-				live = append(live, one)
+			for _, send := range sends(actions) {
+				require.False(t, !plan.Idempotent && mayHaveRun[send.Service], "resent after it may have run")
+				live = append(live, send)
 			}
 			result = finishResult(actions)
 		}
@@ -217,13 +217,13 @@
 				continue
 			}
 			i := rapid.IntRange(0, len(live)-1).Draw(t, "which")
-			one := live[i]
+			send := live[i]
 			live = slices.Delete(live, i, i+1)
 			verdict := Verdict(rapid.IntRange(0, 3).Draw(t, "verdict"))
 			if verdict == Failed {
-				mayHaveRun[one.Service] = true
+				mayHaveRun[send.Service] = true
 			}
-			take(m.Step(now, SendEnded{Send: one.ID, Verdict: verdict}))
+			take(m.Step(now, SendEnded{Send: send.ID, Verdict: verdict}))
 		}
 		if result != nil && !result.MayHaveRun {
 			require.Empty(t, mayHaveRun)
--- a/internal/core/scatter/unproven.go
+++ b/internal/core/scatter/unproven.go
@@ -28,16 +28,16 @@
 func (m *Machine) mayEndAll() bool { return len(m.services) > 1 && !m.answered }
 
 // recordEnd updates whether replicas have answered the request or closed the connection.
-func (m *Machine) recordEnd(one *send, e SendEnded) {
+func (m *Machine) recordEnd(ended *send, e SendEnded) {
 	switch {
 	case e.Verdict == Succeeded:
 		m.answered = true
 	case e.Verdict == Failed && e.Broken:
 		m.broken = true
-		s := &m.services[one.service]
+		s := &m.services[ended.service]
 		s.broken = true
-		s.brokenAlone = s.brokenAlone || one.shardAlone
-		m.brokenAlone = m.brokenAlone || one.alone
+		s.brokenAlone = s.brokenAlone || ended.shardAlone
+		m.brokenAlone = m.brokenAlone || ended.alone
 	}
 }
 
@@ -111,8 +111,8 @@
 }
 
 func (m *Machine) anyInFlight() bool {
-	for _, one := range m.sends {
-		if one.inFlight {
+	for _, send := range m.sends {
+		if send.inFlight {
 			return true
 		}
 	}
--- a/internal/core/scatter/unproven_test.go
+++ b/internal/core/scatter/unproven_test.go
@@ -62,8 +62,8 @@
 	require.Empty(t, sends(m.Step(15*ms, Tick{})), "no hedge")
 	others := sends(m.Step(16*ms, succeeded(0)))
 	require.Len(t, others, 3)
-	for _, one := range others {
-		require.Equal(t, First, one.Cause)
+	for _, send := range others {
+		require.Equal(t, First, send.Cause)
 	}
 }
 
@@ -125,13 +125,13 @@
 	m := New(plan, &fakeChooser{replicas: 3, budget: 9})
 	first := sends(m.Step(0, Begin{}))
 	require.Len(t, first, 4)
-	for i, one := range first {
-		require.Equal(t, i == 0, one.ShardAlone)
+	for i, send := range first {
+		require.Equal(t, i == 0, send.ShardAlone)
 	}
 	m.Step(5*ms, succeeded(1))
 	for at := 10 * ms; at < 400*ms; at += 10 * ms {
-		for _, one := range sends(m.Step(at, Tick{})) {
-			require.NotZero(t, one.Service, "the suspect shard is not hedged")
+		for _, send := range sends(m.Step(at, Tick{})) {
+			require.NotZero(t, send.Service, "the suspect shard is not hedged")
 		}
 	}
 	require.Empty(t, sends(m.Step(400*ms, broken(0))))
@@ -144,8 +144,8 @@
 	m := New(plan, &fakeChooser{replicas: 3, budget: 9})
 	actions := m.Step(0, Begin{})
 	require.Len(t, sends(actions), 3)
-	for _, one := range sends(actions) {
-		require.NotEqual(t, 2, one.Service)
+	for _, send := range sends(actions) {
+		require.NotEqual(t, 2, send.Service)
 	}
 	for i := range 2 {
 		m.Step(5*ms, succeeded(i))
--- a/internal/edge/answer.go
+++ b/internal/edge/answer.go
@@ -24,8 +24,8 @@
 
 // relay passes a replica's answer on unchanged. A long answer is streamed: if the replica cuts it off, the
 // caller's connection is aborted as well, so that the answer does not look complete.
-func (q *request) relay(w http.ResponseWriter, one *exchange, outcome string, result scatter.Result) {
-	response := one.response
+func (q *request) relay(w http.ResponseWriter, exchange *exchange, outcome string, result scatter.Result) {
+	response := exchange.response
 	if response.Rest == nil {
 		q.recordOutcome(outcome, response.Status, result)
 		writeAnswer(w, response)
@@ -34,7 +34,7 @@
 	defer func() { _ = response.Rest.Close() }()
 	writeAnswer(w, response)
 	if _, err := io.Copy(w, response.Rest); err != nil {
-		q.addStep(step{Event: "answer_cut", Replica: one.send.Replica.ID, Service: one.send.Replica.Service, Cause: err.Error()})
+		q.addStep(step{Event: "answer_cut", Replica: exchange.send.Replica.ID, Service: exchange.send.Replica.Service, Cause: err.Error()})
 		q.recordOutcome(outcomeFailed, response.Status, result)
 		panic(http.ErrAbortHandler)
 	}
@@ -65,8 +65,8 @@
 // addMissingSteps adds a step for each missing part with the result of its last send.
 func (q *request) addMissingSteps(taken []bool) {
 	last := make([]*exchange, len(taken))
-	for _, one := range q.sends {
-		last[one.send.Service] = one
+	for _, exchange := range q.sends {
+		last[exchange.send.Service] = exchange
 	}
 	added := 0
 	for i, have := range taken {
@@ -116,8 +116,8 @@
 		writeRefusal(w, retryAfter)
 		return
 	}
-	if one := q.failureToRelay(); one != nil && !result.PastDeadline {
-		q.relay(w, one, outcomeFailed, result)
+	if exchange := q.failureToRelay(); exchange != nil && !result.PastDeadline {
+		q.relay(w, exchange, outcomeFailed, result)
 		return
 	}
 	status := http.StatusBadGateway
@@ -142,12 +142,12 @@
 		return nil
 	}
 	for i := len(q.sends) - 1; i >= 0; i-- {
-		one := q.sends[i]
-		if !one.handled || one.response == nil || isSuccess(one.response.Status) {
+		exchange := q.sends[i]
+		if !exchange.handled || exchange.response == nil || isSuccess(exchange.response.Status) {
 			continue
 		}
-		if platform.Stamp(one.response.Header) != "" && !notRunStatuses[one.response.Status] {
-			return one
+		if platform.Stamp(exchange.response.Header) != "" && !notRunStatuses[exchange.response.Status] {
+			return exchange
 		}
 	}
 	return nil
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -28,10 +28,10 @@
 			for i := range shards {
 				send := &peerpb.DelegatedSend{Id: uint32(i), Service: fmt.Sprintf("shard~%d", i), Replica: "i-7f3a91c2", Address: "10.1.0.9:8104"}
 				message.Sends = append(message.Sends, send)
-				one := &exchange{send: scatter.Send{ID: i, Replica: replica.Replica{ID: send.GetReplica(), Service: send.GetService()}}, latency: time.Millisecond}
-				one.response = &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: make([]byte, 200)}
-				platform.SetStamp(one.response.Header, "3e1b.07.5a2.600.0.c9f2a4d1")
-				ends = append(ends, one)
+				exchange := &exchange{send: scatter.Send{ID: i, Replica: replica.Replica{ID: send.GetReplica(), Service: send.GetService()}}, latency: time.Millisecond}
+				exchange.response = &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: make([]byte, 200)}
+				platform.SetStamp(exchange.response.Header, "3e1b.07.5a2.600.0.c9f2a4d1")
+				ends = append(ends, exchange)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/edge/copies.go
+++ b/internal/edge/copies.go
@@ -48,9 +48,9 @@
 	all := view.Order(readerOrderKey, "")
 	readerNodes := all[:min(readers, len(all))]
 	// The nodes of a data centre keep the order of the whole list, so that one sort is enough.
-	local := slices.DeleteFunc(slices.Clone(all), func(one route.Node) bool { return one.DataCentre != self.DataCentre })
+	local := slices.DeleteFunc(slices.Clone(all), func(node route.Node) bool { return node.DataCentre != self.DataCentre })
 	heads := headsOf(local, readerNodes)
-	isSelf := func(one route.Node) bool { return one.ID == self.ID }
+	isSelf := func(node route.Node) bool { return node.ID == self.ID }
 	role := mirror.Other
 	switch {
 	case slices.ContainsFunc(readerNodes, isSelf):
@@ -71,14 +71,14 @@
 		order = append(order, heads...)
 		order = append(order, readerNodes[:min(fallbackReaders, len(readerNodes))]...)
 	}
-	unlisted := slices.DeleteFunc(local, func(one route.Node) bool { return isSelf(one) || slices.Contains(order, one) })
+	unlisted := slices.DeleteFunc(local, func(node route.Node) bool { return isSelf(node) || slices.Contains(order, node) })
 	if len(unlisted) > 0 {
 		order = append(order, unlisted[rotation%uint64(len(unlisted))])
 	}
 	var targets []peer.Target
-	for _, one := range order {
-		target := peer.Target{Node: one.ID, Address: one.PeerAddress}
-		if !isSelf(one) && !slices.Contains(targets, target) {
+	for _, node := range order {
+		target := peer.Target{Node: node.ID, Address: node.PeerAddress}
+		if !isSelf(node) && !slices.Contains(targets, target) {
 			targets = append(targets, target)
 		}
 	}
@@ -89,17 +89,17 @@
 // readers themselves come first.
 func headsOf(local, readerNodes []route.Node) []route.Node {
 	var heads []route.Node
-	for _, one := range readerNodes {
-		if slices.Contains(local, one) {
-			heads = append(heads, one)
+	for _, node := range readerNodes {
+		if slices.Contains(local, node) {
+			heads = append(heads, node)
 		}
 	}
-	for _, one := range local {
+	for _, node := range local {
 		if len(heads) >= headsPerDataCentre {
 			break
 		}
-		if !slices.Contains(heads, one) {
-			heads = append(heads, one)
+		if !slices.Contains(heads, node) {
+			heads = append(heads, node)
 		}
 	}
 	return heads
--- a/internal/edge/copies_test.go
+++ b/internal/edge/copies_test.go
@@ -67,11 +67,11 @@
 			require.NotEqual(t, self.ID, last.Node)
 			reached[last.Node] = true
 		}
-		for _, one := range usual {
-			reached[one.Node] = true
+		for _, target := range usual {
+			reached[target.Node] = true
 		}
-		for _, one := range nodes {
-			require.True(t, reached[one.ID] || one.ID == self.ID || one.DataCentre != self.DataCentre)
+		for _, node := range nodes {
+			require.True(t, reached[node.ID] || node.ID == self.ID || node.DataCentre != self.DataCentre)
 		}
 	}
 }
@@ -86,8 +86,8 @@
 // Guards against reset connections after all nodes lose power and restart: the replicas still count the
 // former connections. If these were more than half of the limit, new ones would be reset for many seconds.
 func TestConnectionsOfAllNodesLeaveRoomForTheirSuccessors(t *testing.T) {
-	for _, one := range []struct{ limit, nodes, near int }{{26, 7, 2}, {26, 8, 3}, {26, 7, 1}, {60, 8, 2}, {100, 7, 2}, {520, 8, 2}} {
-		sum := one.near*outlook.ConnectionsPerNode(one.limit, one.nodes, one.near, true) + (one.nodes-one.near)*outlook.ConnectionsPerNode(one.limit, one.nodes, one.near, false)
-		require.LessOrEqual(t, 2*sum, one.limit, "%+v", one)
+	for _, test := range []struct{ limit, nodes, near int }{{26, 7, 2}, {26, 8, 3}, {26, 7, 1}, {60, 8, 2}, {100, 7, 2}, {520, 8, 2}} {
+		sum := test.near*outlook.ConnectionsPerNode(test.limit, test.nodes, test.near, true) + (test.nodes-test.near)*outlook.ConnectionsPerNode(test.limit, test.nodes, test.near, false)
+		require.LessOrEqual(t, 2*sum, test.limit, "%+v", test)
 	}
 }
--- a/internal/edge/deadly_test.go
+++ b/internal/edge/deadly_test.go
@@ -75,9 +75,9 @@
 }
 
 // sendDeadly sends one attempt and returns its status, or 0 if there was no answer.
-func (h *harness) sendDeadly(one *node, attempt deadlyRequest, id string) int {
+func (h *harness) sendDeadly(node *node, attempt deadlyRequest, id string) int {
 	h.t.Helper()
-	request, err := http.NewRequestWithContext(h.t.Context(), attempt.method, "http://"+one.Settings.CallerAddress+attempt.target, strings.NewReader(attempt.body))
+	request, err := http.NewRequestWithContext(h.t.Context(), attempt.method, "http://"+node.Settings.CallerAddress+attempt.target, strings.NewReader(attempt.body))
 	require.NoError(h.t, err)
 	request.Host = "search.example"
 	request.Header.Set("Pistachiopier-Request-Id", id)
@@ -96,9 +96,9 @@
 // executed reports whether any replica began to run a request, and how many replicas have ended. A send to a
 // former incarnation is not run.
 func (h *harness) executed(id string) (started bool, endedCount int) {
-	for _, one := range h.fleet.Replicas {
-		started = started || one.Runs(id) > 0
-		if one.Crashed() {
+	for _, replica := range h.fleet.Replicas {
+		started = started || replica.Runs(id) > 0
+		if replica.Crashed() {
 			endedCount++
 		}
 	}
@@ -110,10 +110,10 @@
 	h.t.Helper()
 	_, err := h.fleet.Revive()
 	require.NoError(h.t, err)
-	for _, one := range h.nodes {
+	for _, node := range h.nodes {
 		for _, target := range []string{"/all/innocent", "/plain/innocent", "/once/innocent"} {
 			require.Eventually(h.t, func() bool {
-				response, _, err := h.request(one, http.MethodGet, target, fmt.Sprint("innocent-", time.Now().UnixNano()), "")
+				response, _, err := h.request(node, http.MethodGet, target, fmt.Sprint("innocent-", time.Now().UnixNano()), "")
 				return err == nil && response.StatusCode == http.StatusOK && response.Header.Get("Pistachiopier-Missing-Parts") != "1"
 			}, waitLimit, time.Millisecond, "harmless requests are answered")
 		}
@@ -166,9 +166,9 @@
 	requestFor := repeat(deadlyRequest{http.MethodPost, "/all/x", "deadly", "127.0.0.1"})
 	requireFewLateAttempts(t, h.sendAttempts(6, requestFor))
 	h.reviveReplicas()
-	for i, one := range h.nodes {
-		require.Equal(t, http.StatusServiceUnavailable, h.sendDeadly(one, requestFor(0), fmt.Sprint("again-", i)))
-		require.Equal(t, http.StatusOK, h.sendDeadly(one, deadlyRequest{http.MethodPost, "/all/x", "harmless", "127.0.0.1"}, fmt.Sprint("other-", i)))
+	for i, node := range h.nodes {
+		require.Equal(t, http.StatusServiceUnavailable, h.sendDeadly(node, requestFor(0), fmt.Sprint("again-", i)))
+		require.Equal(t, http.StatusOK, h.sendDeadly(node, deadlyRequest{http.MethodPost, "/all/x", "harmless", "127.0.0.1"}, fmt.Sprint("other-", i)))
 	}
 }
 
@@ -194,10 +194,10 @@
 }
 
 // awaitEnded waits until a node knows of the given number of replicas that ended under one request.
-func (h *harness) awaitEnded(one *node, ended int) {
+func (h *harness) awaitEnded(node *node, ended int) {
 	h.t.Helper()
 	require.Eventually(h.t, func() bool {
-		_, body := h.get("http://"+one.Settings.MetricsAddress+"/dump", nil)
+		_, body := h.get("http://"+node.Settings.MetricsAddress+"/dump", nil)
 		var state struct {
 			Quarantine []quarantined `json:"quarantine"`
 		}
@@ -238,9 +238,9 @@
 func TestAQuestionInWorkAtACrashOfADataCentreIsServedOn(t *testing.T) {
 	h := newDeadlyHarness(t, func(platformtest.ReceivedRequest) bool { return false })
 	for range 3 {
-		for i, one := range h.fleet.Replicas {
+		for i, replica := range h.fleet.Replicas {
 			if i%2 == 0 {
-				one.SetBehaviour(func(seen platformtest.ReceivedRequest) platformtest.Behaviour {
+				replica.SetBehaviour(func(seen platformtest.ReceivedRequest) platformtest.Behaviour {
 					if strings.HasSuffix(seen.Target, "/popular") {
 						return platformtest.Crash
 					}
@@ -249,12 +249,12 @@
 			}
 		}
 		h.sendDeadly(h.nodes[0], deadlyRequest{http.MethodGet, "/all/popular", "", "127.0.0.1"}, fmt.Sprint("popular-", time.Now().UnixNano()))
-		for _, one := range h.fleet.Replicas {
-			one.SetBehaviour(always(platformtest.Answer))
+		for _, replica := range h.fleet.Replicas {
+			replica.SetBehaviour(always(platformtest.Answer))
 		}
 		h.reviveReplicas()
-		for i, one := range h.nodes {
-			require.Equal(t, http.StatusOK, h.sendDeadly(one, deadlyRequest{http.MethodGet, "/all/popular", "", "127.0.0.1"}, fmt.Sprint("served-", i, time.Now().UnixNano())))
+		for i, node := range h.nodes {
+			require.Equal(t, http.StatusOK, h.sendDeadly(node, deadlyRequest{http.MethodGet, "/all/popular", "", "127.0.0.1"}, fmt.Sprint("served-", i, time.Now().UnixNano())))
 		}
 	}
 }
@@ -265,9 +265,9 @@
 	h := newHarness(t)
 	for _, service := range []string{"notes", "invoices", "s1", "s2", "s3"} {
 		for _, dataCentre := range []string{"east", "west", "east"} {
-			one := h.replica(service, dataCentre, service)
+			replica := h.replica(service, dataCentre, service)
 			if service == "s2" {
-				one.SetCrashOn(func(seen platformtest.ReceivedRequest) bool { return strings.Contains(seen.Target, "deadly") })
+				replica.SetCrashOn(func(seen platformtest.ReceivedRequest) bool { return strings.Contains(seen.Target, "deadly") })
 			}
 		}
 	}
@@ -278,8 +278,8 @@
 		h.reviveReplicas()
 		before := ended
 		status = h.sendDeadly(h.nodes[i%len(h.nodes)], attempt, fmt.Sprint("deadly-", i))
-		for _, one := range h.fleet.Replicas {
-			if one.Crashed() {
+		for _, replica := range h.fleet.Replicas {
+			if replica.Crashed() {
 				ended++
 			}
 		}
@@ -294,7 +294,7 @@
 		response, _, err := h.request(h.nodes[0], http.MethodGet, "/all/deadly", "last", "")
 		return err == nil && response.Header.Get("Pistachiopier-Missing-Parts") == "1"
 	}, waitLimit, time.Millisecond)
-	for _, one := range h.fleet.Replicas {
-		require.False(t, one.Crashed(), "the request is no longer sent to the shard")
+	for _, replica := range h.fleet.Replicas {
+		require.False(t, replica.Crashed(), "the request is no longer sent to the shard")
 	}
 }
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -55,9 +55,9 @@
 func (g *group) remove(id uint32) *exchange {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	one := g.members[id]
+	exchange := g.members[id]
 	delete(g.members, id)
-	return one
+	return exchange
 }
 
 // removeAll removes and returns the sends that have not ended.
@@ -74,8 +74,8 @@
 func (g *group) handledBatches() []*batch {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for i, one := range g.batches {
-		if !one.members[0].handled {
+	for i, batch := range g.batches {
+		if !batch.members[0].handled {
 			return slices.Clone(g.batches[:i])
 		}
 	}
@@ -110,9 +110,9 @@
 	defer h.mutex.Unlock()
 	h.next++
 	for i := range nodes {
-		one := nodes[(h.next+uint64(i))%uint64(len(nodes))]
-		if now >= h.avoided[one.Node] {
-			return one, true
+		target := nodes[(h.next+uint64(i))%uint64(len(nodes))]
+		if now >= h.avoided[target.Node] {
+			return target, true
 		}
 	}
 	return peer.Target{}, false
@@ -121,9 +121,9 @@
 // chooseHelper chooses a node of a data centre to delegate to.
 func (n *Node) chooseHelper(dataCentre string) (peer.Target, bool) {
 	var nodes []peer.Target
-	for _, one := range n.currentEntries() {
-		if one.DataCentre == dataCentre && one.ID != n.identity.Node {
-			nodes = append(nodes, peer.Target{Node: one.ID, Address: one.PeerAddress})
+	for _, node := range n.currentEntries() {
+		if node.DataCentre == dataCentre && node.ID != n.identity.Node {
+			nodes = append(nodes, peer.Target{Node: node.ID, Address: node.PeerAddress})
 		}
 	}
 	return n.helpers.choose(nodes, n.now())
@@ -142,13 +142,13 @@
 	}
 	var direct []*exchange
 	groups := map[groupKey][]*exchange{}
-	for _, one := range started {
-		if !one.send.Remote || one.send.Cause == scatter.Retry || one.send.ShardAlone {
-			direct = append(direct, one)
+	for _, exchange := range started {
+		if !exchange.send.Remote || exchange.send.Cause == scatter.Retry || exchange.send.ShardAlone {
+			direct = append(direct, exchange)
 			continue
 		}
-		key := groupKey{dataCentre: one.send.Replica.DataCentre, separate: one.send.Cause == scatter.Hedge}
-		groups[key] = append(groups[key], one)
+		key := groupKey{dataCentre: exchange.send.Replica.DataCentre, separate: exchange.send.Cause == scatter.Hedge}
+		groups[key] = append(groups[key], exchange)
 	}
 	for key, members := range groups {
 		helper, ok := q.node.chooseHelper(key.dataCentre)
@@ -182,11 +182,11 @@
 			message.Headers = append(message.Headers, &peerpb.HeaderField{Name: name, Value: value})
 		}
 	}
-	for _, one := range members {
-		one.group = g
-		g.members[uint32(one.send.ID)] = one
-		to := one.send.Replica
-		message.Sends = append(message.Sends, &peerpb.DelegatedSend{Id: uint32(one.send.ID), Service: to.Service, Replica: to.ID, Address: to.Address, Born: to.Born})
+	for _, exchange := range members {
+		exchange.group = g
+		g.members[uint32(exchange.send.ID)] = exchange
+		to := exchange.send.Replica
+		message.Sends = append(message.Sends, &peerpb.DelegatedSend{Id: uint32(exchange.send.ID), Service: to.Service, Replica: to.ID, Address: to.Address, Born: to.Born})
 	}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_DelegateRequest{DelegateRequest: message}}
 	g.ticket = q.node.peerPool.Send(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
@@ -208,8 +208,8 @@
 // releaseSends no longer counts sends as in flight whose ends will not be reported.
 func (q *request) releaseSends(sends []*exchange) {
 	q.node.state.withReplicas(func(table *replica.Table, _ core.Time) {
-		for _, one := range sends {
-			table.Ended(one.send.Replica.Incarnation())
+		for _, exchange := range sends {
+			table.Ended(exchange.send.Replica.Incarnation())
 		}
 	})
 }
@@ -235,8 +235,8 @@
 	if len(ends) == 0 {
 		return
 	}
-	for _, one := range ends {
-		q.recordDelegatedEnd(one)
+	for _, exchange := range ends {
+		q.recordDelegatedEnd(exchange)
 	}
 	q.deliverEnds(ends)
 }
@@ -248,16 +248,16 @@
 		return
 	default:
 	}
-	for _, one := range g.removeAll() {
-		go q.sendDirect(one)
+	for _, exchange := range g.removeAll() {
+		go q.sendDirect(exchange)
 	}
 }
 
 // fail ends the remaining sends of a group as failed: they may have run.
 func (g *group) fail(cause error) []*exchange {
 	ends := g.removeAll()
-	for _, one := range ends {
-		one.err, one.verdict = cause, scatter.Failed
+	for _, exchange := range ends {
+		exchange.err, exchange.verdict = cause, scatter.Failed
 	}
 	return ends
 }
@@ -267,36 +267,36 @@
 	merged := &batch{excerpt: topk.Excerpt{Records: reply.GetRecords(), Truncated: reply.GetCut()}}
 	var ends []*exchange
 	for _, part := range reply.GetParts() {
-		one := g.remove(part.GetId())
-		if one == nil {
+		exchange := g.remove(part.GetId())
+		if exchange == nil {
 			continue
 		}
-		one.verdict, one.broken = scatter.Verdict(part.GetVerdict()), part.GetBroken()
-		one.latency = time.Duration(part.GetTookUs()) * time.Microsecond
-		one.pauseEnded = time.Duration(part.GetPauseEndedMs()) * time.Millisecond
+		exchange.verdict, exchange.broken = scatter.Verdict(part.GetVerdict()), part.GetBroken()
+		exchange.latency = time.Duration(part.GetTookUs()) * time.Microsecond
+		exchange.pauseEnded = time.Duration(part.GetPauseEndedMs()) * time.Millisecond
 		if part.GetStatus() != 0 {
-			one.response = &replicaconn.Response{Status: int(part.GetStatus()), Header: http.Header{}}
+			exchange.response = &replicaconn.Response{Status: int(part.GetStatus()), Header: http.Header{}}
 		}
 		switch {
-		case one.verdict != scatter.Succeeded || one.response == nil:
-			if one.verdict == scatter.Succeeded {
+		case exchange.verdict != scatter.Succeeded || exchange.response == nil:
+			if exchange.verdict == scatter.Succeeded {
 				// A part without a status does not count as an answer.
-				one.verdict = scatter.Failed
+				exchange.verdict = scatter.Failed
 			}
-			one.err = &replicaconn.Error{Step: "delegated send", Sent: one.verdict != scatter.Unreached, Cause: delegatedError(part.GetCause())}
+			exchange.err = &replicaconn.Error{Step: "delegated send", Sent: exchange.verdict != scatter.Unreached, Cause: delegatedError(part.GetCause())}
 		case g.separate && !reply.GetApart():
 			// A helper of an older version merged the parts. Treated as parts without records, they would be
 			// named in an answer that lacks their records.
-			one.verdict, one.err = scatter.Failed, delegatedError("the helper merged parts that were requested separately")
+			exchange.verdict, exchange.err = scatter.Failed, delegatedError("the helper merged parts that were requested separately")
 		case g.separate:
-			platform.SetStamp(one.response.Header, part.GetStamp())
-			one.response.Body = part.GetRecords()
+			platform.SetStamp(exchange.response.Header, part.GetStamp())
+			exchange.response.Body = part.GetRecords()
 		default:
-			platform.SetStamp(one.response.Header, part.GetStamp())
-			one.batch = merged
-			merged.members = append(merged.members, one)
+			platform.SetStamp(exchange.response.Header, part.GetStamp())
+			exchange.batch = merged
+			merged.members = append(merged.members, exchange)
 		}
-		ends = append(ends, one)
+		ends = append(ends, exchange)
 	}
 	if len(merged.members) > 0 {
 		g.mutex.Lock()
--- a/internal/edge/delegate_test.go
+++ b/internal/edge/delegate_test.go
@@ -16,8 +16,8 @@
 
 var openedMetric = regexp.MustCompile(`(?m)^pistachiopier_replica_connections_opened_total (\d+)$`)
 
-func connectionsOpened(h *harness, one *node) int {
-	_, text := h.get("http://"+one.Settings.MetricsAddress+"/metrics", nil)
+func connectionsOpened(h *harness, node *node) int {
+	_, text := h.get("http://"+node.Settings.MetricsAddress+"/metrics", nil)
 	found := openedMetric.FindStringSubmatch(text)
 	require.NotNil(h.t, found)
 	count, _ := strconv.Atoi(found[1])
@@ -49,8 +49,8 @@
 	h.start("east", "west", "east", "west")
 	h.waitReady()
 	first := ""
-	requireSameAnswer := func(one *node, id string) {
-		response, body := h.mustRequest(one, http.MethodGet, "/all/q", id, "")
+	requireSameAnswer := func(node *node, id string) {
+		response, body := h.mustRequest(node, http.MethodGet, "/all/q", id, "")
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		stamps := strings.Split(strings.Join(response.Header.Values("Pistachiopier-Part-Stamps"), ","), ",")
 		require.Len(t, stamps, shards)
@@ -62,8 +62,8 @@
 	for round := range 3 {
 		requireSameAnswer(h.nodes[0], fmt.Sprintf("q-%d", round))
 	}
-	for i, one := range h.nodes {
-		requireSameAnswer(one, fmt.Sprintf("q-of-%d", i))
+	for i, node := range h.nodes {
+		requireSameAnswer(node, fmt.Sprintf("q-of-%d", i))
 	}
 	require.Len(t, first, topK*16)
 }
--- a/internal/edge/delegated.go
+++ b/internal/edge/delegated.go
@@ -84,22 +84,22 @@
 // belongs to a later incarnation, gets no send: the entry node may not have received that update yet.
 func (n *Node) startDelegated(ctx context.Context, q *request, send *peerpb.DelegatedSend) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	one := &exchange{ctx: ctx, cancel: cancel, startAt: n.now()}
-	one.send = scatter.Send{ID: int(send.GetId())}
-	one.send.Replica = replica.Replica{
+	e := &exchange{ctx: ctx, cancel: cancel, startAt: n.now()}
+	e.send = scatter.Send{ID: int(send.GetId())}
+	e.send.Replica = replica.Replica{
 		ID: send.GetReplica(), Born: send.GetBorn(), Service: send.GetService(), Address: send.GetAddress(),
 		DataCentre: n.settings.Load().DataCentre,
 	}
 	var unusable bool
-	n.state.withReplicas(func(table *replica.Table, _ core.Time) { unusable = table.KnownUnusable(one.send.Replica) })
+	n.state.withReplicas(func(table *replica.Table, _ core.Time) { unusable = table.KnownUnusable(e.send.Replica) })
 	if unusable {
-		one.verdict, one.err = scatter.Unreached, delegatedError("the replica is leaving, evacuated or was replaced by a later incarnation")
+		e.verdict, e.err = scatter.Unreached, delegatedError("the replica is leaving, evacuated or was replaced by a later incarnation")
 		cancel(nil)
-		q.ended <- []*exchange{one}
+		q.ended <- []*exchange{e}
 		return
 	}
-	n.state.withReplicas(func(table *replica.Table, now core.Time) { table.Sent(one.send.Replica.Incarnation(), now) })
-	go q.sendDirect(one)
+	n.state.withReplicas(func(table *replica.Table, now core.Time) { table.Sent(e.send.Replica.Incarnation(), now) })
+	go q.sendDirect(e)
 }
 
 // delegateReplies reports ended sends to the entry node.
@@ -149,20 +149,20 @@
 	}
 	reply := &peerpb.DelegateReply{Apart: r.separate}
 	var parts [][]byte
-	for _, one := range r.pending {
-		part := &peerpb.DelegatedPart{Id: uint32(one.send.ID), Verdict: uint32(one.verdict), TookUs: uint64(one.latency.Microseconds()), PauseEndedMs: r.pauseEndedMs(one), Broken: one.broken}
+	for _, exchange := range r.pending {
+		part := &peerpb.DelegatedPart{Id: uint32(exchange.send.ID), Verdict: uint32(exchange.verdict), TookUs: uint64(exchange.latency.Microseconds()), PauseEndedMs: r.pauseEndedMs(exchange), Broken: exchange.broken}
 		switch {
-		case one.verdict == scatter.Succeeded:
-			part.Status, part.Stamp = uint32(one.response.Status), platform.Stamp(one.response.Header)
+		case exchange.verdict == scatter.Succeeded:
+			part.Status, part.Stamp = uint32(exchange.response.Status), platform.Stamp(exchange.response.Header)
 			if r.separate {
-				part.Records = r.excerpts.Top(one.response.Body)
+				part.Records = r.excerpts.Top(exchange.response.Body)
 			} else {
-				parts = append(parts, one.response.Body)
+				parts = append(parts, exchange.response.Body)
 			}
-		case one.err != nil:
-			part.Cause = one.err.Error()
+		case exchange.err != nil:
+			part.Cause = exchange.err.Error()
 		default:
-			part.Status, part.Cause = uint32(one.response.Status), http.StatusText(one.response.Status)
+			part.Status, part.Cause = uint32(exchange.response.Status), http.StatusText(exchange.response.Status)
 		}
 		reply.Parts = append(reply.Parts, part)
 	}
@@ -175,8 +175,8 @@
 
 // pauseEndedMs returns the age of the replica's last pause in milliseconds plus one; 0 means none. Nodes near
 // a replica see its pauses more often than the nodes that send through them.
-func (r *delegateReplies) pauseEndedMs(one *exchange) uint32 {
-	age, known := r.pauseAge(one.send.Replica.Incarnation())
+func (r *delegateReplies) pauseEndedMs(exchange *exchange) uint32 {
+	age, known := r.pauseAge(exchange.send.Replica.Incarnation())
 	if !known || age > maxPauseAge {
 		return 0
 	}
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -75,14 +75,14 @@
 	entries := n.currentEntries()
 	regions := n.settings.Load().Regions
 	for _, matches := range []func(route.Node) bool{
-		func(one route.Node) bool { return one.DataCentre == dataCentre },
-		func(one route.Node) bool { return regions[one.DataCentre] == regions[dataCentre] },
+		func(node route.Node) bool { return node.DataCentre == dataCentre },
+		func(node route.Node) bool { return regions[node.DataCentre] == regions[dataCentre] },
 		func(route.Node) bool { return true },
 	} {
 		var addresses []string
-		for _, one := range entries {
-			if matches(one) {
-				addresses = append(addresses, one.CallerAddress)
+		for _, node := range entries {
+			if matches(node) {
+				addresses = append(addresses, node.CallerAddress)
 			}
 		}
 		if len(addresses) > 0 {
@@ -164,9 +164,9 @@
 	counts := map[string]int{}
 	n.state.mutex.Lock()
 	defer n.state.mutex.Unlock()
-	n.state.outlook.Replicas.Each(func(one replica.Replica) {
-		if gathered[one.Service] && !one.Draining {
-			counts[one.DataCentre]++
+	n.state.outlook.Replicas.Each(func(r replica.Replica) {
+		if gathered[r.Service] && !r.Draining {
+			counts[r.DataCentre]++
 		}
 	})
 	return counts
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -109,8 +109,8 @@
 	h := newHarness(t)
 	first := h.replica("invoices", "east", "done")
 	second := h.replica("invoices", "east", "done")
-	for _, one := range []*platformtest.Replica{first, second} {
-		one.SetBehaviour(always(platformtest.CloseWithoutAnswer))
+	for _, replica := range []*platformtest.Replica{first, second} {
+		replica.SetBehaviour(always(platformtest.CloseWithoutAnswer))
 	}
 	h.serve("east")
 	for i := range 6 {
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -14,10 +14,10 @@
 
 // requestAll sends queries over all shards to a node, which must be answered with the given number of missing
 // parts.
-func (h *harness) requestAll(one *node, id string, count int, missing string) {
+func (h *harness) requestAll(node *node, id string, count int, missing string) {
 	h.t.Helper()
 	for i := range count {
-		response, _ := h.mustRequest(one, http.MethodGet, "/all/x", fmt.Sprint(id, i), "")
+		response, _ := h.mustRequest(node, http.MethodGet, "/all/x", fmt.Sprint(id, i), "")
 		require.Equal(h.t, http.StatusOK, response.StatusCode)
 		require.Equal(h.t, missing, response.Header.Get("Pistachiopier-Missing-Parts"))
 	}
@@ -26,8 +26,8 @@
 // arrivals counts the requests that replicas received.
 func arrivals(replicas ...*platformtest.Replica) int {
 	count := 0
-	for _, one := range replicas {
-		count += len(one.Arrivals())
+	for _, replica := range replicas {
+		count += len(replica.Arrivals())
 	}
 	return count
 }
@@ -47,14 +47,14 @@
 	require.NotZero(t, arrivals(east...))
 
 	h.store.Evacuate("east")
-	for _, one := range h.nodes {
-		h.waitForEvent(one, "evacuation_in_force")
+	for _, node := range h.nodes {
+		h.waitForEvent(node, "evacuation_in_force")
 	}
 	before := arrivals(east...)
-	for i, one := range h.nodes {
-		_, page := h.get("http://"+one.Settings.MetricsAddress+"/metrics", nil)
+	for i, node := range h.nodes {
+		_, page := h.get("http://"+node.Settings.MetricsAddress+"/metrics", nil)
 		require.Contains(t, page, "\npistachiopier_data_centres_evacuated 1\n")
-		h.requestAll(one, fmt.Sprint("during", i), 10, "0")
+		h.requestAll(node, fmt.Sprint("during", i), 10, "0")
 	}
 	require.Equal(t, before, arrivals(east...))
 
@@ -96,21 +96,21 @@
 	store.SetBoth(faultproxy.Faults{Cut: true})
 	h.store.Evacuate("east")
 	h.startOne("east", nil)
-	for _, one := range h.nodes[2:] {
-		h.waitForEvent(one, "evacuation_in_force")
+	for _, node := range h.nodes[2:] {
+		h.waitForEvent(node, "evacuation_in_force")
 	}
 	before := arrivals(east)
-	for i, one := range h.nodes[2:] {
+	for i, node := range h.nodes[2:] {
 		for j := range 5 {
-			response, _ := h.mustRequest(one, http.MethodGet, "/plain/x", fmt.Sprint("r", i, j), "")
+			response, _ := h.mustRequest(node, http.MethodGet, "/plain/x", fmt.Sprint("r", i, j), "")
 			require.Equal(t, http.StatusOK, response.StatusCode)
 		}
 	}
 	require.Equal(t, before, arrivals(east))
 	h.store.EndEvacuation("east")
 	h.store.DropHistory()
-	for _, one := range h.nodes[2:] {
-		h.waitForEvent(one, "evacuation_ended")
+	for _, node := range h.nodes[2:] {
+		h.waitForEvent(node, "evacuation_ended")
 	}
 }
 
@@ -123,10 +123,10 @@
 	cold := h.replica("notes", "east", "a note")
 	warm := h.replica("notes", "east", "a note")
 	only := h.replica("invoices", "east", "done")
-	for _, one := range []*platformtest.Replica{cold, only} {
-		entry := one.Entry("east", platformtest.StateReady)
+	for _, replica := range []*platformtest.Replica{cold, only} {
+		entry := replica.Entry("east", platformtest.StateReady)
 		entry["warmupLeftMs"] = time.Hour.Milliseconds()
-		h.store.Put(one.Key(), entry)
+		h.store.Put(replica.Key(), entry)
 	}
 	config := h.config(1)
 	for i := range config.Services {
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -48,19 +48,19 @@
 	require.NoError(h.t, h.fleet.Close(ctx))
 }
 
-func (h *harness) stop(one *node) {
+func (h *harness) stop(node *node) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	require.NoError(h.t, one.Stop(ctx))
+	require.NoError(h.t, node.Stop(ctx))
 }
 
 // replica starts a replica and lists it in the store. Its answers hold the given records.
 func (h *harness) replica(service, dataCentre string, records ...string) *platformtest.Replica {
 	h.t.Helper()
-	one, err := h.fleet.AddReplica(service, dataCentre, records...)
+	replica, err := h.fleet.AddReplica(service, dataCentre, records...)
 	require.NoError(h.t, err)
 	h.replicas = h.fleet.Replicas
-	return one
+	return replica
 }
 
 // start starts nodes in data centres; the first one is the seed of all.
@@ -75,9 +75,9 @@
 func (h *harness) startOne(dataCentre string, change func(*settings.Edge)) {
 	h.t.Helper()
 	log := &logs.Buffer{}
-	one, err := h.fleet.AddNode(dataCentre, log, change)
+	added, err := h.fleet.AddNode(dataCentre, log, change)
 	require.NoError(h.t, err)
-	h.nodes = append(h.nodes, &node{Node: one, log: log})
+	h.nodes = append(h.nodes, &node{Node: added, log: log})
 }
 
 // serve publishes a configuration, starts nodes and waits until they accept callers.
@@ -96,8 +96,8 @@
 	require.NoError(h.t, h.fleet.AwaitReady(ctx))
 }
 
-func (h *harness) resolve(one *node, dataCentre string) string {
-	_, body := h.get("http://"+one.Settings.DirectoryAddress+"/pistachiopier/resolve?name=search.example&zone="+dataCentre, nil)
+func (h *harness) resolve(node *node, dataCentre string) string {
+	_, body := h.get("http://"+node.Settings.DirectoryAddress+"/pistachiopier/resolve?name=search.example&zone="+dataCentre, nil)
 	return body
 }
 
@@ -117,17 +117,17 @@
 }
 
 // mustRequest sends a request for the search host to a node and returns the answer with its whole body.
-func (h *harness) mustRequest(one *node, method, target, id, body string) (*http.Response, string) {
+func (h *harness) mustRequest(node *node, method, target, id, body string) (*http.Response, string) {
 	h.t.Helper()
-	response, read, err := h.request(one, method, target, id, body)
+	response, read, err := h.request(node, method, target, id, body)
 	require.NoError(h.t, err)
 	return response, read
 }
 
 // request is like mustRequest for a request that may get no complete answer.
-func (h *harness) request(one *node, method, target, id, body string) (*http.Response, string, error) {
+func (h *harness) request(node *node, method, target, id, body string) (*http.Response, string, error) {
 	h.t.Helper()
-	request, err := http.NewRequestWithContext(h.t.Context(), method, "http://"+one.Settings.CallerAddress+target, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(h.t.Context(), method, "http://"+node.Settings.CallerAddress+target, strings.NewReader(body))
 	require.NoError(h.t, err)
 	request.Host = "search.example"
 	request.Header.Set("Pistachiopier-Request-Id", id)
@@ -142,11 +142,11 @@
 }
 
 // waitForEvent waits for an event in a node's log and returns its first line.
-func (h *harness) waitForEvent(one *node, event string) string {
+func (h *harness) waitForEvent(node *node, event string) string {
 	h.t.Helper()
 	found := ""
 	require.Eventually(h.t, func() bool {
-		for line := range strings.Lines(one.log.String()) {
+		for line := range strings.Lines(node.log.String()) {
 			if strings.Contains(line, `"event":"`+event+`"`) {
 				found = line
 				return true
--- a/internal/edge/merge.go
+++ b/internal/edge/merge.go
@@ -67,12 +67,12 @@
 // receivedBatches lists the merged replies of each helper, and their excerpts.
 func (q *request) receivedBatches() (replies [][]*batch, excerpts [][]topk.Excerpt) {
 	seen := map[*group]bool{}
-	for _, one := range q.sends {
-		if one.group == nil || seen[one.group] {
+	for _, exchange := range q.sends {
+		if exchange.group == nil || seen[exchange.group] {
 			continue
 		}
-		seen[one.group] = true
-		batches := one.group.handledBatches()
+		seen[exchange.group] = true
+		batches := exchange.group.handledBatches()
 		var batchExcerpts []topk.Excerpt
 		for _, reply := range batches {
 			batchExcerpts = append(batchExcerpts, reply.excerpt)
@@ -98,9 +98,9 @@
 // filterUsed returns the elements of a list that are marked as used.
 func filterUsed[T any](list []T, used []bool) []T {
 	var kept []T
-	for i, one := range list {
+	for i, element := range list {
 		if used[i] {
-			kept = append(kept, one)
+			kept = append(kept, element)
 		}
 	}
 	return kept
--- a/internal/edge/merge_test.go
+++ b/internal/edge/merge_test.go
@@ -28,10 +28,10 @@
 
 // endedSend returns an exchange with a whole answer.
 func endedSend(id, service int, body []byte) *exchange {
-	one := &exchange{handled: true, verdict: scatter.Succeeded, response: &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}}
-	one.send.ID, one.send.Service = id, service
-	platform.SetStamp(one.response.Header, fmt.Sprint("stamp-", service))
-	return one
+	exchange := &exchange{handled: true, verdict: scatter.Succeeded, response: &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}}
+	exchange.send.ID, exchange.send.Service = id, service
+	platform.SetStamp(exchange.response.Header, fmt.Sprint("stamp-", service))
+	return exchange
 }
 
 // gatherRequest returns a request of three shards, the second of which was delegated and returned as an
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -66,17 +66,17 @@
 
 // countRequest counts a request by shape, kind and outcome, and records its latency in microseconds.
 func (m *nodeMetrics) countRequest(route *policy.Route, outcome string, latency time.Duration) {
-	one := m.metricsForKind(requestKind{gathered: route.Gather != nil, idempotent: route.Idempotent, outcome: outcome})
-	one.count.Inc(1)
-	one.latency.Update(latency.Microseconds())
+	instruments := m.metricsForKind(requestKind{gathered: route.Gather != nil, idempotent: route.Idempotent, outcome: outcome})
+	instruments.count.Inc(1)
+	instruments.latency.Update(latency.Microseconds())
 }
 
 func (m *nodeMetrics) metricsForKind(key requestKind) requestMetrics {
 	m.mutex.RLock()
-	one, exists := m.requests[key]
+	instruments, exists := m.requests[key]
 	m.mutex.RUnlock()
 	if exists {
-		return one
+		return instruments
 	}
 	shape, kind := "forward", "once"
 	if key.gathered {
@@ -87,14 +87,14 @@
 	}
 	labels := []string{labelShape, shape, labelKind, kind, labelOutcome, key.outcome}
 	// The registry returns the same metrics to concurrent callers.
-	one = requestMetrics{
+	instruments = requestMetrics{
 		count:   observe.Counter(m.reg, observe.Labelled("requests_total", labels...)),
 		latency: m.histogram(observe.Labelled("request_us", labels...), sampleSize),
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.requests[key] = one
-	return one
+	m.requests[key] = instruments
+	return instruments
 }
 
 // countRefused counts a request that was refused before any send.
@@ -158,36 +158,36 @@
 
 // countSend counts the end of a send to a service, and records the latency of a whole answer.
 func (m *nodeMetrics) countSend(service string, verdict scatter.Verdict, latency time.Duration) {
-	one := m.metricsForService(service)
-	if counter := one.sends[verdict]; counter != nil {
+	instruments := m.metricsForService(service)
+	if counter := instruments.sends[verdict]; counter != nil {
 		counter.Inc(1)
 	}
 	if verdict == scatter.Succeeded {
-		one.latency.Update(latency.Microseconds())
+		instruments.latency.Update(latency.Microseconds())
 	}
 }
 
 func (m *nodeMetrics) metricsForService(name string) *serviceMetrics {
 	m.mutex.RLock()
-	one := m.services[name]
+	instruments := m.services[name]
 	m.mutex.RUnlock()
-	if one != nil {
-		return one
+	if instruments != nil {
+		return instruments
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if len(m.services) >= maxServices {
 		name = otherServices
 	}
-	if one := m.services[name]; one != nil {
-		return one
+	if instruments := m.services[name]; instruments != nil {
+		return instruments
 	}
-	one = &serviceMetrics{sends: map[scatter.Verdict]metrics.Counter{}, latency: m.histogram(observe.Labelled("service_send_us", labelService, name), serviceSampleSize)}
+	instruments = &serviceMetrics{sends: map[scatter.Verdict]metrics.Counter{}, latency: m.histogram(observe.Labelled("service_send_us", labelService, name), serviceSampleSize)}
 	for verdict, outcome := range verdictOutcomes {
-		one.sends[verdict] = observe.Counter(m.reg, observe.Labelled("service_sends_total", labelService, name, labelOutcome, outcome))
+		instruments.sends[verdict] = observe.Counter(m.reg, observe.Labelled("service_sends_total", labelService, name, labelOutcome, outcome))
 	}
-	m.services[name] = one
-	return one
+	m.services[name] = instruments
+	return instruments
 }
 
 // removeServices removes the metrics of services that are no longer configured.
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -46,8 +46,8 @@
 	})
 	b.Run("twenty sends", func(b *testing.B) {
 		for b.Loop() {
-			for _, one := range services {
-				m.countSend(one, scatter.Succeeded, time.Millisecond)
+			for _, service := range services {
+				m.countSend(service, scatter.Succeeded, time.Millisecond)
 			}
 		}
 	})
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -346,9 +346,9 @@
 	n.entries.Store(&chosen)
 	addresses := make([]string, 0, len(chosen))
 	senders := make([]core.NodeID, 0, len(chosen))
-	for _, one := range chosen {
-		addresses = append(addresses, one.CallerAddress)
-		senders = append(senders, one.ID)
+	for _, node := range chosen {
+		addresses = append(addresses, node.CallerAddress)
+		senders = append(senders, node.ID)
 	}
 	n.state.withReplicas(func(table *replica.Table, _ core.Time) { table.SetSenders(n.identity.Node, senders) })
 	n.log.Life("entries_changed", decisionlog.Fields{"entries": addresses, "live": len(n.view().Nodes())})
@@ -386,7 +386,7 @@
 	}
 	var replicas []replica.Replica
 	n.state.withReplicas(func(table *replica.Table, _ core.Time) {
-		table.Each(func(one replica.Replica) { replicas = append(replicas, one) })
+		table.Each(func(r replica.Replica) { replicas = append(replicas, r) })
 		fields["sends_running"] = table.InFlight()
 		fields["evacuated"] = table.Evacuated()
 	})
--- a/internal/edge/partition_test.go
+++ b/internal/edge/partition_test.go
@@ -37,12 +37,12 @@
 }
 
 // waitForVersion waits until a node has a version of the configuration in force.
-func (h *harness) waitForVersion(one *node, version uint64) {
+func (h *harness) waitForVersion(node *node, version uint64) {
 	h.t.Helper()
 	require.Eventually(h.t, func() bool {
-		_, page := h.get("http://"+one.Settings.MetricsAddress+"/metrics", nil)
+		_, page := h.get("http://"+node.Settings.MetricsAddress+"/metrics", nil)
 		return strings.Contains(page, fmt.Sprintf("\npistachiopier_config_version %d\n", version))
-	}, waitLimit, 5*time.Millisecond, "version %d at %s", version, one.Settings.Node)
+	}, waitLimit, 5*time.Millisecond, "version %d at %s", version, node.Settings.Node)
 }
 
 // A node cut off from the store must get a change from the other nodes, then also while these cannot reach it
@@ -69,8 +69,8 @@
 	store.SetBoth(faultproxy.Faults{})
 	links.SetBoth(faultproxy.Faults{})
 	h.configure(4)
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 4)
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 4)
 	}
 	var versions []string
 	for line := range strings.Lines(alone.log.String()) {
@@ -131,8 +131,8 @@
 	}
 	for version := uint64(2); version <= 8; version++ {
 		publish(version)
-		for _, one := range h.nodes {
-			h.waitForVersion(one, version)
+		for _, node := range h.nodes {
+			h.waitForVersion(node, version)
 		}
 	}
 	close(stop)
--- a/internal/edge/published_test.go
+++ b/internal/edge/published_test.go
@@ -112,8 +112,8 @@
 func TestAReplicaThatStartsAgainUnderItsIDIsNew(t *testing.T) {
 	h := newHarness(t)
 	former := h.replica("invoices", "east")
-	listed := func(one *platformtest.Replica, born int64, state string) {
-		entry := one.Entry("east", state)
+	listed := func(replica *platformtest.Replica, born int64, state string) {
+		entry := replica.Entry("east", state)
 		entry["born"] = born
 		h.store.Put(former.Key(), entry)
 	}
@@ -151,7 +151,7 @@
 // longer go there, all others continue, and the dump shows the entry until it is valid again.
 func TestAnOverwrittenEntryNamesNoReplica(t *testing.T) {
 	h := newHarness(t)
-	one := h.replica("notes", "east", "a note")
+	replica := h.replica("notes", "east", "a note")
 	h.serve("east")
 	h.configure(2, route("plain", platformtest.KindIdempotent, to("notes")))
 	h.waitForVersion(h.nodes[0], 2)
@@ -160,20 +160,20 @@
 		return response.StatusCode
 	}
 	require.Equal(t, http.StatusOK, status())
-	h.store.Put(one.Key(), one.Entry("east", "resting"))
+	h.store.Put(replica.Key(), replica.Entry("east", "resting"))
 	h.waitForEvent(h.nodes[0], "replica_refused")
 	require.Equal(t, http.StatusServiceUnavailable, status())
 	address := h.nodes[0].Settings.MetricsAddress
 	code, dump := h.get("http://"+address+"/dump", nil)
 	require.Equal(t, http.StatusOK, code)
 	require.Contains(t, dump, "resting")
-	born := one.Entry("east", platformtest.StateReady)
+	born := replica.Entry("east", platformtest.StateReady)
 	born["born"] = 7
-	h.store.Put(one.Key(), born)
+	h.store.Put(replica.Key(), born)
 	require.Eventually(t, func() bool { return status() == http.StatusOK }, waitLimit, time.Millisecond)
 	_, dump = h.get("http://"+address+"/dump", nil)
 	require.NotContains(t, dump, "resting")
-	h.store.Put(one.Key(), one.Entry("east", platformtest.StateReady))
+	h.store.Put(replica.Key(), replica.Entry("east", platformtest.StateReady))
 	require.Eventually(t, func() bool { return status() == http.StatusServiceUnavailable }, waitLimit, time.Millisecond, "its own entries have a start time")
 }
 
@@ -181,15 +181,15 @@
 // on the existing connections.
 func TestAReplicaThatMovesToAnotherServiceIsUsedThere(t *testing.T) {
 	h := newHarness(t)
-	one := h.replica("notes", "east", "a note")
+	replica := h.replica("notes", "east", "a note")
 	h.serve("east")
 	h.configure(2, route("plain", platformtest.KindIdempotent, to("notes")), route("moved", platformtest.KindIdempotent, to("letters")))
 	h.waitForVersion(h.nodes[0], 2)
 	response, _ := h.mustRequest(h.nodes[0], http.MethodGet, "/plain/x", "r1", "")
 	require.Equal(t, http.StatusOK, response.StatusCode)
-	entry := one.Entry("east", platformtest.StateReady)
+	entry := replica.Entry("east", platformtest.StateReady)
 	entry["service"] = "letters"
-	h.store.Put(one.Key(), entry)
+	h.store.Put(replica.Key(), entry)
 	require.Eventually(t, func() bool {
 		response, _ := h.mustRequest(h.nodes[0], http.MethodGet, "/moved/x", "r2", "")
 		return response.StatusCode == http.StatusOK
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -88,9 +88,9 @@
 // recordTrial records a failed send that was the only one of a suspected request in flight, or the only one
 // at its shard. The end of the replica may go unseen by every node, so a trial without an answer counts by
 // itself. A replica that answers with a failure has not ended, and may not have run the request.
-func (q *request) recordTrial(one *exchange) {
-	if marks := trialMarks(one.send); marks != 0 && one.verdict == scatter.Failed && one.response == nil {
-		q.node.quarantine.RecordFacts(q.identity(), q.describe(), one.send.Replica.Service, one.send.Replica.Incarnation(), marks|q.clearedMark())
+func (q *request) recordTrial(exchange *exchange) {
+	if marks := trialMarks(exchange.send); marks != 0 && exchange.verdict == scatter.Failed && exchange.response == nil {
+		q.node.quarantine.RecordFacts(q.identity(), q.describe(), exchange.send.Replica.Service, exchange.send.Replica.Incarnation(), marks|q.clearedMark())
 	}
 }
 
@@ -119,8 +119,8 @@
 func (n *Node) replicaEnded(incarnation replica.Incarnation, requests []*replicaconn.Request) {
 	var named []endedRequest
 	fields := decisionlog.Fields{"replica": incarnation.ID, "born": incarnation.Born, "in_work": len(requests)}
-	for _, one := range requests {
-		inFlight, ok := one.UserData.(inFlightSend)
+	for _, request := range requests {
+		inFlight, ok := request.UserData.(inFlightSend)
 		if !ok {
 			continue
 		}
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -288,8 +288,8 @@
 }
 
 // ReadingRejected implements mirror.Listener.
-func (r *registry) ReadingRejected(one mirror.RejectedReading) {
-	r.log.Life("reading_not_taken", decisionlog.Fields{"dependency": one.Source, "era": one.Era, "revision": one.Revision, "reached_era": one.Position.Era, "reached_revision": one.Position.Revision, "outcome": "the previous reading stays in force"})
+func (r *registry) ReadingRejected(reading mirror.RejectedReading) {
+	r.log.Life("reading_not_taken", decisionlog.Fields{"dependency": reading.Source, "era": reading.Era, "revision": reading.Revision, "reached_era": reading.Position.Era, "reached_revision": reading.Position.Revision, "outcome": "the previous reading stays in force"})
 }
 
 // SourceRecovered implements mirror.Listener.
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -104,12 +104,12 @@
 // handleEnds passes ends that arrived together to the machine. All are marked as handled first, because the
 // machine may finish at the first of them.
 func (q *request) handleEnds(ctx context.Context, machine *scatter.Machine, ends []*exchange, timer *time.Timer) *scatter.Result {
-	for _, one := range ends {
-		one.handled = true
-		q.addFailureStep(one)
+	for _, exchange := range ends {
+		exchange.handled = true
+		q.addFailureStep(exchange)
 	}
-	for _, one := range ends {
-		result := q.perform(ctx, machine.Step(q.node.now(), scatter.SendEnded{Send: one.send.ID, Verdict: one.verdict, Broken: one.broken}), timer)
+	for _, exchange := range ends {
+		result := q.perform(ctx, machine.Step(q.node.now(), scatter.SendEnded{Send: exchange.send.ID, Verdict: exchange.verdict, Broken: exchange.broken}), timer)
 		if result != nil {
 			return result
 		}
@@ -118,8 +118,8 @@
 }
 
 func (q *request) cancelSends(cause error) {
-	for _, one := range q.sends {
-		one.cancel(cause)
+	for _, exchange := range q.sends {
+		exchange.cancel(cause)
 	}
 }
 
@@ -150,14 +150,14 @@
 
 // markOverdue marks a replica as overdue, and a helper that has not replied at all as one to avoid.
 func (q *request) markOverdue(send int) {
-	one := q.sends[send]
-	q.node.state.withReplicas(func(table *replica.Table, now core.Time) { table.Overdue(one.send.Replica.Incarnation(), now) })
-	if !one.overdueNoted {
-		one.overdueNoted = true
-		q.addStep(step{Event: "replica_late", Replica: one.send.Replica.ID, Service: one.send.Replica.Service})
+	exchange := q.sends[send]
+	q.node.state.withReplicas(func(table *replica.Table, now core.Time) { table.Overdue(exchange.send.Replica.Incarnation(), now) })
+	if !exchange.overdueNoted {
+		exchange.overdueNoted = true
+		q.addStep(step{Event: "replica_late", Replica: exchange.send.Replica.ID, Service: exchange.send.Replica.Service})
 	}
-	if one.group != nil && !one.group.replied.Load() {
-		q.node.helpers.avoid(one.group.helper.Node, q.node.now())
+	if exchange.group != nil && !exchange.group.replied.Load() {
+		q.node.helpers.avoid(exchange.group.helper.Node, q.node.now())
 	}
 }
 
@@ -185,34 +185,34 @@
 // needed: its result is still recorded, and its connection is kept.
 func (q *request) newExchange(ctx context.Context, a scatter.Send) *exchange {
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
-	one := &exchange{send: a, ctx: ctx, cancel: cancel, startAt: q.node.now()}
-	q.sends = append(q.sends, one)
+	exchange := &exchange{send: a, ctx: ctx, cancel: cancel, startAt: q.node.now()}
+	q.sends = append(q.sends, exchange)
 	if a.Cause != scatter.First {
 		q.node.metrics.countExtra(a.Cause)
 	}
 	if a.Cause != scatter.First || q.route.Gather == nil {
 		q.addStep(step{Event: "sent", Cause: string(a.Cause), Replica: a.Replica.ID, Service: a.Replica.Service})
 	}
-	return one
+	return exchange
 }
 
 // dispatch starts the exchanges: those to another data centre in groups through helpers, the others directly.
 func (q *request) dispatch(started []*exchange) {
 	q.node.state.withReplicas(func(table *replica.Table, now core.Time) {
-		for _, one := range started {
-			table.Sent(one.send.Replica.Incarnation(), now)
+		for _, exchange := range started {
+			table.Sent(exchange.send.Replica.Incarnation(), now)
 		}
 	})
-	for _, one := range q.delegate(started) {
-		go q.sendDirect(one)
+	for _, exchange := range q.delegate(started) {
+		go q.sendDirect(exchange)
 	}
 }
 
 // sendDirect makes a send from this node.
-func (q *request) sendDirect(one *exchange) {
-	defer one.cancel(nil)
-	q.runExchange(one.ctx, one)
-	q.deliverEnds([]*exchange{one})
+func (q *request) sendDirect(e *exchange) {
+	defer e.cancel(nil)
+	q.runExchange(e.ctx, e)
+	q.deliverEnds([]*exchange{e})
 }
 
 // deliverEnds hands ended exchanges to the request, or releases their bodies if the request has ended.
@@ -220,8 +220,8 @@
 	select {
 	case q.ended <- ends:
 	case <-q.done:
-		for _, one := range ends {
-			one.closeUnreadBody()
+		for _, exchange := range ends {
+			exchange.closeUnreadBody()
 		}
 	}
 }
@@ -229,55 +229,55 @@
 // closeUnreadBodies closes the unread bodies of streamed answers to this request. A body that arrives just as
 // the request ends is closed by its own time limit.
 func (q *request) closeUnreadBodies() {
-	for _, one := range q.sends {
-		if one.handled {
-			one.closeUnreadBody()
+	for _, exchange := range q.sends {
+		if exchange.handled {
+			exchange.closeUnreadBody()
 		}
 	}
 }
 
-func (one *exchange) closeUnreadBody() {
-	if one.response != nil && one.response.Rest != nil {
-		_ = one.response.Rest.Close()
+func (e *exchange) closeUnreadBody() {
+	if e.response != nil && e.response.Rest != nil {
+		_ = e.response.Rest.Close()
 	}
 }
 
-func (q *request) runExchange(ctx context.Context, one *exchange) {
+func (q *request) runExchange(ctx context.Context, exchange *exchange) {
 	remaining := q.plan.Deadline - q.node.now()
 	ctx, cancel := context.WithTimeout(ctx, max(remaining, time.Millisecond))
 	defer cancel()
 	wire := q.template
-	wire.Replica = one.send.Replica.Incarnation()
-	wire.Address = one.send.Replica.Address
-	wire.ByteCounter = q.node.traffic.Counter(traffic.Flow{Purpose: traffic.Replicas, DataCentre: one.send.Replica.DataCentre})
-	wire.UserData = inFlightSend{request: q, send: one}
-	wire.OnLate = func(response *replicaconn.Response) { q.recordLateAnswer(one, response) }
-	wire.MaxConnections = q.node.maxConnections(q.config, one.send.Replica)
-	one.response, one.err = q.node.replicas.Do(ctx, &wire)
-	one.verdict = q.classify(one)
-	one.broken = isBrokenByReplica(one.err)
-	q.recordTrial(one)
-	one.latency = q.node.now() - one.startAt
-	q.recordEnd(one)
+	wire.Replica = exchange.send.Replica.Incarnation()
+	wire.Address = exchange.send.Replica.Address
+	wire.ByteCounter = q.node.traffic.Counter(traffic.Flow{Purpose: traffic.Replicas, DataCentre: exchange.send.Replica.DataCentre})
+	wire.UserData = inFlightSend{request: q, send: exchange}
+	wire.OnLate = func(response *replicaconn.Response) { q.recordLateAnswer(exchange, response) }
+	wire.MaxConnections = q.node.maxConnections(q.config, exchange.send.Replica)
+	exchange.response, exchange.err = q.node.replicas.Do(ctx, &wire)
+	exchange.verdict = q.classify(exchange)
+	exchange.broken = isBrokenByReplica(exchange.err)
+	q.recordTrial(exchange)
+	exchange.latency = q.node.now() - exchange.startAt
+	q.recordEnd(exchange)
 }
 
 // classify returns the verdict on the end of an exchange.
-func (q *request) classify(one *exchange) scatter.Verdict {
+func (q *request) classify(exchange *exchange) scatter.Verdict {
 	var failed *replicaconn.Error
 	switch {
-	case errors.As(one.err, &failed) && !failed.Sent:
+	case errors.As(exchange.err, &failed) && !failed.Sent:
 		return scatter.Unreached
-	case one.err != nil:
+	case exchange.err != nil:
 		return scatter.Failed
-	case platform.Wire{}.NotRun(one.response.Status, one.response.Header):
+	case platform.Wire{}.NotRun(exchange.response.Status, exchange.response.Header):
 		return scatter.Refused
-	case platform.Stamp(one.response.Header) == "":
+	case platform.Stamp(exchange.response.Header) == "":
 		// An answer without the replica's signature is not the replica's own.
 		return scatter.Failed
-	case notRunStatuses[one.response.Status]:
+	case notRunStatuses[exchange.response.Status]:
 		// The status means "not run", but the replica has not proved it.
 		return scatter.Failed
-	case one.response.Status >= 500 || q.route.Gather != nil && !isSuccess(one.response.Status):
+	case exchange.response.Status >= 500 || q.route.Gather != nil && !isSuccess(exchange.response.Status):
 		return scatter.Failed
 	default:
 		return scatter.Succeeded
@@ -294,25 +294,25 @@
 
 // recordEnd records the end of an exchange in the node's state. A cancelled send yields no information beyond
 // the lateness recorded before.
-func (q *request) recordEnd(one *exchange) {
-	incarnation := one.send.Replica.Incarnation()
+func (q *request) recordEnd(exchange *exchange) {
+	incarnation := exchange.send.Replica.Incarnation()
 	state := q.node.state
 	state.withReplicas(func(table *replica.Table, _ core.Time) { table.Ended(incarnation) })
-	if errors.Is(one.err, errAnswered) || errors.Is(one.err, context.Canceled) {
+	if errors.Is(exchange.err, errAnswered) || errors.Is(exchange.err, context.Canceled) {
 		return
 	}
-	q.node.metrics.countSend(one.send.Replica.Service, one.verdict, one.latency)
-	switch one.verdict {
+	q.node.metrics.countSend(exchange.send.Replica.Service, exchange.verdict, exchange.latency)
+	switch exchange.verdict {
 	case scatter.Succeeded:
-		q.recordAnswered(one.send.Replica.Service)
-		state.recordAnswer(q.route, incarnation, one.latency)
+		q.recordAnswered(exchange.send.Replica.Service)
+		state.recordAnswer(q.route, incarnation, exchange.latency)
 	case scatter.Failed:
 		state.withReplicas(func(table *replica.Table, now core.Time) { table.Failed(incarnation, now) })
 	case scatter.Refused:
 		state.withReplicas(func(table *replica.Table, now core.Time) { table.Refused(incarnation, now) })
-		if one.response != nil && one.response.Status == http.StatusMisdirectedRequest {
+		if exchange.response != nil && exchange.response.Status == http.StatusMisdirectedRequest {
 			state.withReplicas(func(table *replica.Table, _ core.Time) { table.Misdirected(incarnation) })
-			q.node.log.Decision("replica_misdirected", decisionlog.Fields{"replica": incarnation.ID, "service": one.send.Replica.Service, "address": one.send.Replica.Address, "request": q.id})
+			q.node.log.Decision("replica_misdirected", decisionlog.Fields{"replica": incarnation.ID, "service": exchange.send.Replica.Service, "address": exchange.send.Replica.Address, "request": q.id})
 		}
 	case scatter.Unreached:
 		state.withReplicas(func(table *replica.Table, now core.Time) { table.Unreached(incarnation, now) })
@@ -321,43 +321,43 @@
 
 // recordDelegatedEnd records the end of a delegated send. After the end of the request, its answer counts as
 // late.
-func (q *request) recordDelegatedEnd(one *exchange) {
-	if one.pauseEnded > 0 {
+func (q *request) recordDelegatedEnd(exchange *exchange) {
+	if exchange.pauseEnded > 0 {
 		q.node.state.withReplicas(func(table *replica.Table, now core.Time) {
-			table.ReceivePause(one.send.Replica.Incarnation(), one.pauseEnded, now)
+			table.ReceivePause(exchange.send.Replica.Incarnation(), exchange.pauseEnded, now)
 		})
 	}
 	select {
 	case <-q.done:
-		q.node.state.withReplicas(func(table *replica.Table, _ core.Time) { table.Ended(one.send.Replica.Incarnation()) })
-		if one.verdict == scatter.Succeeded {
-			q.node.state.recordLateAnswer(q.route, one.send.Replica.Incarnation(), one.latency)
+		q.node.state.withReplicas(func(table *replica.Table, _ core.Time) { table.Ended(exchange.send.Replica.Incarnation()) })
+		if exchange.verdict == scatter.Succeeded {
+			q.node.state.recordLateAnswer(q.route, exchange.send.Replica.Incarnation(), exchange.latency)
 		}
 	default:
-		q.recordEnd(one)
+		q.recordEnd(exchange)
 	}
 }
 
 // recordLateAnswer records an answer that arrived after another replica's. Without it, a replica that paused
 // briefly would count as overdue long after the pause.
-func (q *request) recordLateAnswer(one *exchange, response *replicaconn.Response) {
+func (q *request) recordLateAnswer(exchange *exchange, response *replicaconn.Response) {
 	if platform.Stamp(response.Header) == "" || response.Status >= 500 {
 		return
 	}
-	q.recordAnswered(one.send.Replica.Service)
-	q.node.state.recordLateAnswer(q.route, one.send.Replica.Incarnation(), q.node.now()-one.startAt)
+	q.recordAnswered(exchange.send.Replica.Service)
+	q.node.state.recordLateAnswer(q.route, exchange.send.Replica.Incarnation(), q.node.now()-exchange.startAt)
 }
 
 // addFailureStep adds a step for an exchange that did not succeed.
-func (q *request) addFailureStep(one *exchange) {
-	if one.verdict == scatter.Succeeded || errors.Is(one.err, errAnswered) {
+func (q *request) addFailureStep(exchange *exchange) {
+	if exchange.verdict == scatter.Succeeded || errors.Is(exchange.err, errAnswered) {
 		return
 	}
-	s := step{Event: "send_failed", Replica: one.send.Replica.ID, Service: one.send.Replica.Service, TookMs: (q.node.now() - one.startAt).Milliseconds()}
-	if one.err != nil {
-		s.Cause = one.err.Error()
+	s := step{Event: "send_failed", Replica: exchange.send.Replica.ID, Service: exchange.send.Replica.Service, TookMs: (q.node.now() - exchange.startAt).Milliseconds()}
+	if exchange.err != nil {
+		s.Cause = exchange.err.Error()
 	} else {
-		s.Status = one.response.Status
+		s.Status = exchange.response.Status
 	}
 	q.addStep(s)
 }
--- a/internal/edge/restored_test.go
+++ b/internal/edge/restored_test.go
@@ -53,8 +53,8 @@
 				h.configure(version)
 			}
 			reached := h.store.Revision()
-			for _, one := range h.nodes {
-				h.waitForVersion(one, 9)
+			for _, node := range h.nodes {
+				h.waitForVersion(node, 9)
 			}
 			for _, lost := range h.restoreStore(backup) {
 				h.store.RewriteLost(lost)
@@ -69,9 +69,9 @@
 				}
 			}
 			h.recoverStore()
-			for _, one := range h.nodes {
-				h.waitForVersion(one, 12)
-				response, body := h.mustRequest(one, http.MethodGet, "/plain/x", "r1", "")
+			for _, node := range h.nodes {
+				h.waitForVersion(node, 12)
+				response, body := h.mustRequest(node, http.MethodGet, "/plain/x", "r1", "")
 				require.Equal(t, http.StatusOK, response.StatusCode)
 				require.Contains(t, body, "a letter")
 			}
@@ -80,8 +80,8 @@
 }
 
 // versionsInForce lists the versions that a node put in force, in order.
-func (h *harness) versionsInForce(one *node) (versions []int) {
-	for line := range strings.Lines(one.log.String()) {
+func (h *harness) versionsInForce(node *node) (versions []int) {
+	for line := range strings.Lines(node.log.String()) {
 		if _, after, found := strings.Cut(line, `"version":`); found && strings.Contains(line, `"config_in_force"`) {
 			version, err := strconv.Atoi(after[:strings.IndexAny(after, ",}")])
 			require.NoError(h.t, err)
@@ -92,12 +92,12 @@
 }
 
 // waitForEra waits until a node's copy of the store has reached an era.
-func (h *harness) waitForEra(one *node, era uint64) {
+func (h *harness) waitForEra(node *node, era uint64) {
 	h.t.Helper()
 	require.Eventually(h.t, func() bool {
-		_, page := h.get("http://"+one.Settings.MetricsAddress+"/metrics", nil)
+		_, page := h.get("http://"+node.Settings.MetricsAddress+"/metrics", nil)
 		return strings.Contains(page, fmt.Sprintf("\npistachiopier_store_era %d\n", era))
-	}, waitLimit, 5*time.Millisecond, "era %d at %s", era, one.Settings.Node)
+	}, waitLimit, 5*time.Millisecond, "era %d at %s", era, node.Settings.Node)
 }
 
 // A restored store returns an older configuration, and the operators write the current one again late or
@@ -113,14 +113,14 @@
 	h.waitReady()
 	backup := h.store.Backup()
 	h.store.Publish(h.configWithService(4, "letters"))
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 4)
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 4)
 	}
 	store.SetBoth(faultproxy.Faults{Cut: true})
 	lost := h.restoreStore(backup)
 	h.recoverStore()
-	for _, one := range h.nodes {
-		h.waitForEra(one, 2)
+	for _, node := range h.nodes {
+		h.waitForEra(node, 2)
 	}
 	h.waitForEvent(h.nodes[0], "config_outdated")
 	h.startOne("west", nil)
@@ -128,23 +128,23 @@
 	requests := 0
 	letters := func() {
 		t.Helper()
-		for _, one := range h.nodes {
+		for _, node := range h.nodes {
 			requests++
-			response, body := h.mustRequest(one, http.MethodGet, "/plain/x", fmt.Sprint("r", requests), "")
+			response, body := h.mustRequest(node, http.MethodGet, "/plain/x", fmt.Sprint("r", requests), "")
 			require.Equal(t, http.StatusOK, response.StatusCode)
 			require.Contains(t, body, "a letter")
 		}
 	}
 	letters()
 	store.SetBoth(faultproxy.Faults{})
-	for _, one := range lost {
-		h.store.RewriteLost(one)
+	for _, write := range lost {
+		h.store.RewriteLost(write)
 	}
 	letters()
 	h.configure(7)
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 7)
-		require.IsNonDecreasing(t, h.versionsInForce(one))
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 7)
+		require.IsNonDecreasing(t, h.versionsInForce(node))
 	}
 	_, dump := h.get("http://"+h.nodes[0].Settings.MetricsAddress+"/dump", nil)
 	require.Contains(t, dump, `"store_era":2`)
@@ -162,14 +162,14 @@
 	h.recoverStore()
 	h.start("east", "west", "east")
 	h.waitReady()
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 1)
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 1)
 	}
-	for _, one := range lost {
-		h.store.RewriteLost(one)
+	for _, write := range lost {
+		h.store.RewriteLost(write)
 	}
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 4)
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 4)
 	}
 }
 
@@ -186,21 +186,21 @@
 	silent := h.replica("invoices", "east", "done")
 	h.store.Put(draining.Key(), draining.Entry("east", platformtest.StateDraining))
 	h.store.Remove(left.Key())
-	for _, one := range h.nodes {
+	for _, node := range h.nodes {
 		for _, event := range []string{`"replica":"` + silent.ID, "replica_draining", "replica_gone"} {
-			require.Eventually(t, func() bool { return strings.Contains(one.log.String(), event) }, waitLimit, time.Millisecond)
+			require.Eventually(t, func() bool { return strings.Contains(node.log.String(), event) }, waitLimit, time.Millisecond)
 		}
 	}
 	before := arrivals(draining, left)
 	h.restoreStore(backup)
 	h.recoverStore()
-	for i, one := range h.nodes {
-		h.waitForEra(one, 2)
-		h.waitForEvent(one, "replica_doubted")
-		h.waitForEvent(one, "replica_lapsed")
-		h.waitForEvent(one, "replica_report_outdated")
+	for i, node := range h.nodes {
+		h.waitForEra(node, 2)
+		h.waitForEvent(node, "replica_doubted")
+		h.waitForEvent(node, "replica_lapsed")
+		h.waitForEvent(node, "replica_report_outdated")
 		for j := range 5 {
-			response, _ := h.mustRequest(one, http.MethodGet, "/plain/x", fmt.Sprint("r", i, j), "")
+			response, _ := h.mustRequest(node, http.MethodGet, "/plain/x", fmt.Sprint("r", i, j), "")
 			require.Equal(t, http.StatusOK, response.StatusCode)
 		}
 	}
@@ -232,8 +232,8 @@
 			h.serve("east", "east", "west")
 			backup := h.store.Backup()
 			h.store.Evacuate("east")
-			for _, one := range h.nodes {
-				h.waitForEvent(one, "evacuation_in_force")
+			for _, node := range h.nodes {
+				h.waitForEvent(node, "evacuation_in_force")
 			}
 			before := arrivals(east)
 			lost := h.restoreStore(backup)
@@ -241,20 +241,20 @@
 			requests := 0
 			requireNothingSentEast := func() {
 				t.Helper()
-				for _, one := range h.nodes {
+				for _, node := range h.nodes {
 					requests++
-					response, _ := h.mustRequest(one, http.MethodGet, "/plain/x", fmt.Sprint("r", requests), "")
+					response, _ := h.mustRequest(node, http.MethodGet, "/plain/x", fmt.Sprint("r", requests), "")
 					require.Equal(t, http.StatusOK, response.StatusCode)
 				}
 				require.Equal(t, before, arrivals(east))
 			}
-			for _, one := range h.nodes {
-				h.waitForEvent(one, "evacuation_lapsed")
+			for _, node := range h.nodes {
+				h.waitForEvent(node, "evacuation_lapsed")
 			}
 			requireNothingSentEast()
 			if again {
-				for _, one := range lost {
-					h.store.RewriteLost(one)
+				for _, write := range lost {
+					h.store.RewriteLost(write)
 				}
 				h.configure(2)
 				h.waitForVersion(h.nodes[0], 2)
@@ -264,15 +264,15 @@
 				h.waitForEvent(h.nodes[0], "evacuation_ended")
 				h.restoreStore(during)
 				h.recoverStore()
-				for _, one := range h.nodes {
-					h.waitForEra(one, 3)
+				for _, node := range h.nodes {
+					h.waitForEra(node, 3)
 				}
 				before = arrivals(east)
 				requireNothingSentEast()
 				h.store.EndEvacuation("east")
 			}
-			for _, one := range h.nodes {
-				h.waitForEvent(one, "evacuation_ended")
+			for _, node := range h.nodes {
+				h.waitForEvent(node, "evacuation_ended")
 			}
 			require.Eventually(t, func() bool {
 				_, _ = h.mustRequest(h.nodes[0], http.MethodGet, "/plain/x", "after", "")
@@ -294,8 +294,8 @@
 	h.waitReady()
 	backup := h.store.Backup()
 	h.configure(4)
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 4)
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 4)
 	}
 	store.SetBoth(faultproxy.Faults{Cut: true})
 	links.SetBoth(faultproxy.Faults{Cut: true})
@@ -303,17 +303,17 @@
 	h.store.RewriteLost(lost[0])
 	h.configure(6)
 	h.recoverStore()
-	for _, one := range h.nodes[:2] {
-		h.waitForVersion(one, 6)
+	for _, node := range h.nodes[:2] {
+		h.waitForVersion(node, 6)
 	}
 	links.SetBoth(faultproxy.Faults{})
 	h.waitForVersion(h.nodes[2], 6)
 	h.waitForEra(h.nodes[2], 2)
 	store.SetBoth(faultproxy.Faults{})
 	h.configure(8)
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 8)
-		require.IsNonDecreasing(t, h.versionsInForce(one))
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 8)
+		require.IsNonDecreasing(t, h.versionsInForce(node))
 	}
 }
 
@@ -325,22 +325,22 @@
 	h.store.SetEraHeader(func(uint64) string { return "" })
 	h.serve("east", "east", "west")
 	h.configure(2)
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 2)
-		h.waitForEra(one, 0)
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 2)
+		h.waitForEra(node, 0)
 	}
 	h.store.SetEraHeader(nil)
-	for _, one := range h.nodes {
-		h.waitForEra(one, 1)
-		h.waitForEvent(one, "store_era_changed")
+	for _, node := range h.nodes {
+		h.waitForEra(node, 1)
+		h.waitForEvent(node, "store_era_changed")
 	}
 	h.store.SetEraHeader(func(uint64) string { return "seven" })
 	h.configure(3)
 	logged := false
-	for _, one := range h.nodes {
-		h.waitForVersion(one, 3)
-		h.waitForEra(one, 1)
-		logged = logged || strings.Contains(one.log.String(), "store_era_untold")
+	for _, node := range h.nodes {
+		h.waitForVersion(node, 3)
+		h.waitForEra(node, 1)
+		logged = logged || strings.Contains(node.log.String(), "store_era_untold")
 	}
 	require.True(t, logged)
 }
--- a/internal/edge/shares.go
+++ b/internal/edge/shares.go
@@ -16,7 +16,7 @@
 	chosen := n.currentEntries()
 	fleet := extra.Fleet{
 		Entries: len(chosen),
-		IsEntry: slices.ContainsFunc(chosen, func(one route.Node) bool { return one.ID == n.identity.Node }),
+		IsEntry: slices.ContainsFunc(chosen, func(node route.Node) bool { return node.ID == n.identity.Node }),
 		Nodes:   max(len(n.view().Nodes()), len(s.Seeds)),
 	}
 	n.state.mutex.Lock()
@@ -37,8 +37,8 @@
 	}
 	chosen := n.currentEntries()
 	near := 0
-	for _, one := range chosen {
-		if one.DataCentre == to.DataCentre {
+	for _, node := range chosen {
+		if node.DataCentre == to.DataCentre {
 			near++
 		}
 	}
--- a/internal/edge/stop_test.go
+++ b/internal/edge/stop_test.go
@@ -93,7 +93,7 @@
 	h := newHarness(t)
 	notes := h.replica("notes", "east", "a note")
 	h.serve("east")
-	one := h.nodes[0]
+	node := h.nodes[0]
 	arrived, answer := make(chan struct{}), make(chan struct{})
 	arrive := sync.OnceFunc(func() { close(arrived) })
 	notes.SetBehaviour(func(platformtest.ReceivedRequest) platformtest.Behaviour {
@@ -103,7 +103,7 @@
 	})
 	ended := make(chan int, 1)
 	go func() {
-		response, _, err := h.request(one, http.MethodGet, "/plain/x", "r1", "")
+		response, _, err := h.request(node, http.MethodGet, "/plain/x", "r1", "")
 		if err != nil {
 			ended <- 0
 			return
@@ -111,14 +111,14 @@
 		ended <- response.StatusCode
 	}()
 	<-arrived
-	moved := *one.Settings
+	moved := *node.Settings
 	moved.DataCentre, moved.CallerAddress, moved.ExtraRatio = "west", "127.0.0.1:1", 0.3
-	one.Reload(&moved)
+	node.Reload(&moved)
 	close(answer)
 	require.Equal(t, http.StatusOK, <-ended)
-	line := h.waitForEvent(one, "settings_reloaded")
+	line := h.waitForEvent(node, "settings_reloaded")
 	require.Contains(t, line, `"changed":true`)
 	require.Contains(t, line, `"needs_restart":["data centre","callers' address"]`)
-	_, dump := h.get("http://"+one.Settings.MetricsAddress+"/dump", nil)
+	_, dump := h.get("http://"+node.Settings.MetricsAddress+"/dump", nil)
 	require.Contains(t, dump, `"data_centre":"east"`)
 }
--- a/internal/mirror/copy_test.go
+++ b/internal/mirror/copy_test.go
@@ -75,9 +75,9 @@
 			}
 		}
 		copies[0].Apply(store.Since(copies[0].Position()))
-		for _, one := range copies[1:] {
-			one.Apply(copies[0].Since(one.Position()))
-			require.Equal(t, store.items, one.items)
+		for _, c := range copies[1:] {
+			c.Apply(copies[0].Since(c.Position()))
+			require.Equal(t, store.items, c.items)
 		}
 	})
 }
--- a/internal/mirror/follow_test.go
+++ b/internal/mirror/follow_test.go
@@ -267,10 +267,10 @@
 	l.recoveries++
 }
 
-func (l *recordingListener) ReadingRejected(one RejectedReading) {
+func (l *recordingListener) ReadingRejected(reading RejectedReading) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.rejected = append(l.rejected, one)
+	l.rejected = append(l.rejected, reading)
 }
 
 func (l *recordingListener) EraChanged(change EraChange) {
--- a/internal/mirror/restored_test.go
+++ b/internal/mirror/restored_test.go
@@ -303,9 +303,9 @@
 			}
 			fleet = append(fleet, NewFollower(DefaultConfig(), NewCopy(), from, peers, &recordingListener{}, now))
 		}
-		for _, one := range fleet {
-			one.Start()
-			defer one.Close()
+		for _, follower := range fleet {
+			follower.Start()
+			defer follower.Close()
 		}
 		time.Sleep(5 * time.Second)
 		backup := store.backup()
@@ -313,8 +313,8 @@
 			store.put("lost", false)
 		}
 		time.Sleep(2 * time.Second)
-		for _, one := range []*fakeStore{store, readersStore} {
-			one.update(func(s *fakeStore) { s.unavailable = true })
+		for _, fake := range []*fakeStore{store, readersStore} {
+			fake.update(func(s *fakeStore) { s.unavailable = true })
 		}
 		time.Sleep(3 * time.Second)
 		store.restore(backup)
@@ -327,13 +327,13 @@
 		whole, calls := readings()
 		wholeReplies.Store(0)
 		time.Sleep(3 * time.Second)
-		for i, one := range fleet {
+		for i, follower := range fleet {
 			if readersRejected && i < readers {
 				continue
 			}
-			item, _ := one.copy.Get("config")
+			item, _ := follower.copy.Get("config")
 			require.EqualValues(t, 5, item.Rank, "node %d", i)
-			require.EqualValues(t, 2, one.copy.Position().Era)
+			require.EqualValues(t, 2, follower.copy.Position().Era)
 		}
 		wholeAfter, callsAfter := readings()
 		t.Logf("%d nodes: %d whole readings and %d calls at the store in 3 s, %d whole copies between nodes", nodes, wholeAfter-whole, callsAfter-calls, wholeReplies.Load())
@@ -418,9 +418,9 @@
 		for i := range nodes[1:] {
 			take(i+1, nodes[0].Since(nodes[i+1].Position()))
 		}
-		for _, one := range nodes {
-			require.Equal(t, slices.Sorted(maps.Keys(store.state.items)), slices.Sorted(maps.Keys(one.items)))
-			require.Equal(t, store.state.items, one.items)
+		for _, node := range nodes {
+			require.Equal(t, slices.Sorted(maps.Keys(store.state.items)), slices.Sorted(maps.Keys(node.items)))
+			require.Equal(t, store.state.items, node.items)
 		}
 	})
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -196,12 +196,12 @@
 	if len(changes) == 0 {
 		return
 	}
-	for _, one := range changes {
-		if one.New {
-			r.queueUpdate(one.Record.Key, from)
+	for _, c := range changes {
+		if c.New {
+			r.queueUpdate(c.Record.Key, from)
 		}
 		if r.options.OnChange != nil {
-			r.options.OnChange(one, from)
+			r.options.OnChange(c, from)
 		}
 	}
 	r.storeSummary()
@@ -243,11 +243,11 @@
 	defer r.mutex.Unlock()
 	now := r.options.Now()
 	var list []RequestStatus
-	for _, one := range r.ledger.Records() {
-		if one.Severity() == quarantine.Trusted {
+	for _, record := range r.ledger.Records() {
+		if record.Severity() == quarantine.Trusted {
 			continue
 		}
-		list = append(list, RequestStatus{Key: one.Key.String(), Description: one.Description, Standing: one.Severity().String(), SetAsideShards: one.SetAsideShards(), EndedReplicas: one.EndedCount(), SinceMs: (now - one.FirstAt).Milliseconds()})
+		list = append(list, RequestStatus{Key: record.Key.String(), Description: record.Description, Standing: record.Severity().String(), SetAsideShards: record.SetAsideShards(), EndedReplicas: record.EndedCount(), SinceMs: (now - record.FirstAt).Milliseconds()})
 	}
 	return list
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -27,7 +27,7 @@
 	// lossRate is the share of messages that are lost. partitioned, if set, reports whether no message passes between
 	// two nodes.
 	lossRate    float64
-	partitioned func(one, other int) bool
+	partitioned func(from, to int) bool
 	ledgers     []*ReplicatedLedger
 	// messages counts the messages sent.
 	messages int
@@ -43,12 +43,12 @@
 	for range nodes {
 		n.ledgers = append(n.ledgers, New(Options{Now: func() core.Time { return time.Since(started) }}))
 	}
-	for i, one := range n.ledgers {
-		one.Start(&links{cluster: n, at: i, to: n.linksOf(i)})
+	for i, ledger := range n.ledgers {
+		ledger.Start(&links{cluster: n, at: i, to: n.linksOf(i)})
 	}
 	t.Cleanup(func() {
-		for _, one := range n.ledgers {
-			one.Close()
+		for _, ledger := range n.ledgers {
+			ledger.Close()
 		}
 	})
 	return n
@@ -72,12 +72,12 @@
 
 // heartbeats exchanges the digests over all links.
 func (n *cluster) heartbeats() {
-	for i, one := range n.ledgers {
-		links := one.links.(*links)
+	for i, ledger := range n.ledgers {
+		links := ledger.links.(*links)
 		for _, to := range links.to {
 			if n.delivers(i, to) {
-				n.ledgers[to].CompareDigest(target(i), one.Digest())
-				one.CompareDigest(target(to), n.ledgers[to].Digest())
+				n.ledgers[to].CompareDigest(target(i), ledger.Digest())
+				ledger.CompareDigest(target(to), n.ledgers[to].Digest())
 			}
 		}
 	}
@@ -85,8 +85,8 @@
 
 // agree reports whether the request has the given standing at all nodes.
 func (n *cluster) agree(identity quarantine.Identity, standing quarantine.Standing) bool {
-	for _, one := range n.ledgers {
-		if one.Assess(func() quarantine.Identity { return identity }, nil).Request != standing {
+	for _, ledger := range n.ledgers {
+		if ledger.Assess(func() quarantine.Identity { return identity }, nil).Request != standing {
 			return false
 		}
 	}
@@ -103,8 +103,8 @@
 
 func (l *links) Linked() []peer.Target {
 	var targets []peer.Target
-	for _, one := range l.to {
-		targets = append(targets, target(one))
+	for _, node := range l.to {
+		targets = append(targets, target(node))
 	}
 	return targets
 }
@@ -185,7 +185,7 @@
 // The nodes are partitioned into halves, and replicas end in both. After the partition all nodes must know both requests.
 func TestHalvesThatMeetAgainAgree(t *testing.T) {
 	n := newCluster(t, 30)
-	n.partitioned = func(one, other int) bool { return one%2 != other%2 }
+	n.partitioned = func(from, to int) bool { return from%2 != to%2 }
 	other := quarantine.Identity{Path: "/other"}
 	for i := range 3 {
 		n.ledgers[0].RecordFacts(crashing, "deadly", "s", replica.Incarnation{ID: fmt.Sprint("i-", i)}, quarantine.Ended|quarantine.Trial)
@@ -225,14 +225,14 @@
 func TestNodesThatCannotAgreeCompareRarely(t *testing.T) {
 	n := newCluster(t, 2)
 	now := core.Time(0)
-	for node, one := range n.ledgers {
-		one.options.Now = func() core.Time { return now }
+	for node, ledger := range n.ledgers {
+		ledger.options.Now = func() core.Time { return now }
 		for request := range 3 * maxRecords {
 			for incarnation := range 3 {
-				one.ledger.Merge(quarantine.Record{Key: quarantine.Identity{Path: fmt.Sprint(node, request)}.Names().Exact, Facts: map[quarantine.Incarnation]quarantine.Fact{quarantine.Incarnation(1000*request + incarnation): quarantine.Ended | quarantine.Trial}}, 0)
+				ledger.ledger.Merge(quarantine.Record{Key: quarantine.Identity{Path: fmt.Sprint(node, request)}.Names().Exact, Facts: map[quarantine.Incarnation]quarantine.Fact{quarantine.Incarnation(1000*request + incarnation): quarantine.Ended | quarantine.Trial}}, 0)
 			}
 		}
-		one.storeSummary()
+		ledger.storeSummary()
 	}
 	asked := 0
 	for ; now < time.Minute; now += time.Second {
@@ -247,10 +247,10 @@
 func TestMalformedRecordsChangeNothing(t *testing.T) {
 	n := newCluster(t, 3)
 	key := make([]byte, 16)
-	for _, one := range []*peerpb.QuarantineRecord{
+	for _, record := range []*peerpb.QuarantineRecord{
 		{}, {Key: key}, {Key: key[:3], Head: key}, {Key: key, Head: key}, {Key: key, Head: key, Lives: []uint64{1, 2}, Marks: []byte{1}}, {Key: key, Head: key, Lives: make([]uint64, 10000), Marks: make([]byte, 10000)},
 	} {
-		n.ledgers[0].applyRecords("other", &peerpb.QuarantineNews{Records: []*peerpb.QuarantineRecord{one}})
+		n.ledgers[0].applyRecords("other", &peerpb.QuarantineNews{Records: []*peerpb.QuarantineRecord{record}})
 	}
 	n.ledgers[0].applyRecords("other", nil)
 	require.Zero(t, n.ledgers[0].known.Load())
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -33,9 +33,9 @@
 	}
 	for _, target := range r.updateTargets() {
 		message := &peerpb.QuarantineNews{}
-		for i, one := range records {
+		for i, record := range records {
 			if sources[i] != target.Node {
-				message.Records = append(message.Records, one)
+				message.Records = append(message.Records, record)
 			}
 		}
 		if len(message.Records) > 0 {
@@ -127,11 +127,11 @@
 // The mutex must be held.
 func (r *ReplicatedLedger) untrustedRecords(now core.Time) []*peerpb.QuarantineRecord {
 	var list []*peerpb.QuarantineRecord
-	for _, one := range r.ledger.Records() {
-		if one.Severity() == quarantine.Trusted || len(list) >= maxRecords {
+	for _, record := range r.ledger.Records() {
+		if record.Severity() == quarantine.Trusted || len(list) >= maxRecords {
 			break
 		}
-		list = append(list, encode(one, now))
+		list = append(list, encode(record, now))
 	}
 	return list
 }
@@ -150,9 +150,9 @@
 }
 
 func (r *ReplicatedLedger) applyRecords(from core.NodeID, message *peerpb.QuarantineNews) {
-	for _, one := range message.GetRecords() {
+	for _, encoded := range message.GetRecords() {
 		now := r.options.Now()
-		if record, ok := decode(one, now); ok {
+		if record, ok := decode(encoded, now); ok {
 			r.apply(from, func() []quarantine.Change { return r.mergeFrom(from, record, now) })
 		}
 	}
