--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -24,42 +24,42 @@
 func Reference() []Setting {
 	limits := once.DefaultLimits()
 	return []Setting{
-		{"node", required, "name", "this node's id, as the VM list and its certificate name it", ""},
-		{"data_centre", required, "name", "the data centre that this VM is in", ""},
-		{"caller_address", required, "IP:PORT, TCP", "where callers ask; port 0 takes a free one", ""},
-		{"peer_address", required, "IP:PORT, UDP", "where other nodes reach this one", ""},
-		{"operator_address", required, "IP:PORT, TCP", "where operators look", ""},
+		{"node", required, "name", "the id of this node, as in the VM list and in its certificate", ""},
+		{"data_centre", required, "name", "the data centre of this VM", ""},
+		{"caller_address", required, "IP:PORT, TCP", "the address for callers; port 0 selects a free port", ""},
+		{"peer_address", required, "IP:PORT, UDP", "the address for other nodes", ""},
+		{"operator_address", required, "IP:PORT, TCP", "the address for operators", ""},
 		{"platform", required, "URL", "the base URL of the configuration service and the VM list", ""},
-		{"log_level", DefaultLogLevel, "error, warn, info or debug", "debug adds a line for each request and fx's own events", ""},
-		{"entries_ttl", DefaultEntriesTTL.String(), "duration", "how long callers may keep the address answer", ""},
-		{"stop_wait", DefaultStopWait.String(), "duration", "the longest that a planned stop takes", ""},
-		{"tls.authority", required, "PEM file or text", "the certificate of the authority that signs all nodes", ""},
+		{"log_level", DefaultLogLevel, "error, warn, info or debug", "the least severe level that is logged; debug adds a line for each request and the events of the fx framework", ""},
+		{"entries_ttl", DefaultEntriesTTL.String(), "duration", "how long callers may cache the list of entry addresses", ""},
+		{"stop_wait", DefaultStopWait.String(), "duration", "the maximum duration of a planned stop", ""},
+		{"tls.authority", required, "PEM file or text", "the certificate of the authority that signs the certificates of all nodes", ""},
 		{"tls.certificate", required, "PEM file or text", "this node's certificate", "certificate_days_left"},
 		{"tls.key", required, "PEM file or text", "this node's private key", ""},
-		{"tls.warn_before", DefaultWarnBefore.String(), "duration", "how long before its end a certificate is reported as a problem", "certificate_days_left"},
-		{"limits.max_body_bytes", fmt.Sprint(DefaultMaxBodyBytes), "bytes", "the largest body of a caller's request", "caller_bodies_too_large_total"},
-		{"limits.header_timeout", DefaultHeaderTimeout.String(), "duration", "the time for a request's headers to arrive", ""},
-		{"limits.body_timeout", DefaultBodyTimeout.String(), "duration", "the time for a request's body to arrive", "caller_bodies_late_total"},
-		{"limits.idle_timeout", DefaultIdleTimeout.String(), "duration", "how long an idle caller's connection is kept", "caller_connections"},
-		{"limits.connections", fmt.Sprint(DefaultConnections), "count", "callers' connections at once; operators have as many of their own", "caller_connections_refused_total"},
-		{"limits.entries", fmt.Sprint(DefaultEntries), "count", "the most addresses in the address answer", ""},
-		{"limits.in_flight", fmt.Sprint(entrylimit.DefaultMaxInFlight), "count", "queries and submits that this entry has in work at once", "entry_in_flight"},
-		{"limits.headroom", fmt.Sprint(entrylimit.DefaultHeadroom), "count", "how many times the free places one customer may hold at this entry", "entry_refused_share_total"},
-		{"probing.report_within", DefaultReportWithin.String(), "duration", "a dead replica without traffic is reported within this time", "probes_total"},
-		{"probing.in_flight", fmt.Sprint(DefaultMaxProbesInFlight), "count", "probes of idle replicas at once", "probes_in_flight"},
-		{"once.accept", limits.AcceptAge.String(), "duration", "how long after its issue a key prefix starts new must-not-repeat requests", ""},
-		{"once.retain", limits.RetainAge.String(), "duration", "how long after its prefix's issue an outcome is kept; above accept and max_run together", ""},
-		{"once.max_run", limits.MaxRunTime.String(), "duration", "the longest that one must-not-repeat request may take", "once_running"},
-		{"once.entries", fmt.Sprint(limits.MaxEntries), "count", "must-not-repeat requests remembered; one customer has half of them", "once_entries"},
-		{"once.bytes", fmt.Sprint(limits.MaxBytes), "bytes", "memory for them; one customer has half of it", "once_bytes"},
+		{"tls.warn_before", DefaultWarnBefore.String(), "duration", "how long before its expiry a certificate is reported as a problem", "certificate_days_left"},
+		{"limits.max_body_bytes", fmt.Sprint(DefaultMaxBodyBytes), "bytes", "the maximum size of a request body", "caller_bodies_too_large_total"},
+		{"limits.header_timeout", DefaultHeaderTimeout.String(), "duration", "the maximum time to receive the headers of a request", ""},
+		{"limits.body_timeout", DefaultBodyTimeout.String(), "duration", "the maximum time to receive the body of a request", "caller_bodies_late_total"},
+		{"limits.idle_timeout", DefaultIdleTimeout.String(), "duration", "how long an idle connection of a caller is kept open", "caller_connections"},
+		{"limits.connections", fmt.Sprint(DefaultConnections), "count", "the maximum number of open connections of callers; operators have a separate limit of the same size", "caller_connections_refused_total"},
+		{"limits.entries", fmt.Sprint(DefaultEntries), "count", "the maximum number of entry addresses returned to a caller", ""},
+		{"limits.in_flight", fmt.Sprint(entrylimit.DefaultMaxInFlight), "count", "the maximum number of queries and submits in flight at this entry", "entry_in_flight"},
+		{"limits.headroom", fmt.Sprint(entrylimit.DefaultHeadroom), "count", "the maximum ratio of one customer's requests in flight to the free slots of this entry", "entry_refused_share_total"},
+		{"probing.report_within", DefaultReportWithin.String(), "duration", "the time within which a dead replica without traffic is reported", "probes_total"},
+		{"probing.in_flight", fmt.Sprint(DefaultMaxProbesInFlight), "count", "the maximum number of probes of idle replicas in flight", "probes_in_flight"},
+		{"once.accept", limits.AcceptAge.String(), "duration", "how long after its issue a key prefix may start new non-idempotent requests", ""},
+		{"once.retain", limits.RetainAge.String(), "duration", "how long after the issue of its key prefix an outcome is kept; must exceed the sum of accept and max_run", ""},
+		{"once.max_run", limits.MaxRunTime.String(), "duration", "the maximum duration of a non-idempotent request", "once_running"},
+		{"once.entries", fmt.Sprint(limits.MaxEntries), "count", "the maximum number of recorded non-idempotent requests; one customer may use half of it", "once_entries"},
+		{"once.bytes", fmt.Sprint(limits.MaxBytes), "bytes", "the maximum memory of these records; one customer may use half of it", "once_bytes"},
 	}
 }
 
 // Markdown renders the reference as the page docs/SETTINGS.md.
 func Markdown() string {
 	var b strings.Builder
-	b.WriteString("# Settings\n\nOne YAML file a node, given to `pistachiopier serve --settings FILE`. Unknown keys are\nrefused. This page is written by `pistachiopier settings --markdown`. Metrics carry the\nprefix `pistachiopier_`.\n\n")
-	b.WriteString("| key | default | unit | what it sets | metric |\n|---|---|---|---|---|\n")
+	b.WriteString("# Settings\n\nEach node reads one YAML file, given by `pistachiopier serve --settings FILE`. Unknown keys are\nan error. This page is generated by `pistachiopier settings --markdown`. The names of metrics\nhave the prefix `pistachiopier_`.\n\n")
+	b.WriteString("| key | default | unit | description | metric |\n|---|---|---|---|---|\n")
 	for _, e := range Reference() {
 		metric := ""
 		if e.Metric != "" {
@@ -67,6 +67,6 @@
 		}
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", e.Key, e.Default, e.Unit, e.About, metric)
 	}
-	b.WriteString("\nAn example, and the certificates for it: [OPERATIONS.md](OPERATIONS.md).\n")
+	b.WriteString("\nFor an example and its certificates, see [OPERATIONS.md](OPERATIONS.md).\n")
 	return b.String()
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -72,7 +72,7 @@
 	// InFlight is the maximum number of callers' requests in flight at this entry.
 	InFlight int `yaml:"in_flight"`
 	// Headroom is the maximum ratio of one customer's requests in flight to the free
-	// places.
+	// slots.
 	Headroom int `yaml:"headroom"`
 }
 
