--- a/internal/mirror/peers.go
+++ b/internal/mirror/peers.go
@@ -20,7 +20,7 @@
 const unconfirmedAge = time.Hour
 
 // PeerClient reads the copies of peers.
-type PeerClient struct{ Asker peer.Sender }
+type PeerClient struct{ Sender peer.Sender }
 
 // Fetch implements Peers.Fetch over the links between nodes.
 func (c PeerClient) Fetch(ctx context.Context, from peer.Target, position Position, wait time.Duration) (Delta, time.Duration, error) {
@@ -35,7 +35,7 @@
 		failure *peer.LinkError
 	}
 	results := make(chan result, 1)
-	ticket := c.Asker.Send(from, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	ticket := c.Sender.Send(from, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
 		case results <- result{reply, failure}:
 		default:
