--- a/internal/app/evidence.go
+++ b/internal/app/evidence.go
@@ -17,7 +17,7 @@
 		n.problems.Clear(observe.KindSilentConnection, "peer "+string(update.Peer.Node))
 		n.members.RecordAnswer(update.Peer.Node)
 	case peer.LinkSilent:
-		n.problems.Report(observe.KindSilentConnection, "peer "+string(update.Peer.Node), "the link to "+update.Peer.Address+" gave no answer and was replaced")
+		n.problems.Report(observe.KindSilentConnection, "peer "+string(update.Peer.Node), "the link to "+update.Peer.Address+" did not respond and was replaced")
 		n.members.RecordFailure(update.Peer.Node)
 	default:
 		n.members.RecordFailure(update.Peer.Node)
--- a/internal/confwatch/asks.go
+++ b/internal/confwatch/asks.go
@@ -34,12 +34,12 @@
 
 // peerRequest is a request to a peer in flight.
 type peerRequest struct {
-	id     uint64
-	kind   requestKind
-	node   route.Node
-	have   config.Mark
-	at     core.Time
-	ticket peer.Canceller
+	id        uint64
+	kind      requestKind
+	node      route.Node
+	have      config.Mark
+	at        core.Time
+	canceller peer.Canceller
 }
 
 // send sends a request. The reply arrives as an event.
@@ -63,7 +63,7 @@
 	w.openRequests[sent.id] = sent
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_ConfigRequest{ConfigRequest: request}}
 	id := sent.id
-	sent.ticket = w.Peers.Send(peer.Target{Node: node.ID, Address: node.PeerAddress}, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
+	sent.canceller = w.Peers.Send(peer.Target{Node: node.ID, Address: node.PeerAddress}, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
 		w.events.TryPut(peerReply{id: id, reply: reply.GetConfigReply()})
 	})
 }
@@ -81,7 +81,7 @@
 	for id, open := range w.openRequests {
 		if open.kind == kind && open.node.ID == node {
 			delete(w.openRequests, id)
-			open.ticket.Cancel()
+			open.canceller.Cancel()
 		}
 	}
 }
@@ -93,7 +93,7 @@
 			continue
 		}
 		delete(w.openRequests, id)
-		open.ticket.Cancel()
+		open.canceller.Cancel()
 		w.act(w.machine.PeerFailed(now, open.node.ID))
 	}
 }
--- a/internal/confwatch/world_test.go
+++ b/internal/confwatch/world_test.go
@@ -262,9 +262,9 @@
 	}()
 }
 
-type ticket struct{ cancel context.CancelFunc }
+type canceller struct{ cancel context.CancelFunc }
 
-func (t ticket) Cancel() { t.cancel() }
+func (c canceller) Cancel() { c.cancel() }
 
 // Send implements peer.Sender. A partition fails new requests after dialTimeout and
 // drops messages in flight without an error.
@@ -273,7 +273,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.count(n.ID, request)
 	if s.isSilent(n.ID, target.Node) {
-		return ticket{cancel}
+		return canceller{cancel}
 	}
 	if s.isCut(n.ID, target.Node) {
 		runAfter(dialTimeout, func() {
@@ -281,10 +281,10 @@
 				sink(nil, &peer.LinkError{Peer: target, Outcome: core.NotRun, Cause: errUnreached})
 			}
 		})
-		return ticket{cancel}
+		return canceller{cancel}
 	}
 	runAfter(messageDelay, func() { s.deliver(ctx, n, target.Node, request, sink) })
-	return ticket{cancel}
+	return canceller{cancel}
 }
 
 func (s *simulation) deliver(ctx context.Context, from *node, to core.NodeID, request *peerpb.Envelope, sink peer.Sink) {
--- a/internal/core/member/harness_test.go
+++ b/internal/core/member/harness_test.go
@@ -187,11 +187,11 @@
 		return
 	}
 	w.order++
-	ticket := ReplyID(w.order)
-	w.replies[ticket] = func(reply *Message) {
+	replyID := ReplyID(w.order)
+	w.replies[replyID] = func(reply *Message) {
 		w.transmit(to, from, reply, func(reply *Message) { w.step(from, ReplyReceived{Probe: probe, Message: reply}) })
 	}
-	w.step(to, HeartbeatReceived{ReplyID: ticket, Message: message})
+	w.step(to, HeartbeatReceived{ReplyID: replyID, Message: message})
 }
 
 var sizes = flag.String("sizes", "8,64", "the fleet sizes to measure")
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -41,8 +41,8 @@
 	// separate is set if each part is returned with its own records instead of merged ones.
 	separate bool
 	// replied is set once the helper has replied.
-	replied atomic.Bool
-	ticket  peer.Canceller
+	replied   atomic.Bool
+	canceller peer.Canceller
 
 	mutex sync.Mutex
 	// members are the sends that have not ended, by id.
@@ -189,7 +189,7 @@
 		message.Sends = append(message.Sends, &peerpb.DelegatedSend{Id: uint32(exchange.send.ID), Service: to.Service, Replica: to.ID, Address: to.Address, Born: to.Born})
 	}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_DelegateRequest{DelegateRequest: message}}
-	g.ticket = q.node.peerPool.Send(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	g.canceller = q.node.peerPool.Send(helper, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		q.handleHelperReply(g, reply, failure)
 	})
 	go q.closeGroup(g)
@@ -201,7 +201,7 @@
 	if !q.callerLeft.Load() {
 		time.Sleep(lateReplyTime)
 	}
-	g.ticket.Cancel()
+	g.canceller.Cancel()
 	q.releaseSends(g.removeAll())
 }
 
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -53,14 +53,14 @@
 	return n[target.Node].Send(target, request, sink)
 }
 
-type noTicket struct{}
+type noopCanceller struct{}
 
-func (noTicket) Cancel() {}
+func (noopCanceller) Cancel() {}
 
 // Send implements peer.Sender.
 func (o owners) Send(_ peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	o(request.GetBundleRequest(), sink)
-	return noTicket{}
+	return noopCanceller{}
 }
 
 func part(ask *peerpb.ShardAsk, last bool) *peerpb.Envelope {
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -83,8 +83,8 @@
 // openQuery is a query that is not yet answered.
 type openQuery struct {
 	queryReceived
-	machine *query.Machine
-	tickets map[query.SendID]peer.Canceller
+	machine    *query.Machine
+	cancellers map[query.SendID]peer.Canceller
 }
 
 func newLoop(ctx context.Context, options Options, shared *shared) *loop {
@@ -164,7 +164,7 @@
 			Budget:        customerBudget{group: l.budget, customer: e.query.Customer},
 			Precautions:   precautions,
 		}),
-		tickets: map[query.SendID]peer.Canceller{},
+		cancellers: map[query.SendID]peer.Canceller{},
 	}
 	l.step(e.id, query.Started{})
 }
@@ -221,8 +221,8 @@
 		case query.Send:
 			l.send(q, a)
 		case query.CancelSend:
-			if ticket := q.tickets[a.ID]; ticket != nil {
-				ticket.Cancel()
+			if canceller := q.cancellers[a.ID]; canceller != nil {
+				canceller.Cancel()
 			}
 		case query.WakeAt:
 			l.alarms.Set(id, a.At)
@@ -294,7 +294,7 @@
 	target := peer.Target{Node: node.ID, Address: node.PeerAddress}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_BundleRequest{BundleRequest: message}}
 	replies := &replySink{loop: l, deadline: q.deadline, asking: true}
-	q.tickets[a.ID] = l.options.Peers.Send(target, envelope, l.sink(q, a, replies))
+	q.cancellers[a.ID] = l.options.Peers.Send(target, envelope, l.sink(q, a, replies))
 	l.ownEvents = append(l.ownEvents, replies.endAsk()...)
 }
 
--- a/internal/experiment/slopes_node.go
+++ b/internal/experiment/slopes_node.go
@@ -62,16 +62,16 @@
 // instantPeers answer every request at once; silent ones never do.
 type instantPeers struct{ silent bool }
 
-type noTicket struct{}
+type noopCanceller struct{}
 
-func (noTicket) Cancel() {}
+func (noopCanceller) Cancel() {}
 
 // Send implements peer.Sender.
 func (p instantPeers) Send(_ peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	if !p.silent {
 		answerAll(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
 	}
-	return noTicket{}
+	return noopCanceller{}
 }
 
 func newEntry(text []byte, peers peer.Sender) (*entry.Entry, error) {
--- a/internal/home/handover.go
+++ b/internal/home/handover.go
@@ -104,7 +104,7 @@
 	replies := make(chan int, 1)
 	message := &peerpb.HandoverRequest{Node: string(h.options.Self), Finished: finished}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_HandoverRequest{HandoverRequest: message}}
-	ticket := h.options.Peers.Send(to, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
+	canceller := h.options.Peers.Send(to, envelope, func(reply *peerpb.Envelope, _ *peer.LinkError) {
 		select {
 		case replies <- int(reply.GetHandoverReply().GetTaken()):
 		default:
@@ -114,7 +114,7 @@
 	case accepted := <-replies:
 		return accepted
 	case <-ctx.Done():
-		ticket.Cancel()
+		canceller.Cancel()
 		return 0
 	}
 }
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -40,21 +40,21 @@
 	sink    peer.Sink
 }
 
-type noTicket struct{}
+type noopCanceller struct{}
 
-func (noTicket) Cancel() {}
+func (noopCanceller) Cancel() {}
 
 func (f *fakePeers) Send(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	message := request.GetSubmitRequest()
 	if !message.GetToOwner() {
 		f.home.HandleSubmit(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
-		return noTicket{}
+		return noopCanceller{}
 	}
 	f.mutex.Lock()
 	f.sent++
 	f.mutex.Unlock()
 	f.owner <- ownerRequest{message: message, sink: sink}
-	return noTicket{}
+	return noopCanceller{}
 }
 
 func (f *fakePeers) sentToOwner() int {
--- a/internal/home/loop.go
+++ b/internal/home/loop.go
@@ -53,7 +53,7 @@
 	events     *ring.Ring[event]
 	ledger     *once.Ledger
 	waiters    map[once.WaiterID]waiter
-	tickets    map[once.SendID]peer.Canceller
+	cancellers map[once.SendID]peer.Canceller
 	lastWaiter once.WaiterID
 	wakeAt     core.Time
 	idle       chan<- struct{}
@@ -62,13 +62,13 @@
 
 func newLoop(ctx context.Context, options Options, issuer *once.Issuer) *loop {
 	return &loop{
-		options: options,
-		ctx:     ctx,
-		events:  ring.New[event](ringDepth),
-		ledger:  once.NewLedger(issuer, options.Limits),
-		waiters: map[once.WaiterID]waiter{},
-		tickets: map[once.SendID]peer.Canceller{},
-		gauges:  newLedgerGauges(options.Metrics),
+		options:    options,
+		ctx:        ctx,
+		events:     ring.New[event](ringDepth),
+		ledger:     once.NewLedger(issuer, options.Limits),
+		waiters:    map[once.WaiterID]waiter{},
+		cancellers: map[once.SendID]peer.Canceller{},
+		gauges:     newLedgerGauges(options.Metrics),
 	}
 }
 
@@ -133,7 +133,7 @@
 func (l *loop) step(e once.Event) {
 	switch e := e.(type) {
 	case once.SendEnded:
-		delete(l.tickets, e.Send)
+		delete(l.cancellers, e.Send)
 	case once.Withdrawn:
 		delete(l.waiters, e.Waiter)
 	}
--- a/internal/home/paired_test.go
+++ b/internal/home/paired_test.go
@@ -46,7 +46,7 @@
 func (p *pair) Send(target peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	if !request.GetSubmitRequest().GetToOwner() {
 		p.home.HandleSubmit(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
-		return noTicket{}
+		return noopCanceller{}
 	}
 	p.mutex.Lock()
 	p.requests[target.Node]++
@@ -57,7 +57,7 @@
 	p.mutex.Unlock()
 	if cut && target.Node == "vm-2" {
 		sink(nil, &peer.LinkError{Outcome: core.NotRun, Cause: io.ErrClosedPipe})
-		return noTicket{}
+		return noopCanceller{}
 	}
 	p.owners[target.Node].HandleSubmit(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) {
 		p.mutex.Lock()
@@ -67,7 +67,7 @@
 			sink(reply, nil)
 		}
 	}))
-	return noTicket{}
+	return noopCanceller{}
 }
 
 // split cuts the link and removes vm-2 from the view of vm-1.
--- a/internal/home/send.go
+++ b/internal/home/send.go
@@ -17,9 +17,9 @@
 // cancelSend cancels a send that is past its deadline. If its request still waits for
 // the link to open, it is never written.
 func (l *loop) cancelSend(a once.CancelSend) {
-	if ticket := l.tickets[a.Send]; ticket != nil {
-		ticket.Cancel()
-		delete(l.tickets, a.Send)
+	if canceller := l.cancellers[a.Send]; canceller != nil {
+		canceller.Cancel()
+		delete(l.cancellers, a.Send)
 	}
 }
 
@@ -56,7 +56,7 @@
 		ToOwner:    true,
 	}
 	envelope := &peerpb.Envelope{Body: &peerpb.Envelope_SubmitRequest{SubmitRequest: message}}
-	l.tickets[a.Send] = l.options.Peers.Send(to.owner, envelope, l.sink(a))
+	l.cancellers[a.Send] = l.options.Peers.Send(to.owner, envelope, l.sink(a))
 }
 
 func notSent(a once.Send, err error) once.SendEnded {
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -90,7 +90,7 @@
 		return once.HolderResult{Outcome: core.NotRun}, true
 	}
 	results := make(chan once.HolderResult, 1)
-	ticket := s.home.options.Peers.Send(target(node), s.envelope(), func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	canceller := s.home.options.Peers.Send(target(node), s.envelope(), func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
 		case results <- toHolderResult(reply, failure):
 		default:
@@ -100,7 +100,7 @@
 	case result := <-results:
 		return result, true
 	case <-ctx.Done():
-		ticket.Cancel()
+		canceller.Cancel()
 		return once.HolderResult{}, false
 	}
 }
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -70,7 +70,7 @@
 func (m *Manager) send(a member.Send) {
 	envelope := m.heartbeatEnvelope(a.Message)
 	target := peer.Target{Node: a.To.ID, Address: a.To.PeerAddress}
-	ticket := m.options.Peers.Send(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	canceller := m.options.Peers.Send(target, envelope, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		if failure != nil || reply.GetHeartbeat() == nil {
 			m.events.TryPut(member.ProbeFailed{Probe: a.Probe})
 			return
@@ -79,7 +79,7 @@
 		m.notifyReceived(message, reply.GetHeartbeat().GetQuarantine())
 		m.events.TryPut(member.ReplyReceived{Probe: a.Probe, Message: message})
 	})
-	m.pending[a.Probe] = pendingProbe{ticket: ticket, at: m.options.Now()}
+	m.pending[a.Probe] = pendingProbe{canceller: canceller, at: m.options.Now()}
 }
 
 func (m *Manager) reply(a member.Reply) {
@@ -95,7 +95,7 @@
 	now := m.options.Now()
 	for probe, pending := range m.pending {
 		if now-pending.at > heartbeatTimeout {
-			pending.ticket.Cancel()
+			pending.canceller.Cancel()
 			delete(m.pending, probe)
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -78,8 +78,8 @@
 
 // pendingProbe is a heartbeat in flight.
 type pendingProbe struct {
-	ticket peer.Canceller
-	at     core.Time
+	canceller peer.Canceller
+	at        core.Time
 }
 
 // Start starts a Manager; Close stops it.
@@ -153,8 +153,8 @@
 			m.markLeaving()
 			m.cancelExpired()
 			m.clearExpiredPause()
-			// After the step: a pause must be set before the sign of life
-			// is renewed.
+			// After the step, which sets a pause: once RecordTick has renewed the
+			// last tick, the store no longer detects the pause by itself.
 			m.options.Belief.RecordTick(m.options.Now)
 		}
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -34,13 +34,13 @@
 	silent   atomic.Bool
 }
 
-type noopTicket struct{}
+type noopCanceller struct{}
 
-func (noopTicket) Cancel() {}
+func (noopCanceller) Cancel() {}
 
 func (p *fakePeers) Send(target peer.Target, _ *peerpb.Envelope, sink peer.Sink) peer.Canceller {
 	if p.silent.Load() {
-		return noopTicket{}
+		return noopCanceller{}
 	}
 	message := &member.Message{
 		From:        route.Node{ID: target.Node, PeerAddress: target.Address},
@@ -49,7 +49,7 @@
 		View:        p.store.View().ID(),
 	}
 	sink(&peerpb.Envelope{Last: true, Body: &peerpb.Envelope_Heartbeat{Heartbeat: Encode(message)}}, nil)
-	return noopTicket{}
+	return noopCanceller{}
 }
 
 // clock follows real time plus an offset, which models the jump that a paused
--- a/internal/mirror/peers.go
+++ b/internal/mirror/peers.go
@@ -35,7 +35,7 @@
 		failure *peer.LinkError
 	}
 	results := make(chan result, 1)
-	ticket := c.Sender.Send(from, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
+	canceller := c.Sender.Send(from, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
 		select {
 		case results <- result{reply, failure}:
 		default:
@@ -51,7 +51,7 @@
 		}
 		return decode(got.reply.GetMirrorReply())
 	case <-ctx.Done():
-		ticket.Cancel()
+		canceller.Cancel()
 		return Delta{}, 0, ctx.Err()
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -109,9 +109,9 @@
 	return targets
 }
 
-type noTicket struct{}
+type noopCanceller struct{}
 
-func (noTicket) Cancel() {}
+func (noopCanceller) Cancel() {}
 
 // Send implements peer.Sender. A lost message gets no reply.
 func (l *links) Send(to peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Canceller {
@@ -120,7 +120,7 @@
 	if l.cluster.delivers(l.at, number) {
 		go l.cluster.ledgers[number].Handle(peer.NewInbound(l.cluster.ledgers[number].ctx, peer.Identity{Node: target(l.at).Node}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
 	}
-	return noTicket{}
+	return noopCanceller{}
 }
 
 var crashing = quarantine.Identity{Method: "GET", Host: "search.example", Path: "/all/deadly"}
