--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -21,11 +21,11 @@
 
 // Budget limits the attempts beyond the first one of each request. It is implemented by budget.Group.
 type Budget interface {
-	// RecordFirst records n first attempts to a service for a customer.
-	RecordFirst(service string, customer core.Customer, n int)
-	// TryTakeExtra takes a token for one extra attempt of the customer at the service. It returns false if
+	// AddFirst records n first attempts to a service for a customer.
+	AddFirst(service string, customer core.Customer, n int)
+	// TakeExtra takes a token for one extra attempt of the customer at the service. It returns false if
 	// none is left.
-	TryTakeExtra(service string, customer core.Customer) bool
+	TakeExtra(service string, customer core.Customer) bool
 }
 
 // Config holds a shard's part of the configuration and the state that it shares with other shards of
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -212,10 +212,10 @@
 	group := budget.NewGroup(budget.GroupConfig{})
 	shard := NewShard(Config{Service: "s", Slots: 2, Share: 8, MaxQueue: 8, Budget: group, Replicas: []ReplicaConfig{{Address: "a"}, {Address: "b"}}})
 	shard.Step(0, newOffer(1, 0))
-	for group.TryTakeExtra("s", "chef") {
+	for group.TakeExtra("s", "chef") {
 	}
 	at := onlyAction[WakeAt](t, shard.Step(500*time.Millisecond, Woken{})).At
 	require.Less(t, at, 550*time.Millisecond)
-	group.RecordFirst("s", "chef", 10)
+	group.AddFirst("s", "chef", 10)
 	require.Equal(t, KindHedge, onlyAction[Dispatch](t, shard.Step(at, Woken{})).Kind)
 }
--- a/internal/core/admit/dispatch.go
+++ b/internal/core/admit/dispatch.go
@@ -77,7 +77,7 @@
 	a.inFlightAtSend = chosen.inFlight
 	chosen.recordSent(chosen.inFlight)
 	if kind == KindFirst && s.config.Budget != nil {
-		s.config.Budget.RecordFirst(s.config.Service, r.Customer, 1)
+		s.config.Budget.AddFirst(s.config.Service, r.Customer, 1)
 	}
 	switch {
 	case kind == KindHedge:
--- a/internal/core/admit/try.go
+++ b/internal/core/admit/try.go
@@ -141,5 +141,5 @@
 
 // takeExtraAttempt takes a token for an extra attempt from the budget.
 func (s *Shard) takeExtraAttempt(r *request) bool {
-	return s.config.Budget != nil && s.config.Budget.TryTakeExtra(s.config.Service, r.Customer)
+	return s.config.Budget != nil && s.config.Budget.TakeExtra(s.config.Service, r.Customer)
 }
--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -53,16 +53,16 @@
 	return &Budget{tokensPerFirstTry: int64(math.Round(config.Ratio * tokenUnits)), capacity: capacity, tokens: capacity}
 }
 
-// RecordFirst records n first attempts.
-func (b *Budget) RecordFirst(n int) {
+// AddFirst records n first attempts.
+func (b *Budget) AddFirst(n int) {
 	b.tokens = min(b.capacity, b.tokens+int64(n)*b.tokensPerFirstTry)
 }
 
 // CanTakeExtra reports whether a token is available, without taking it.
 func (b *Budget) CanTakeExtra() bool { return b.tokens >= tokenUnits }
 
-// TryTakeExtra takes a token for a retry or a hedge. If it returns false, the attempt must not be sent.
-func (b *Budget) TryTakeExtra() bool {
+// TakeExtra takes a token for a retry or a hedge. If it returns false, the attempt must not be sent.
+func (b *Budget) TakeExtra() bool {
 	if !b.CanTakeExtra() {
 		return false
 	}
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -19,8 +19,8 @@
 		first, extra := 0, 0
 		for _, n := range rapid.SliceOf(rapid.IntRange(0, 40)).Draw(t, "first attempts, 0 is an extra attempt") {
 			first += n
-			b.RecordFirst(n)
-			if n == 0 && b.TryTakeExtra() {
+			b.AddFirst(n)
+			if n == 0 && b.TakeExtra() {
 				extra++
 			}
 		}
@@ -36,7 +36,7 @@
 	extra := 0
 	for i := range 1000 {
 		name := core.Customer(string(rune('a' + i)))
-		for g.TryTakeExtra("prices", name) {
+		for g.TakeExtra("prices", name) {
 			extra++
 		}
 	}
@@ -48,17 +48,17 @@
 // customer a new floor. Evicting a full bucket has no effect.
 func TestOnlyFullBucketsAreEvicted(t *testing.T) {
 	g := NewGroup(GroupConfig{Customer: Config{Floor: 1}, MaxKeys: 2})
-	require.True(t, g.TryTakeExtra("s", "empty"))
-	g.RecordFirst("s", "quiet", 1)
-	require.True(t, g.TryTakeExtra("s", "new"), "the full bucket of quiet is evicted")
-	require.False(t, g.TryTakeExtra("s", "empty"), "an empty bucket must not be evicted")
+	require.True(t, g.TakeExtra("s", "empty"))
+	g.AddFirst("s", "quiet", 1)
+	require.True(t, g.TakeExtra("s", "new"), "the full bucket of quiet is evicted")
+	require.False(t, g.TakeExtra("s", "empty"), "an empty bucket must not be evicted")
 }
 
 // Guards against a customer without tokens consuming those of the service, which would leave none for
 // the retries of other customers.
 func TestExtraAttemptTakesBothTokensOrNeither(t *testing.T) {
 	g := NewGroup(GroupConfig{Service: Config{Floor: 2}, Customer: Config{Floor: 1}})
-	require.True(t, g.TryTakeExtra("s", "large"))
-	require.False(t, g.TryTakeExtra("s", "large"), "the budget of the customer is exhausted")
-	require.True(t, g.TryTakeExtra("s", "small"), "a refused attempt must not take a token of the service")
+	require.True(t, g.TakeExtra("s", "large"))
+	require.False(t, g.TakeExtra("s", "large"), "the budget of the customer is exhausted")
+	require.True(t, g.TakeExtra("s", "small"), "a refused attempt must not take a token of the service")
 }
--- a/internal/core/budget/group.go
+++ b/internal/core/budget/group.go
@@ -40,19 +40,19 @@
 	}
 }
 
-// RecordFirst records n first attempts to a service for a customer.
-func (g *Group) RecordFirst(service string, customer core.Customer, n int) {
-	g.services.get(service).RecordFirst(n)
-	g.customers.get(customer).RecordFirst(n)
+// AddFirst records n first attempts to a service for a customer.
+func (g *Group) AddFirst(service string, customer core.Customer, n int) {
+	g.services.get(service).AddFirst(n)
+	g.customers.get(customer).AddFirst(n)
 }
 
-// TryTakeExtra takes a token of the service and one of the customer, or neither.
-func (g *Group) TryTakeExtra(service string, customer core.Customer) bool {
+// TakeExtra takes a token of the service and one of the customer, or neither.
+func (g *Group) TakeExtra(service string, customer core.Customer) bool {
 	serviceBudget, customerBudget := g.services.get(service), g.customers.get(customer)
 	if !serviceBudget.CanTakeExtra() || !customerBudget.CanTakeExtra() {
 		return false
 	}
-	return serviceBudget.TryTakeExtra() && customerBudget.TryTakeExtra()
+	return serviceBudget.TakeExtra() && customerBudget.TakeExtra()
 }
 
 // Size returns the number of buckets.
--- a/internal/core/query/ask.go
+++ b/internal/core/query/ask.go
@@ -116,7 +116,7 @@
 		}
 		need.retryAt = 0
 		if !need.asked && m.options.Budget != nil {
-			m.options.Budget.RecordFirst(m.serviceOf(index).Name, 1)
+			m.options.Budget.AddFirst(m.serviceOf(index).Name, 1)
 		}
 		need.asked = true
 	}
--- a/internal/core/query/machine_test.go
+++ b/internal/core/query/machine_test.go
@@ -359,7 +359,7 @@
 
 func exhaustedBudget() *budget.Budget {
 	b := budget.New(budget.Config{Floor: 1, Ratio: 0.001})
-	b.TryTakeExtra()
+	b.TakeExtra()
 	return b
 }
 
--- a/internal/core/query/plan.go
+++ b/internal/core/query/plan.go
@@ -102,11 +102,11 @@
 
 // Budget limits the attempts beyond the first ones.
 type Budget interface {
-	// RecordFirst records n first attempts to a service.
-	RecordFirst(service string, n int)
-	// TryTakeExtra takes a token for one further attempt of one shard of a service, and reports whether
+	// AddFirst records n first attempts to a service.
+	AddFirst(service string, n int)
+	// TakeExtra takes a token for one further attempt of one shard of a service, and reports whether
 	// there was one.
-	TryTakeExtra(service string) bool
+	TakeExtra(service string) bool
 }
 
 // Options are the parameters of one query.
--- a/internal/core/query/property_test.go
+++ b/internal/core/query/property_test.go
@@ -44,13 +44,13 @@
 	extra  int
 }
 
-func (b *countingBudget) RecordFirst(_ string, n int) {
+func (b *countingBudget) AddFirst(_ string, n int) {
 	b.first += n
-	b.bucket.RecordFirst(n)
+	b.bucket.AddFirst(n)
 }
 
-func (b *countingBudget) TryTakeExtra(string) bool {
-	granted := b.bucket.TryTakeExtra()
+func (b *countingBudget) TakeExtra(string) bool {
+	granted := b.bucket.TakeExtra()
 	if granted {
 		b.extra++
 	}
--- a/internal/core/query/retry.go
+++ b/internal/core/query/retry.go
@@ -90,7 +90,7 @@
 
 func (m *Machine) takeExtra(index int) bool {
 	budget := m.options.Budget
-	return budget == nil || budget.TryTakeExtra(m.serviceOf(index).Name)
+	return budget == nil || budget.TakeExtra(m.serviceOf(index).Name)
 }
 
 func (m *Machine) serviceOf(index int) *ServicePlan {
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -175,15 +175,11 @@
 	customer core.Customer
 }
 
-// RecordFirst implements query.Budget.
-func (b customerBudget) RecordFirst(service string, n int) {
-	b.group.RecordFirst(service, b.customer, n)
-}
+// AddFirst implements query.Budget.
+func (b customerBudget) AddFirst(service string, n int) { b.group.AddFirst(service, b.customer, n) }
 
-// TryTakeExtra implements query.Budget.
-func (b customerBudget) TryTakeExtra(service string) bool {
-	return b.group.TryTakeExtra(service, b.customer)
-}
+// TakeExtra implements query.Budget.
+func (b customerBudget) TakeExtra(service string) bool { return b.group.TakeExtra(service, b.customer) }
 
 // plan returns the plan of a service. With a new configuration it also removes the state
 // of shards and services that the configuration no longer lists.
--- a/internal/sharedbudget/sharedbudget.go
+++ b/internal/sharedbudget/sharedbudget.go
@@ -20,16 +20,16 @@
 // New creates an empty Group.
 func New(config budget.GroupConfig) *Group { return &Group{group: budget.NewGroup(config)} }
 
-// RecordFirst records n first attempts to a service for a customer.
-func (g *Group) RecordFirst(service string, customer core.Customer, n int) {
+// AddFirst records n first attempts to a service for a customer.
+func (g *Group) AddFirst(service string, customer core.Customer, n int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.group.RecordFirst(service, customer, n)
+	g.group.AddFirst(service, customer, n)
 }
 
-// TryTakeExtra takes a token of the service and one of the customer, or neither.
-func (g *Group) TryTakeExtra(service string, customer core.Customer) bool {
+// TakeExtra takes a token of the service and one of the customer, or neither.
+func (g *Group) TakeExtra(service string, customer core.Customer) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.group.TryTakeExtra(service, customer)
+	return g.group.TakeExtra(service, customer)
 }
--- a/internal/sharedbudget/sharedbudget_test.go
+++ b/internal/sharedbudget/sharedbudget_test.go
@@ -22,8 +22,8 @@
 	var extra atomic.Int64
 	inParallel(func(int) {
 		for range firstAttempts {
-			group.RecordFirst("prices", "chef", 1)
-			if group.TryTakeExtra("prices", "chef") {
+			group.AddFirst("prices", "chef", 1)
+			if group.TakeExtra("prices", "chef") {
 				extra.Add(1)
 			}
 		}
@@ -58,14 +58,14 @@
 	b.Run("alone", func(b *testing.B) {
 		group := budget.NewGroup(budget.GroupConfig{})
 		for i := range b.N {
-			group.RecordFirst(names[i%services], callers[i%customers], 1)
+			group.AddFirst(names[i%services], callers[i%customers], 1)
 		}
 	})
 	b.Run("four", func(b *testing.B) {
 		group := New(budget.GroupConfig{})
 		inParallel(func(number int) {
 			for i := number; i < b.N; i += goroutines {
-				group.RecordFirst(names[i%services], callers[i%customers], 1)
+				group.AddFirst(names[i%services], callers[i%customers], 1)
 			}
 		})
 	})
