--- a/internal/edge/answer.go
+++ b/internal/edge/answer.go
@@ -128,7 +128,7 @@
 	http.Error(w, http.StatusText(status), status)
 }
 
-// notRunStatuses are the statuses that tell a caller that its request has not run.
+// notRunStatuses are the statuses which state that a request has not run.
 var notRunStatuses = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
--- a/internal/edge/beliefs.go
+++ b/internal/edge/beliefs.go
@@ -71,8 +71,8 @@
 	return c.chooser.ExtraScarce(service, now)
 }
 
-// recordAnswer and recordLateAnswer record the latency of an answer that was awaited, and of one that was
-// not.
+// recordAnswer and recordLateAnswer record the latency of an answer that was awaited, and of an
+// answer that was not.
 func (s *sharedState) recordAnswer(route *policy.Route, incarnation replica.Incarnation, latency time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/edge/copies.go
+++ b/internal/edge/copies.go
@@ -42,8 +42,8 @@
 //
 // The further node guards against this failure: the store refuses a third of the nodes, among them most
 // readers and the heads of a data centre. Followers that the store still serves read it themselves, but the
-// others have no source with newer data and keep an outdated configuration. The further node is asked only if
-// all other sources are stale, and most nodes of the data centre have what the store returns.
+// others have no source with newer data and keep an outdated configuration. The further node is read only if
+// all other sources are stale, and most nodes of the data centre have the store's data.
 func sources(view *route.View, self route.Node, readers int, rotation uint64) ([]peer.Target, mirror.Role) {
 	all := view.Order(readerOrderKey, "")
 	readerNodes := all[:min(readers, len(all))]
--- a/internal/edge/delegate.go
+++ b/internal/edge/delegate.go
@@ -161,8 +161,8 @@
 	return direct
 }
 
-// groupKey tells apart the groups of a request: by data centre, and by whether the parts are returned merged
-// or separately.
+// groupKey identifies a group of a request: by data centre, and by whether the parts are returned merged or
+// separately.
 type groupKey struct {
 	dataCentre string
 	separate   bool
--- a/internal/edge/delegated_test.go
+++ b/internal/edge/delegated_test.go
@@ -43,8 +43,8 @@
 }
 
 // Guards against an answer that names parts and lacks their records. During a rolling upgrade, a helper of
-// the former version is asked for separate parts and returns merged ones, which look like parts without
-// records.
+// the previous version receives a request for separate parts and returns merged ones, which look like parts
+// without records.
 func TestPartsThatCameMergedAreNotTakenForEmptyOnes(t *testing.T) {
 	part := &peerpb.DelegatedPart{Id: 7, Status: 200, Stamp: "3e1b.07"}
 	g := &group{separate: true, members: map[uint32]*exchange{7: {}}}
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -82,7 +82,7 @@
 	require.Zero(t, notes.Runs("lookup"))
 }
 
-// Neither a node that starts during an evacuation nor one that the store refuses may keep sending: the first
+// Neither a node that starts during an evacuation nor a node that the store refuses may keep sending: the first
 // reads the evacuation with the rest of the store, the second gets it from other nodes. This also holds after
 // the store has dropped its history.
 func TestAnEvacuationReachesNodesThatTheStoreTurnsAway(t *testing.T) {
--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -172,7 +172,7 @@
 	return func(r *platformtest.Route) { r.Gather, r.TopK, r.MinCoverage = shards, topK, minCoverage }
 }
 
-// configure publishes a configuration with a plain route, one that must not be repeated, and one over three
+// configure publishes a configuration with a plain route, a non-idempotent route, and a route over three
 // shards.
 func (h *harness) configure(version uint64, more ...platformtest.Route) {
 	h.store.Publish(h.config(version, more...))
--- a/internal/edge/merge.go
+++ b/internal/edge/merge.go
@@ -34,7 +34,7 @@
 	return true
 }
 
-// merge merges the received parts. The records of a batch cannot be told apart, so a batch counts as a whole,
+// merge merges the received parts. The records of a batch cannot be assigned to parts, so a batch counts as a whole,
 // and a single part of the same shard, from a hedge, is ignored. The batches of a helper whose excerpts prove
 // insufficient are left out.
 //
--- a/internal/edge/merge_test.go
+++ b/internal/edge/merge_test.go
@@ -46,7 +46,7 @@
 }
 
 // One shard, in the other data centre, holds all of the greatest records, so the excerpt of the helper there
-// is too short. The answer must not name the part as included, and the next requests must ask for it in full.
+// is too short. The answer must not name the part as included, and the next requests must request it in full.
 func TestAMergeLeavesOutAnExcerptThatIsTooShort(t *testing.T) {
 	n := newNode(&settings.Edge{DataCentre: "east"}, io.Discard)
 	route := &policy.Route{Name: "deep", Gather: &policy.Gather{Shards: []string{"s1", "s2", "s3"}, TopK: 50, MinCoverage: 0.6}}
--- a/internal/edge/published_test.go
+++ b/internal/edge/published_test.go
@@ -147,8 +147,8 @@
 	require.Equal(t, "again", body)
 }
 
-// Another program overwrites the entry of a live replica with one that names none. Requests of its service no
-// longer go there, all others continue, and the dump shows the entry until it is valid again.
+// Another program overwrites the entry of a live replica with an entry that names none. Requests of its service
+// no longer go there, all others continue, and the dump shows the entry until it is valid again.
 func TestAnOverwrittenEntryNamesNoReplica(t *testing.T) {
 	h := newHarness(t)
 	replica := h.replica("notes", "east", "a note")
--- a/internal/edge/restored_test.go
+++ b/internal/edge/restored_test.go
@@ -175,8 +175,8 @@
 
 // Within the seconds that a store loses, one replica is added, one starts to drain, and one leaves for good.
 // The restored store lists none of this. The new replica keeps serving, and is removed if it does not report
-// again; the draining one gets nothing although it is listed as ready, nor does the one that left although it
-// is listed again.
+// again; the draining replica gets no requests although it is listed as ready, nor does the replica that left
+// although it is listed again.
 func TestReplicasOfTheLostSecondsAreNeitherDroppedNorTakenBack(t *testing.T) {
 	h := newHarness(t)
 	draining, left := h.replica("notes", "east", "a note"), h.replica("notes", "east", "a note")
@@ -317,7 +317,7 @@
 	}
 }
 
-// The store returns no era for a while, or one that is no number. This is logged, no change is undone, and
+// The store returns no era for a while, or an era that is not a number. This is logged, no change is undone, and
 // items with higher revisions are applied as before.
 func TestAStoreWhoseEraCannotBeReadIsServedAsBefore(t *testing.T) {
 	h := newHarness(t)
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -24,7 +24,7 @@
 // stop performs a planned stop. The node leaves the address lists and reports that it is not ready at once,
 // but keeps serving callers with cached addresses; each answer asks them to close the connection. It then
 // accepts no new connections, finishes the requests in flight and stops. Requests still in flight near the
-// end of the stop time are answered as at their time limit: a caller whose connection is cut could not tell
+// end of the stop time are answered as at their time limit: a caller whose connection is cut would not know
 // whether its request was read.
 func (n *Node) stop(ctx context.Context) error {
 	s := n.settings.Load()
--- a/internal/edge/stop_test.go
+++ b/internal/edge/stop_test.go
@@ -58,7 +58,7 @@
 }
 
 // A node is stopped while a request waits for a replica that hangs for longer than the stop takes. If its
-// connection were cut, the caller could not tell whether the node or the network failed, nor whether the
+// connection were cut, the caller would not know whether the node or the network failed, nor whether the
 // request was ever read.
 func TestARequestThatOutlastsAStopGetsItsFinalAnswer(t *testing.T) {
 	h := newHarness(t)
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -174,7 +174,7 @@
 		f.followHint(ctx)
 		sources, role := f.peers.Sources(f.config.Readers)
 		// A process that has just started reads the store itself: after the loss of all nodes its peers
-		// have no copy either, and every request is refused while they are asked in turn.
+		// have no copy either, and every request is refused while they are read in turn.
 		if len(sources) == 0 || f.copy.UpTo() == 0 {
 			role = Reader
 		}
--- a/internal/mirror/follow_test.go
+++ b/internal/mirror/follow_test.go
@@ -189,7 +189,7 @@
 	copied *Copy
 	mutex  sync.Mutex
 	age    time.Duration
-	// copyOf, when set, is the follower under test: the peer then has only what that one has read.
+	// copyOf, when set, is the follower under test: the peer then has only the data that the follower has read.
 	copyOf *Follower
 }
 
--- a/internal/mirror/fromstore.go
+++ b/internal/mirror/fromstore.go
@@ -71,8 +71,8 @@
 
 // applyFirst applies the first reading. It may be seconds old, so that the copy does not count as
 // confirmed: other nodes do not follow it, and it may lack a new route. It is still better than none:
-// without a configuration a node refuses every request, while one that is seconds old serves all but the
-// newest routes. When 295 processes start at once, stale reads cost the store a tenth of fresh ones.
+// without a configuration a node refuses every request, while a configuration that is seconds old
+// serves all but the newest routes. When 295 processes start at once, stale reads cost the store a tenth of fresh ones.
 func (f *Follower) applyFirst(delta Delta) {
 	f.peersOnlyUntil = f.now() + f.config.PeersOnlyPeriod
 	if applied := f.copy.Apply(delta); len(applied.Changed) > 0 {
--- a/internal/mirror/pack_test.go
+++ b/internal/mirror/pack_test.go
@@ -42,13 +42,13 @@
 	require.Error(t, err)
 }
 
-// request asks for the changes after a revision of an era; a nil era stands for a program that knows none.
+// request requests the changes after a revision of an era; a nil era stands for a program without support for eras.
 func request(after uint64, era *uint64) *peerpb.MirrorRequest {
 	return &peerpb.MirrorRequest{After: after, Era: era}
 }
 
 // A restored store sends each node a whole copy once. For the number of replicas that the tier must support, its size must
-// stay a small part of what the links carry within the time in which changes are in force. The log prints it.
+// stay a small part of the links' capacity over the time in which changes take effect. The log prints it.
 func TestAWholeCopyAtTheSupportedSizeIsSmall(t *testing.T) {
 	const replicas, most = 6000, 512 << 10
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -102,13 +102,13 @@
 	}
 }
 
-// comparison holds when another node was last asked for its records, and how many exchanges in a row changed nothing.
+// comparison holds when the records of another node were last requested, and how many exchanges in a row changed nothing.
 type comparison struct {
 	at        core.Time
 	unchanged int
 }
 
-// comparisonRequest returns the message that asks a node for its records, or nil if the interval has not passed. If more
+// comparisonRequest returns the message that requests a node's records, or nil if the interval has not passed. If more
 // requests are set aside than a message holds, two nodes may never agree, so the interval grows while the exchanges change
 // nothing.
 func (r *ReplicatedLedger) comparisonRequest(node core.NodeID) *peerpb.QuarantineNews {
