--- a/internal/edge/merge_test.go
+++ b/internal/edge/merge_test.go
@@ -28,10 +28,10 @@
 
 // endedSend returns an exchange with a whole answer.
 func endedSend(id, service int, body []byte) *exchange {
-	one := &exchange{handled: true, verdict: scatter.Succeeded, response: &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}}
-	one.send.ID, one.send.Service = id, service
-	platform.SetStamp(one.response.Header, fmt.Sprint("stamp-", service))
-	return one
+	exchange := &exchange{handled: true, verdict: scatter.Succeeded, response: &replicaconn.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}}
+	exchange.send.ID, exchange.send.Service = id, service
+	platform.SetStamp(exchange.response.Header, fmt.Sprint("stamp-", service))
+	return exchange
 }
 
 // gatherRequest returns a request of three shards, the second of which was delegated and returned as an
@@ -46,7 +46,7 @@
 }
 
 // One shard, in the other data centre, holds all of the greatest records, so the excerpt of the helper there
-// is too short. The answer must not name the part as included, and the next requests must ask for it in full.
+// is too short. The answer must not name the part as included, and the next requests must request it in full.
 func TestAMergeLeavesOutAnExcerptThatIsTooShort(t *testing.T) {
 	n := newNode(&settings.Edge{DataCentre: "east"}, io.Discard)
 	route := &policy.Route{Name: "deep", Gather: &policy.Gather{Shards: []string{"s1", "s2", "s3"}, TopK: 50, MinCoverage: 0.6}}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -148,7 +148,7 @@
 	}
 	n.updateExtraBound()
 	store := platform.NewStore(s.StoreAddress, storeDialTimeout)
-	n.follower = mirror.NewFollower(mirror.DefaultConfig(), n.storeCopy, store, copySources{node: n, rotation: &atomic.Uint64{}, PeerClient: mirror.PeerClient{Asker: n.peerPool}}, n.registry, n.now)
+	n.follower = mirror.NewFollower(mirror.DefaultConfig(), n.storeCopy, store, copySources{node: n, rotation: &atomic.Uint64{}, PeerClient: mirror.PeerClient{Sender: n.peerPool}}, n.registry, n.now)
 	n.mirror = mirror.NewServer(n.storeCopy, n.follower.Age)
 	n.registerGauges()
 	if n.callers, err = listenCallers(s.CallerAddress, n); err != nil {
@@ -346,9 +346,9 @@
 	n.entries.Store(&chosen)
 	addresses := make([]string, 0, len(chosen))
 	senders := make([]core.NodeID, 0, len(chosen))
-	for _, one := range chosen {
-		addresses = append(addresses, one.CallerAddress)
-		senders = append(senders, one.ID)
+	for _, node := range chosen {
+		addresses = append(addresses, node.CallerAddress)
+		senders = append(senders, node.ID)
 	}
 	n.state.withReplicas(func(table *replica.Table, _ core.Time) { table.SetSenders(n.identity.Node, senders) })
 	n.log.Life("entries_changed", decisionlog.Fields{"entries": addresses, "live": len(n.view().Nodes())})
@@ -386,7 +386,7 @@
 	}
 	var replicas []replica.Replica
 	n.state.withReplicas(func(table *replica.Table, _ core.Time) {
-		table.Each(func(one replica.Replica) { replicas = append(replicas, one) })
+		table.Each(func(r replica.Replica) { replicas = append(replicas, r) })
 		fields["sends_running"] = table.InFlight()
 		fields["evacuated"] = table.Evacuated()
 	})
--- a/internal/mirror/follow_test.go
+++ b/internal/mirror/follow_test.go
@@ -189,7 +189,7 @@
 	copied *Copy
 	mutex  sync.Mutex
 	age    time.Duration
-	// copyOf, when set, is the follower under test: the peer then has only what that one has read.
+	// copyOf, when set, is the follower under test: the peer then has only the data that the follower has read.
 	copyOf *Follower
 }
 
@@ -267,10 +267,10 @@
 	l.recoveries++
 }
 
-func (l *recordingListener) ReadingRejected(one RejectedReading) {
+func (l *recordingListener) ReadingRejected(reading RejectedReading) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.rejected = append(l.rejected, one)
+	l.rejected = append(l.rejected, reading)
 }
 
 func (l *recordingListener) EraChanged(change EraChange) {
