--- a/internal/core/extra/part_test.go
+++ b/internal/core/extra/part_test.go
@@ -81,7 +81,7 @@
 		allowance := node.part.Update(testAllowance, Fleet{Entries: nodes, IsEntry: true, Nodes: nodes}, testWindow, age)
 		node.budget.SetBound(Bound{Window: testWindow, Ratio: testRatio * RatioUsed, Allowance: allowance})
 		if f.random.IntN(4) == 0 {
-			node.budget.Request("s", age)
+			node.budget.RecordRequest("s", age)
 			f.requests = append(f.requests, f.now)
 		}
 		for !f.idle && node.budget.Take("s", age) {
@@ -105,7 +105,7 @@
 	}
 	for _, end := range f.extras {
 		// A node counts requests over one span more than the window.
-		requests := countWithin(f.requests, end) + countWithin(f.requests, end-testWindow) - countWithin(f.requests, end-testWindow-testWindow/spans)
+		requests := countWithin(f.requests, end) + countWithin(f.requests, end-testWindow) - countWithin(f.requests, end-testWindow-testWindow/spansPerWindow)
 		require.LessOrEqual(t, float64(countWithin(f.extras, end)), testRatio*float64(requests)+testAllowance, "at %v", end)
 	}
 }
--- a/internal/edge/delegated.go
+++ b/internal/edge/delegated.go
@@ -54,7 +54,7 @@
 	for _, send := range message.GetSends() {
 		n.startDelegated(ctx, q, send)
 	}
-	replies := &replies{inbound: inbound, pauseAge: n.beliefs.pauseAge, apart: message.GetApart(), sender: topk.NewSender(int(message.GetTopK()), int(message.GetParts()))}
+	replies := &replies{inbound: inbound, pauseAge: n.beliefs.pauseAge, apart: message.GetApart(), sender: topk.NewExcerptBuilder(int(message.GetTopK()), int(message.GetParts()))}
 	replies.run(ctx, q, time.Duration(message.GetFlushUs())*time.Microsecond, len(message.GetSends()))
 }
 
@@ -93,21 +93,21 @@
 		DataCentre: n.settings.Load().DataCentre,
 	}
 	var unwanted bool
-	n.beliefs.note(func(book *replica.Book, _ core.Time) { unwanted = book.Unwanted(one.send.Replica) })
+	n.beliefs.note(func(book *replica.Table, _ core.Time) { unwanted = book.KnownUnusable(one.send.Replica) })
 	if unwanted {
 		one.verdict, one.err = scatter.Unreached, delegatedError("the replica is leaving, evacuated or has started again")
 		cancel(nil)
 		q.ended <- []*exchange{one}
 		return
 	}
-	n.beliefs.note(func(book *replica.Book, now core.Time) { book.Sent(one.send.Replica.Life(), now) })
+	n.beliefs.note(func(book *replica.Table, now core.Time) { book.Sent(one.send.Replica.Incarnation(), now) })
 	go q.direct(one)
 }
 
 // replies sends what has ended back to the entry.
 type replies struct {
 	inbound *peer.Inbound
-	sender  *topk.Sender
+	sender  *topk.ExcerptBuilder
 	// pauseAge tells how long ago a pause of a replica ended.
 	pauseAge func(life replica.Incarnation) (time.Duration, bool)
 	// apart is set when each part is to have its own records.
@@ -154,10 +154,10 @@
 	for _, one := range r.pending {
 		part := &peerpb.DelegatedPart{Id: uint32(one.send.ID), Verdict: uint32(one.verdict), TookUs: uint64(one.took.Microseconds()), PauseEndedMs: r.pauseEnded(one), Broken: one.broken}
 		switch {
-		case one.verdict == scatter.Whole:
+		case one.verdict == scatter.Succeeded:
 			part.Status, part.Stamp = uint32(one.response.Status), platform.Stamp(one.response.Header)
 			if r.apart {
-				part.Records = r.sender.Greatest(one.response.Body)
+				part.Records = r.sender.Top(one.response.Body)
 			} else {
 				parts = append(parts, one.response.Body)
 			}
@@ -168,8 +168,8 @@
 		}
 		reply.Parts = append(reply.Parts, part)
 	}
-	excerpt := r.sender.Excerpt(parts)
-	reply.Records, reply.Cut = excerpt.Records, excerpt.Cut
+	excerpt := r.sender.Build(parts)
+	reply.Records, reply.Cut = excerpt.Records, excerpt.Truncated
 	r.pending = nil
 	r.told = true
 	r.inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_DelegateReply{DelegateReply: reply}}, last)
@@ -178,7 +178,7 @@
 // pauseEnded is what is told of the pauses of a replica. Nodes next to it see them more often than
 // each of those that send through them.
 func (r *replies) pauseEnded(one *exchange) uint32 {
-	age, known := r.pauseAge(one.send.Replica.Life())
+	age, known := r.pauseAge(one.send.Replica.Incarnation())
 	if !known || age > maxPauseAge {
 		return 0
 	}
--- a/internal/edge/delegated_test.go
+++ b/internal/edge/delegated_test.go
@@ -23,7 +23,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		(&replies{inbound: inbound, sender: topk.NewSender(1, 0), pauseAge: func(replica.Incarnation) (time.Duration, bool) { return 0, false }}).run(t.Context(), helper, time.Millisecond, 1)
+		(&replies{inbound: inbound, sender: topk.NewExcerptBuilder(1, 0), pauseAge: func(replica.Incarnation) (time.Duration, bool) { return 0, false }}).run(t.Context(), helper, time.Millisecond, 1)
 	}()
 	first := <-sent
 	require.NotNil(t, first.GetDelegateReply())
@@ -53,6 +53,6 @@
 	part.Records = make([]byte, topk.RecordBytes)
 	g.members[7] = &exchange{}
 	ends = g.take(&peerpb.DelegateReply{Apart: true, Parts: []*peerpb.DelegatedPart{part}})
-	require.Equal(t, scatter.Whole, ends[0].verdict)
+	require.Equal(t, scatter.Succeeded, ends[0].verdict)
 	require.Len(t, ends[0].response.Body, topk.RecordBytes)
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -153,7 +153,7 @@
 
 // verdictNames are the outcomes of sends.
 var verdictNames = map[scatter.Verdict]string{
-	scatter.Whole: outcomeWhole, scatter.Failed: outcomeFailed, scatter.Refused: outcomeRefused, scatter.Unreached: "unreached",
+	scatter.Succeeded: outcomeWhole, scatter.Failed: outcomeFailed, scatter.Refused: outcomeRefused, scatter.Unreached: "unreached",
 }
 
 // send counts the end of a send to a service, and how long a whole answer took.
@@ -162,7 +162,7 @@
 	if counter := one.sends[verdict]; counter != nil {
 		counter.Inc(1)
 	}
-	if verdict == scatter.Whole {
+	if verdict == scatter.Succeeded {
 		one.took.Update(took.Microseconds())
 	}
 }
@@ -214,21 +214,21 @@
 	watch := func(name string, read func() int64) { observe.Watch(n.metrics.registry, name, read) }
 	watch("requests_in_flight", n.inFlight.Load)
 	watch("delegated_groups_running", n.delegated.Load)
-	watch("replica_connections", func() int64 { return int64(n.replicas.Open()) })
-	watch("replica_connections_opened_total", n.replicas.Opened)
-	watch("replica_connection_waiters", func() int64 { return int64(n.replicas.Waiting()) })
+	watch("replica_connections", func() int64 { return int64(n.replicas.OpenConnections()) })
+	watch("replica_connections_opened_total", n.replicas.ConnectionsOpened)
+	watch("replica_connection_waiters", func() int64 { return int64(n.replicas.WaitingRequests()) })
 	watch("log_lines_dropped_total", n.log.Dropped)
 	watch("peer_links", func() int64 { return int64(n.pool.Links()) })
 	watch("peer_links_inbound", n.server.Links)
 	watch("nodes_live", func() int64 { return int64(len(n.view().Nodes())) })
 	watch("data_centres_evacuated", func() (count int64) {
-		n.beliefs.note(func(book *replica.Book, _ core.Time) { count = int64(len(book.Evacuated())) })
+		n.beliefs.note(func(book *replica.Table, _ core.Time) { count = int64(len(book.Evacuated())) })
 		return count
 	})
 	watch("requests_suspected", func() int64 { return n.quarantine.Count(quarantine.Suspect) })
 	watch("requests_set_aside", func() int64 { return n.quarantine.Count(quarantine.SetAside) })
 	watch("pause_interval_ms", func() (ms int64) {
-		n.beliefs.note(func(book *replica.Book, _ core.Time) {
+		n.beliefs.note(func(book *replica.Table, _ core.Time) {
 			every, _ := book.Pauses.Interval()
 			ms = every.Milliseconds()
 		})
@@ -255,7 +255,7 @@
 		return unknownAge
 	})
 	watch("sends_running", func() (running int64) {
-		n.beliefs.note(func(book *replica.Book, _ core.Time) { running = int64(book.Running()) })
+		n.beliefs.note(func(book *replica.Table, _ core.Time) { running = int64(book.InFlight()) })
 		return running
 	})
 }
@@ -264,7 +264,7 @@
 func (n *Node) readBudgets() {
 	n.beliefs.mutex.Lock()
 	left := map[string]float64{}
-	n.beliefs.outlook.Budget.Left(func(service string, extras float64) { left[service] = extras }, n.beliefs.now())
+	n.beliefs.outlook.Budget.Remaining(func(service string, extras float64) { left[service] = extras }, n.beliefs.now())
 	n.beliefs.mutex.Unlock()
 	n.metrics.setBudgets(left)
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -61,7 +61,7 @@
 	identity peer.Identity
 	log      *decisionlog.Log
 	metrics  *nodeMetrics
-	traffic  *traffic.Account
+	traffic  *traffic.Counters
 	beliefs  *beliefs
 	registry *registry
 	views    *belief.Store
@@ -123,13 +123,13 @@
 	n.traffic = traffic.New(n.metrics.registry)
 	n.settings.Store(s)
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.replicas.OnEnded(n.replicaEnded)
+	n.replicas.OnReplicaEnded(n.replicaEnded)
 	n.quarantine = quarantine.New(quarantine.Options{
 		Now: n.now, Changed: n.standingChanged,
 		Self: n.identity.Node, Nodes: func() []route.Node { return n.view().Nodes() },
 	})
 	n.beliefs = newBeliefs(s.DataCentre, s.Regions, extra.Bound{}, n.now)
-	n.registry = &registry{beliefs: n.beliefs, log: n.log, metrics: n.metrics, heartbeat: func() time.Duration { return n.settings.Load().Heartbeat }, onConfig: n.configInForce, onRestart: n.replicas.End, onEvacuation: n.leaveUnwanted}
+	n.registry = &registry{beliefs: n.beliefs, log: n.log, metrics: n.metrics, heartbeat: func() time.Duration { return n.settings.Load().Heartbeat }, onConfig: n.configInForce, onRestart: n.replicas.CloseRestarted, onEvacuation: n.leaveUnwanted}
 	return n
 }
 
@@ -300,8 +300,8 @@
 	}
 	n.beliefs.mutex.Lock()
 	defer n.beliefs.mutex.Unlock()
-	n.beliefs.outlook.Book.SetColdBounds(bounds)
-	n.beliefs.outlook.Budget.Forget(func(service string) bool { return n.beliefs.outlook.Book.Usable(service) > 0 }, n.now())
+	n.beliefs.outlook.Replicas.SetColdBounds(bounds)
+	n.beliefs.outlook.Budget.RemoveUnused(func(service string) bool { return n.beliefs.outlook.Replicas.CountUsable(service) > 0 }, n.now())
 }
 
 // housekeeping is how often beliefs that age are looked at.
@@ -329,10 +329,10 @@
 
 // leaveUnwanted closes the connections to replicas that are to get nothing more.
 func (n *Node) leaveUnwanted() {
-	n.replicas.Forget(func(life replica.Incarnation) bool {
+	n.replicas.Retain(func(life replica.Incarnation) bool {
 		n.beliefs.mutex.Lock()
 		defer n.beliefs.mutex.Unlock()
-		return n.beliefs.outlook.Book.Wanted(life)
+		return n.beliefs.outlook.Replicas.IsUsable(life)
 	})
 }
 
@@ -350,7 +350,7 @@
 		addresses = append(addresses, one.CallerAddress)
 		senders = append(senders, one.ID)
 	}
-	n.beliefs.note(func(book *replica.Book, _ core.Time) { book.SetSenders(n.identity.Node, senders) })
+	n.beliefs.note(func(book *replica.Table, _ core.Time) { book.SetSenders(n.identity.Node, senders) })
 	n.log.Life("entries_changed", decisionlog.Fields{"entries": addresses, "live": len(n.view().Nodes())})
 }
 
@@ -379,15 +379,15 @@
 	s := n.settings.Load()
 	state := map[string]any{
 		"node": s.Node, "data_centre": s.DataCentre, "stopping": n.stopping.Load(), "in_flight": n.inFlight.Load(),
-		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Reached().Era, "connections": n.replicas.Open(),
+		"entries_refused": n.registry.refusedEntries(), "nodes": n.view().Nodes(), "store_revision": n.copied.UpTo(), "store_era": n.copied.Reached().Era, "connections": n.replicas.OpenConnections(),
 	}
 	if config := n.beliefs.config.Load(); config != nil {
 		state["config_version"] = config.Version
 	}
 	var replicas []replica.Replica
-	n.beliefs.note(func(book *replica.Book, _ core.Time) {
-		book.All(func(one replica.Replica) { replicas = append(replicas, one) })
-		state["sends_running"] = book.Running()
+	n.beliefs.note(func(book *replica.Table, _ core.Time) {
+		book.Each(func(one replica.Replica) { replicas = append(replicas, one) })
+		state["sends_running"] = book.InFlight()
 		state["evacuated"] = book.Evacuated()
 	})
 	state["replicas"] = replicas
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -23,7 +23,7 @@
 // identity is what makes the request the same over all its tries.
 func (q *request) identity() quarantine.Identity {
 	path, query, _ := strings.Cut(q.template.Target, "?")
-	return quarantine.Identity{Method: q.template.Method, Host: q.template.Host, Path: path, Query: query, Caller: platform.CallerLines(q.template.Header), Body: q.template.Body}
+	return quarantine.Identity{Method: q.template.Method, Host: q.template.Host, Path: path, Query: query, Caller: platform.StableHeaderLines(q.template.Header), Body: q.template.Body}
 }
 
 // maxDescribed bounds the path in a description, in bytes.
@@ -62,7 +62,7 @@
 
 // setAside reports whether the request is set aside as a whole, or at so many shards that too few remain to answer it.
 func (q *request) setAside() bool {
-	return q.standing == quarantine.SetAside || len(q.plan.SetAsideShards) > 0 && len(q.services)-len(q.plan.SetAsideShards) < max(q.plan.Least, 1)
+	return q.standing == quarantine.SetAside || len(q.plan.SetAsideShards) > 0 && len(q.services)-len(q.plan.SetAsideShards) < max(q.plan.MinParts, 1)
 }
 
 // noteAnswered records that a replica of a shard has answered the request, which clears it as a whole and at that shard.
@@ -88,7 +88,7 @@
 // ended, and may not have run the request.
 func (q *request) noteTrial(one *exchange) {
 	if marks := trialMarks(one.send); marks != 0 && one.verdict == scatter.Failed && one.response == nil {
-		q.node.quarantine.Seen(q.identity(), q.describe(), one.send.Replica.Service, one.send.Replica.Life(), marks|q.clearedMark())
+		q.node.quarantine.Seen(q.identity(), q.describe(), one.send.Replica.Service, one.send.Replica.Incarnation(), marks|q.clearedMark())
 	}
 }
 
@@ -118,7 +118,7 @@
 	var named []endedRequest
 	fields := decisionlog.Fields{"replica": life.ID, "born": life.Born, "in_work": len(requests)}
 	for _, one := range requests {
-		work, ok := one.Work.(inWork)
+		work, ok := one.UserData.(inWork)
 		if !ok {
 			continue
 		}
@@ -146,10 +146,10 @@
 func (n *Node) standingChanged(change quarantine.Change, from core.NodeID) {
 	record := change.Record
 	severity := record.Severity()
-	if severity == change.Former {
+	if severity == change.Previous {
 		return
 	}
-	fields := decisionlog.Fields{"key": record.Key.String(), "what": record.What, "former": change.Former.String(), "replicas_ended": record.Ended(), "from": from, "shards_set_aside": record.SetAsideShards()}
+	fields := decisionlog.Fields{"key": record.Key.String(), "what": record.Description, "former": change.Previous.String(), "replicas_ended": record.EndedCount(), "from": from, "shards_set_aside": record.SetAsideShards()}
 	event := standingEvents[severity]
 	if severity == quarantine.SetAside {
 		n.metrics.setAside()
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -54,7 +54,7 @@
 // change leaves mechanisms of the plan out.
 func (o Options) change(plan *scatter.Plan) {
 	if o.without(Hedges) {
-		plan.Hedge = 0
+		plan.HedgeAfter = 0
 	}
 	if o.without(Retries) {
 		plan.MaxReplicas = 1
@@ -122,8 +122,8 @@
 	}
 	for _, kind := range w.pattern.Kinds {
 		w.routes[kind.Name] = &policy.Route{
-			Name: kind.Name, Idempotent: true, Timeout: kind.Deadline, Aim: kind.Aim, MaxReplicas: maxReplicas,
-			Gather: &policy.Gather{Shards: shards, LeastCoverage: kind.Least},
+			Name: kind.Name, Idempotent: true, Timeout: kind.Deadline, TargetLatency: kind.Aim, MaxReplicas: maxReplicas,
+			Gather: &policy.Gather{Shards: shards, MinCoverage: kind.Least},
 		}
 	}
 }
@@ -148,7 +148,7 @@
 			near = one.Nodes
 		}
 	}
-	return outlook.Connections(w.pattern.Connections, w.nodeCount(), near, place == of)
+	return outlook.ConnectionsPerNode(w.pattern.Connections, w.nodeCount(), near, place == of)
 }
 
 // helper takes the nodes of a data centre in turn.
@@ -195,7 +195,7 @@
 		w.clock.after(forgottenAfter, func() {
 			for _, n := range w.nodes {
 				if u.down {
-					n.outlook.Book.Remove(u.entry.ID)
+					n.outlook.Replicas.Remove(u.entry.ID)
 				}
 			}
 		})
@@ -215,7 +215,7 @@
 		u.slow *= restartSlow
 		w.clock.after(restartFor, func() { u.slow /= restartSlow })
 		for _, n := range w.nodes {
-			n.outlook.Book.Put(u.entry)
+			n.outlook.Replicas.Put(u.entry)
 		}
 	}
 }
--- a/internal/owner/evidence.go
+++ b/internal/owner/evidence.go
@@ -70,17 +70,17 @@
 // identity implements work.
 func (w *bundleWork) identity() quarantine.Identity {
 	message := w.reply.inbound.Envelope.GetBundleRequest()
-	return quarantine.Query(w.ask.GetService(), core.Customer(message.GetCustomer()), message.GetQuestion())
+	return quarantine.ServiceQuery(w.ask.GetService(), core.Customer(message.GetCustomer()), message.GetQuestion())
 }
 
 // questionIdentity implements work.
 func (w *bundleWork) questionIdentity() (identity func() quarantine.Identity, trial quarantine.Fact, ok bool) {
 	message := w.reply.inbound.Envelope.GetBundleRequest()
-	if query.Trial(w.ask.GetTrial()) == query.QuestionTrial {
+	if query.Trial(w.ask.GetTrial()) == query.QueryTrial {
 		trial = quarantine.Trial
 	}
 	return func() quarantine.Identity {
-		return quarantine.Question(core.Customer(message.GetCustomer()), message.GetQuestion())
+		return quarantine.ClosureQuery(core.Customer(message.GetCustomer()), message.GetQuestion())
 	}, trial, true
 }
 
@@ -92,7 +92,7 @@
 // trialMarks implements work.
 func (w *bundleWork) trialMarks() quarantine.Fact {
 	switch query.Trial(w.ask.GetTrial()) {
-	case query.ServiceTrial, query.QuestionTrial:
+	case query.ServiceTrial, query.QueryTrial:
 		return quarantine.Trial | quarantine.ShardTrial
 	case query.ShardTrial:
 		return quarantine.ShardTrial
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -38,16 +38,16 @@
 	{"answers without a signature", "internal/edge/request.go", `case platform.Stamp(one.response.Header) == "":`, `case platform.Stamp(one.response.Header) == "?":`},
 	{"not run is said of all failures", "internal/edge/answer.go", "if !result.MayHaveRun {", "if !result.MayHaveRun || true {"},
 	{"a promise without a proof is passed on", "internal/edge/request.go", "case promises[one.response.Status]:", "case promises[one.response.Status] && false:"},
-	{"requests run twice", "internal/core/outlook/plan.go", "Least: 1, Idempotent: route.Idempotent", "Least: 1, Idempotent: true"},
+	{"requests run twice", "internal/core/outlook/plan.go", "MinParts: 1, Idempotent: route.Idempotent", "MinParts: 1, Idempotent: true"},
 	{"drains are passed over", "internal/edge/registry.go", "		listing = book.Put(listed)\n", "		listed.Draining = false\n		listing = book.Put(listed)\n"},
-	{"evacuations are passed over", "internal/edge/registry.go", "book.Evacuate(dataCentre, !item.Removed, now)", "book.Evacuate(dataCentre, false, now)"},
-	{"helpers send into an evacuated data centre", "internal/core/replica/place.go", "s.doubtedAt == 0 && !b.empties(s.DataCentre)", "s.doubtedAt == 0 && (b.dataCentre == s.DataCentre || !b.empties(s.DataCentre))"},
+	{"evacuations are passed over", "internal/edge/registry.go", "book.SetEvacuated(dataCentre, !item.Removed, now)", "book.SetEvacuated(dataCentre, false, now)"},
+	{"helpers send into an evacuated data centre", "internal/core/replica/place.go", "s.suspectedAt == 0 && !t.isEvacuated(s.DataCentre)", "s.suspectedAt == 0 && (t.dataCentre == s.DataCentre || !t.isEvacuated(s.DataCentre))"},
 	{"the first configuration stays", "internal/edge/registry.go", "	r.beliefs.config.Store(config)\n", "	if r.beliefs.config.Load() == nil {\n		r.beliefs.config.Store(config)\n	}\n"},
 	{"a stop cuts what is in work", "internal/edge/listen.go", "server.Shutdown(ctx)", "server.Close()"},
 	{"no bound on extra sends", "internal/core/extra/extra.go", "if float64(extras+1) > ", "if false && float64(extras+1) > "},
 	{"404 before a configuration is known", "internal/edge/handler.go", "	if config == nil {\n", "	if config == nil {\n		http.NotFound(w, r)\n		return\n"},
 	{"what a former life may have run is sent again", "internal/replicaconn/conn.go", `outcome{err: &Error{Step: "await answer", Sent: true, Cause: cause}}`, `outcome{err: &Error{Step: "await answer", Sent: !errors.Is(cause, errRestarted), Cause: cause}}`},
-	{"entries without a known state are used", "platform/entry.go", "if state != wordReady && state != wordDraining {", "if false {"},
+	{"entries without a known state are used", "platform/entry.go", "if state != stateReady && state != stateDraining {", "if false {"},
 	{"a reload ends the callers' connections", "internal/edge/node.go", "	n.log.Life(\"settings_reloaded\"", `	n.callers.mutex.Lock()
 	for one := range n.callers.servers {
 		_ = one.Close()
@@ -59,7 +59,7 @@
 	{"the era is not passed to other nodes", "internal/mirror/peers.go", "Delta{Era: reply.GetEra(), ", "Delta{"},
 	{"deadly requests are not told to other nodes", "internal/quarantine/share.go", "if record, ok := decode(one, now); ok {", "if record, ok := decode(one, now); ok && false {"},
 	{"deadly requests are known by their ids", "internal/edge/quarantine.go", "Host: q.template.Host, Path: path, ", "Host: q.template.Host + q.id, Path: path + q.id, "},
-	{"deadly requests are known by each send", "internal/core/scatter/unproven.go", "return (m.plan.Suspect || m.broken) && !m.proven", "return m.broken && !m.proven && false"},
+	{"deadly requests are known by each send", "internal/core/scatter/unproven.go", "return (m.plan.Suspect || m.broken) && !m.answered", "return m.broken && !m.answered && false"},
 	{"bodies do not tell requests apart", "internal/core/quarantine/key.go", "	digest.Write(body)\n", "	digest.Write(body[:0])\n"},
 	{"an outage of the store takes the configuration away", "internal/edge/registry.go", "	r.log.Life(\"dependency_lost\"", "	r.beliefs.config.Store(nil)\n	r.log.Life(\"dependency_lost\""},
 }
