--- a/internal/plot/plot.go
+++ b/internal/plot/plot.go
@@ -97,7 +97,7 @@
 		fmt.Fprintf(b, `<line x1="%d" y1="%.1f" x2="%d" y2="%.1f" stroke="#ddd"/><text x="%d" y="%.1f" text-anchor="end">%g ms</text>`+"\n",
 			marginLeft, y, width-marginRight, y, marginLeft-6, y+4, math.Round(ms*1000)/1000)
 	}
-	fmt.Fprintf(b, `<text x="%d" y="%d" text-anchor="middle">share of requests answered within the latency (measured from the scheduled arrival)</text>`+"\n", width/2, height-marginBottom+40)
+	fmt.Fprintf(b, `<text x="%d" y="%d" text-anchor="middle">share of requests answered within the latency (from the scheduled arrival)</text>`+"\n", width/2, height-marginBottom+40)
 }
 
 func drawSeries(b *strings.Builder, series Series, index int, low, high float64) {
