--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -213,14 +213,14 @@
 	return nil
 }
 
-// closableAsker is a load.Sender that holds connections and must be closed.
-type closableAsker interface {
+// closableSender is a load.Sender that holds connections and must be closed.
+type closableSender interface {
 	load.Sender
 	Close()
 }
 
 // newCaller returns a caller of the given nodes or of the forwarding tier.
-func (o loadOptions) newCaller() (closableAsker, error) {
+func (o loadOptions) newCaller() (closableSender, error) {
 	switch {
 	case len(o.directories) > 0:
 		return load.NewTierCaller(o.directories, o.dataCentre), nil
