--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -41,11 +41,11 @@
 	return &belief.Config{Revision: revision, Catalog: parsed}
 }
 
-// owners is a peer.Asker that answers all requests with one function, regardless of the
+// owners is a peer.Sender that answers all requests with one function, regardless of the
 // target.
 type owners func(request *peerpb.BundleRequest, sink peer.Sink)
 
-// nodes is a peer.Asker that answers by target node.
+// nodes is a peer.Sender that answers by target node.
 type nodes map[core.NodeID]owners
 
 // Send implements peer.Sender.
