--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	defer upstreams.close()
-	running, err := fleet.Start(fleet.Options{Nodes: demoNodes, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: demoNodes, LogOutput: io.Discard})
 	if err != nil {
 		return err
 	}
--- a/internal/command/load_test.go
+++ b/internal/command/load_test.go
@@ -54,14 +54,14 @@
 	emulation, err := fleet.StartEmulation(fleet.MainSearchOf(3), 1)
 	require.NoError(t, err)
 	defer emulation.Close()
-	running, err := fleet.Start(fleet.Options{Nodes: 2, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: 2, LogOutput: io.Discard})
 	require.NoError(t, err)
 	defer running.Close()
-	text := emulation.Text(fleet.TextOptions{Routing: "owner", BundleSize: 1, InFlight: 100})
+	text := emulation.ConfigText(fleet.ConfigTextOptions{Routing: "owner", BundleSize: 1, InFlight: 100})
 	require.NoError(t, running.AwaitReady(t.Context(), running.Platform.Publish(text)))
 	var out, errors bytes.Buffer
 	code := Run([]string{
-		"load", "--address", running.Members()[0].Addresses.Caller, "--service", fleet.MainLead,
+		"load", "--address", running.Members()[0].Addresses.Caller, "--service", fleet.MainSearchService,
 		"--rate", "50", "--duration", "200ms", "--arrivals", "fixed", "--timeout", "10s", "--json",
 	}, &out, &errors)
 	require.Equal(t, ExitOK, code, errors.String())
--- a/internal/command/look_test.go
+++ b/internal/command/look_test.go
@@ -34,7 +34,7 @@
 	u, err := standin.StartUpstream("127.0.0.1:0", standin.Behaviour{Slots: 2, Versions: []uint64{7}})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = u.Close() })
-	f, err := fleet.Start(fleet.Options{Nodes: 2, LogTo: io.Discard, Alter: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }})
+	f, err := fleet.Start(fleet.Options{Nodes: 2, LogOutput: io.Discard, EditSettings: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
--- a/internal/command/submit_test.go
+++ b/internal/command/submit_test.go
@@ -20,7 +20,7 @@
 // request must not look like one that ran.
 func TestSubmitPrintsTheOutcome(t *testing.T) {
 	u, other := startStandin(t), startStandin(t)
-	f, err := fleet.Start(fleet.Options{Nodes: 1, LogTo: io.Discard})
+	f, err := fleet.Start(fleet.Options{Nodes: 1, LogOutput: io.Discard})
 	require.NoError(t, err)
 	defer f.Close()
 	shards := func(u *standin.Upstream) string {
--- a/internal/confwatch/fleet_test.go
+++ b/internal/confwatch/fleet_test.go
@@ -24,7 +24,7 @@
 // A fleet over real links follows a row of changes: in three data centres some
 // nodes are relays and the others learn from them.
 func TestFleetFollowsChanges(t *testing.T) {
-	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogOutput: io.Discard})
 	require.NoError(t, err)
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -37,7 +37,7 @@
 // The service comes back from a copy while the fleet runs: revisions are given out again. Over real links and calls each text
 // that is published afterwards is in force at every node, also under a revision that stood for another one.
 func TestFleetFollowsItsServiceIntoTheNextEra(t *testing.T) {
-	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogOutput: io.Discard})
 	require.NoError(t, err)
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -55,7 +55,7 @@
 // BenchmarkPublishToInForce measures a change from its publication until it is
 // in force at all nodes, over loopback.
 func BenchmarkPublishToInForce(b *testing.B) {
-	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogOutput: io.Discard})
 	require.NoError(b, err)
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -78,7 +78,7 @@
 	s.Received += other.Received
 	s.Connections.Accepted += other.Connections.Accepted
 	s.Connections.Refused += other.Connections.Refused
-	s.Connections.Held = other.Connections.Held
+	s.Connections.Open = other.Connections.Open
 	s.Connections.Peak = max(s.Connections.Peak, other.Connections.Peak)
 }
 
--- a/internal/experiment/named.go
+++ b/internal/experiment/named.go
@@ -104,7 +104,7 @@
 func smallShares(weight float64) []load.Share {
 	var shares []load.Share
 	for i := range smallCount {
-		shares = append(shares, load.Share{Customer: core.Customer(fmt.Sprintf("small-%02d", i+1)), Service: fleet.MainLead, Weight: weight / smallCount, Class: "small"})
+		shares = append(shares, load.Share{Customer: core.Customer(fmt.Sprintf("small-%02d", i+1)), Service: fleet.MainSearchService, Weight: weight / smallCount, Class: "small"})
 	}
 	return shares
 }
@@ -124,7 +124,7 @@
 func routing() Experiment {
 	skewed := func(v *Variant) {
 		v.Profile.Arrivals = load.ArrivalsBursty
-		v.Profile.Shares = append(smallShares(1), load.Share{Customer: customerLarge, Service: fleet.MainLead, Weight: 3})
+		v.Profile.Shares = append(smallShares(1), load.Share{Customer: customerLarge, Service: fleet.MainSearchService, Weight: 3})
 	}
 	return Experiment{
 		Name:     "routing",
@@ -148,7 +148,7 @@
 	crowded := func(v *Variant) {
 		v.Name = "small and large, " + v.Name
 		v.Profile = searchProfile(smallRate * (1 + largeFactor))
-		v.Profile.Shares = append(smallShares(1), load.Share{Customer: customerLarge, Service: fleet.MainLead, Weight: largeFactor})
+		v.Profile.Shares = append(smallShares(1), load.Share{Customer: customerLarge, Service: fleet.MainSearchService, Weight: largeFactor})
 	}
 	return Experiment{
 		Name:     "fairness",
@@ -164,7 +164,7 @@
 		v.Prepare = func(emulation *fleet.Emulation) {
 			service := fleet.DefaultServiceTime()
 			service.Median *= slowFactor
-			draw := service.Draw(seed)
+			draw := service.Sampler(seed)
 			for i := 0; i < len(emulation.Replicas); i += slowFactor {
 				emulation.Replicas[i+1].Change(func(b *standin.Behaviour) { b.Draw = draw })
 			}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -80,7 +80,7 @@
 		CPUPerPartMicros:  float64(total.CPUPerPart().Nanoseconds()) / 1000,
 		AllocationsPart:   total.AllocationsPerPart(),
 		PeakConnections:   total.Connections.Peak,
-		HeldConnections:   total.Connections.Held,
+		HeldConnections:   total.Connections.Open,
 		Refused:           total.Connections.Refused,
 	}
 }
--- a/internal/experiment/slopes_idle.go
+++ b/internal/experiment/slopes_idle.go
@@ -43,14 +43,14 @@
 	}
 	defer emulation.Close()
 	before := memoryInUse()
-	running, err := fleet.Start(fleet.Options{Nodes: count, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: count, LogOutput: io.Discard})
 	if err != nil {
 		return 0, 0, err
 	}
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := emulation.Text(fleet.TextOptions{Routing: "owner", BundleSize: 1, InFlight: inFlight})
+	text := emulation.ConfigText(fleet.ConfigTextOptions{Routing: "owner", BundleSize: 1, InFlight: inFlight})
 	if err := running.AwaitReady(ctx, running.Platform.Publish(text)); err != nil {
 		return 0, 0, fault.Step("start idle nodes", err)
 	}
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	s := &system{variant: variant, emulation: emulation, stopAsker: func() {}}
-	text := emulation.Text(fleet.TextOptions{
+	text := emulation.ConfigText(fleet.ConfigTextOptions{
 		Routing:    variant.Routing,
 		BundleSize: variant.BundleSize,
 		Weights:    variant.Weights,
@@ -69,7 +69,7 @@
 }
 
 func (s *system) startNodes(ctx context.Context, text string) error {
-	running, err := fleet.Start(fleet.Options{Nodes: s.variant.Nodes, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: s.variant.Nodes, LogOutput: io.Discard})
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/emulation.go
+++ b/internal/fleet/emulation.go
@@ -52,7 +52,7 @@
 		return nil, fault.Step("listen for an emulated replica", err)
 	}
 	limited := &limitedListener{Listener: listener, limit: service.Connections, cost: service.ConnectCost}
-	draw := e.Shape.Time.Draw(seed + uint64(len(e.Replicas)))
+	draw := e.Shape.ServiceTime.Sampler(seed + uint64(len(e.Replicas)))
 	behaviour := standin.Behaviour{Slots: service.Slots, Versions: e.Shape.Versions, Draw: draw}
 	return &Replica{
 		Upstream: standin.StartUpstreamOn(limited, behaviour),
@@ -82,7 +82,7 @@
 	var sum ConnectionCounts
 	for _, replica := range e.Replicas {
 		counts := replica.Connections()
-		sum.Held += counts.Held
+		sum.Open += counts.Open
 		sum.Accepted += counts.Accepted
 		sum.Refused += counts.Refused
 		sum.Peak = max(sum.Peak, counts.Peak)
--- a/internal/fleet/evidence_test.go
+++ b/internal/fleet/evidence_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(crossed.Close)
 	address := crossed.Listener.Addr().String()
 	text := fmt.Sprintf("version: 1\nindexes: [i]\nservices: [{name: top, index: i, timeout: 1s, shards: [{replicas: [{address: %q}]}]}]\n", address)
-	f := startWith(t, Options{Nodes: 1, LogTo: io.Discard}, text)
+	f := startWith(t, Options{Nodes: 1, LogOutput: io.Discard}, text)
 	askTop(t, f)
 	report := get[api.ProblemsReport](t, f.Members()[0].Addresses.Operator, "/v1/problems")
 	require.Equal(t, 1, kinds(report)[observe.KindCrossedReply])
@@ -59,7 +59,7 @@
 func TestADeadReplicaIsListedOnce(t *testing.T) {
 	upstreams := startUpstreams(t, 2)
 	var log logs.Buffer
-	f := startWith(t, Options{Nodes: 1, LogTo: &log, Alter: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }}, testText(upstreams))
+	f := startWith(t, Options{Nodes: 1, LogOutput: &log, EditSettings: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }}, testText(upstreams))
 	require.NoError(t, upstreams[0].Close())
 	require.Eventually(t, func() bool {
 		askTop(t, f)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -55,10 +55,10 @@
 
 // Options choose a fleet.
 type Options struct {
-	Nodes int
-	LogTo io.Writer
-	// Alter, when set, changes each node's settings before its start.
-	Alter func(*settings.Settings)
+	Nodes     int
+	LogOutput io.Writer
+	// EditSettings, when set, changes each node's settings before its start.
+	EditSettings func(*settings.Settings)
 	// UpstreamVMs are in the VM list beside the nodes.
 	UpstreamVMs []confservice.VM
 }
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Platform: stand, authority: authority, logTo: options.LogTo, alter: options.Alter, upstreamVMs: options.UpstreamVMs}
+	fleet := &Fleet{Platform: stand, authority: authority, logTo: options.LogOutput, alter: options.EditSettings, upstreamVMs: options.UpstreamVMs}
 	for range options.Nodes {
 		if _, err := fleet.Add(); err != nil {
 			fleet.Close()
@@ -142,15 +142,15 @@
 // Members returns the nodes that were started, in order.
 func (f *Fleet) Members() []*Member { return f.members }
 
-// Stop stops a member as planned; its VM stays in the list until Unlist.
+// Stop stops a member as planned; its VM stays in the list until RemoveFromVMList.
 func (f *Fleet) Stop(member *Member) error {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	return member.app.Stop(ctx)
 }
 
-// Unlist takes a member's VM off the list.
-func (f *Fleet) Unlist(member *Member) {
+// RemoveFromVMList takes a member's VM off the list.
+func (f *Fleet) RemoveFromVMList(member *Member) {
 	kept := f.members[:0]
 	for _, one := range f.members {
 		if one != member {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 
 func startFleet(t *testing.T, nodes int, text string) *Fleet {
 	t.Helper()
-	f, err := Start(Options{Nodes: nodes, LogTo: io.Discard})
+	f, err := Start(Options{Nodes: nodes, LogOutput: io.Discard})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
--- a/internal/fleet/listener.go
+++ b/internal/fleet/listener.go
@@ -20,7 +20,7 @@
 
 // ConnectionCounts are the connections of one emulated replica.
 type ConnectionCounts struct {
-	Held     int
+	Open     int
 	Peak     int
 	Accepted int
 	Refused  int
@@ -50,20 +50,20 @@
 func (l *limitedListener) take() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.limit > 0 && l.counters.Held >= l.limit {
+	if l.limit > 0 && l.counters.Open >= l.limit {
 		l.counters.Refused++
 		return false
 	}
-	l.counters.Held++
+	l.counters.Open++
 	l.counters.Accepted++
-	l.counters.Peak = max(l.counters.Peak, l.counters.Held)
+	l.counters.Peak = max(l.counters.Peak, l.counters.Open)
 	return true
 }
 
 func (l *limitedListener) release() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.counters.Held--
+	l.counters.Open--
 }
 
 func (l *limitedListener) counts() ConnectionCounts {
--- a/internal/fleet/operate_test.go
+++ b/internal/fleet/operate_test.go
@@ -62,7 +62,7 @@
 // before, and drop it from its list after it recovers.
 func TestAServiceThatStallsWithoutTrafficIsAProblemOnAnyNode(t *testing.T) {
 	upstreams := startUpstreams(t, 4)
-	f := startWith(t, Options{Nodes: 3, LogTo: io.Discard, Alter: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }}, testText(upstreams))
+	f := startWith(t, Options{Nodes: 3, LogOutput: io.Discard, EditSettings: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }}, testText(upstreams))
 	report := func() api.ProblemsReport {
 		return get[api.ProblemsReport](t, f.Members()[2].Addresses.Operator, "/v1/problems?fleet=1")
 	}
@@ -88,7 +88,7 @@
 func TestAServiceThatMustNotBeRepeatedIsProbedByItsHealthOnly(t *testing.T) {
 	upstreams := startUpstreams(t, 2)
 	text := strings.Replace(testText(upstreams), "timeout: 5s", "timeout: 5s\n    idempotent: false", 1)
-	f := startWith(t, Options{Nodes: 1, LogTo: io.Discard, Alter: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }}, text)
+	f := startWith(t, Options{Nodes: 1, LogOutput: io.Discard, EditSettings: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }}, text)
 	require.NoError(t, upstreams[0].Close())
 	var report api.ProblemsReport
 	require.Eventually(t, func() bool {
@@ -104,7 +104,7 @@
 // A node dies while it is still in the VM list. The report must say that its
 // problems are not known, rather than look complete.
 func TestANodeThatDoesNotAnswerIsNamed(t *testing.T) {
-	f := startWith(t, Options{Nodes: 3, LogTo: io.Discard}, testText(startUpstreams(t, 2)))
+	f := startWith(t, Options{Nodes: 3, LogOutput: io.Discard}, testText(startUpstreams(t, 2)))
 	require.NoError(t, f.Stop(f.Members()[1]))
 	report := get[api.ProblemsReport](t, f.Members()[0].Addresses.Operator, "/v1/problems?fleet=1")
 	require.Len(t, report.Nodes, 2)
@@ -113,7 +113,7 @@
 }
 
 func TestOperatorsSeeHealthNodesAndMetrics(t *testing.T) {
-	f, err := Start(Options{Nodes: 2, LogTo: io.Discard})
+	f, err := Start(Options{Nodes: 2, LogOutput: io.Discard})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	operator := f.Members()[0].Addresses.Operator
@@ -148,7 +148,7 @@
 // must end with the caller, and not go on to use the upstreams' slots.
 func TestACallerThatLeavesCancelsItsQuestion(t *testing.T) {
 	upstreams := startUpstreams(t, 2)
-	f := startWith(t, Options{Nodes: 1, LogTo: io.Discard}, testText(upstreams))
+	f := startWith(t, Options{Nodes: 1, LogOutput: io.Discard}, testText(upstreams))
 	for _, u := range upstreams {
 		u.Change(func(b *standin.Behaviour) { b.Silent = true })
 	}
@@ -169,7 +169,7 @@
 }
 
 func TestUnknownServicesAndCustomersAreRefusedAsNotRun(t *testing.T) {
-	f := startWith(t, Options{Nodes: 1, LogTo: io.Discard}, "unlisted_customers: refuse\ncustomers: [{name: chef}]\n"+testText(startUpstreams(t, 2)))
+	f := startWith(t, Options{Nodes: 1, LogOutput: io.Discard}, "unlisted_customers: refuse\ncustomers: [{name: chef}]\n"+testText(startUpstreams(t, 2)))
 	caller := client.New()
 	defer caller.Close()
 	ask := func(service string, customer core.Customer) *fault.Error {
@@ -194,7 +194,7 @@
 	pair, err := stranger.Issue("vm-2", time.Now(), validity)
 	require.NoError(t, err)
 	var log logs.Buffer
-	f, err := Start(Options{Nodes: 2, LogTo: &log, Alter: func(s *settings.Settings) {
+	f, err := Start(Options{Nodes: 2, LogOutput: &log, EditSettings: func(s *settings.Settings) {
 		if s.Node == "vm-2" {
 			s.TLS.Authority, s.TLS.Certificate, s.TLS.Key = string(stranger.Certificate), string(pair.Certificate), string(pair.Key)
 		}
@@ -219,7 +219,7 @@
 
 func TestLogLinesAreJSONWithStableFields(t *testing.T) {
 	var log logs.Buffer
-	f := startWith(t, Options{Nodes: 1, LogTo: &log, Alter: func(s *settings.Settings) { s.LogLevel = "debug" }}, testText(startUpstreams(t, 2)))
+	f := startWith(t, Options{Nodes: 1, LogOutput: &log, EditSettings: func(s *settings.Settings) { s.LogLevel = "debug" }}, testText(startUpstreams(t, 2)))
 	caller := client.New()
 	defer caller.Close()
 	_, err := caller.Query(context.Background(), f.Members()[0].Addresses.Caller, "top", api.QueryRequest{Customer: "chef"})
--- a/internal/fleet/paired_test.go
+++ b/internal/fleet/paired_test.go
@@ -194,7 +194,7 @@
 	upstreams[0].Change(func(b *standin.Behaviour) { b.Draining = true })
 	require.Eventually(t, func() bool { return owner.Node.Status().DrainedUpstreams == 1 }, awaitLimit, pollPause)
 	require.NoError(t, f.Stop(owner))
-	f.Unlist(owner)
+	f.RemoveFromVMList(owner)
 	require.Eventually(t, func() bool {
 		for _, member := range f.Members() {
 			if member.Node.Status().DrainedUpstreams != 1 {
--- a/internal/fleet/shape.go
+++ b/internal/fleet/shape.go
@@ -12,9 +12,9 @@
 
 // Shape is the size of an emulated set of services.
 type Shape struct {
-	Services []ServiceShape
-	Versions []uint64
-	Time     ServiceTime
+	Services    []ServiceShape
+	Versions    []uint64
+	ServiceTime ServiceTime
 }
 
 // ServiceShape is the size of one service.
@@ -40,8 +40,8 @@
 	TailFactor float64
 }
 
-// MainLead is the service that MainSearch asks.
-const MainLead = "main-search"
+// MainSearchService is the service that MainSearch asks.
+const MainSearchService = "main-search"
 
 // MainSearch is the size of both users' main searches: 20 services of 2
 // replicas with 2 slots, 25 connections and 6 ms for each new one. The first
@@ -53,9 +53,9 @@
 
 // MainSearchOf is a main search of fewer or more services.
 func MainSearchOf(services int) Shape {
-	shape := Shape{Versions: []uint64{41, 42}, Time: DefaultServiceTime()}
+	shape := Shape{Versions: []uint64{41, 42}, ServiceTime: DefaultServiceTime()}
 	lead := ServiceShape{
-		Name:        MainLead,
+		Name:        MainSearchService,
 		Shards:      1,
 		Replicas:    2,
 		Slots:       2,
@@ -67,7 +67,7 @@
 	shape.Services = []ServiceShape{lead}
 	for number := 2; number <= services; number++ {
 		next := lead
-		next.Name = fmt.Sprintf("%s-%02d", MainLead, number)
+		next.Name = fmt.Sprintf("%s-%02d", MainSearchService, number)
 		shape.Services = append(shape.Services, next)
 		shape.Services[0].DependsOn = append(shape.Services[0].DependsOn, next.Name)
 	}
@@ -83,7 +83,7 @@
 // ShapeOf is the size of an operators' text. A service's shards take the
 // number of replicas of its first one.
 func ShapeOf(text *catalog.Catalog) Shape {
-	shape := Shape{Versions: []uint64{41, 42}, Time: DefaultServiceTime()}
+	shape := Shape{Versions: []uint64{41, 42}, ServiceTime: DefaultServiceTime()}
 	for _, name := range text.Names {
 		service := text.Services[name]
 		shape.Services = append(shape.Services, ServiceShape{
@@ -101,8 +101,8 @@
 	return shape
 }
 
-// Draw returns a seeded source of service times, safe for concurrent use.
-func (s ServiceTime) Draw(seed uint64) func() time.Duration {
+// Sampler returns a seeded source of service times, safe for concurrent use.
+func (s ServiceTime) Sampler(seed uint64) func() time.Duration {
 	var mutex sync.Mutex
 	source := rand.New(rand.NewPCG(seed, seed))
 	return func() time.Duration {
--- a/internal/fleet/stop_test.go
+++ b/internal/fleet/stop_test.go
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return seenByAll(f, fresh) }, awaitLimit, pollPause)
 	require.NoError(t, f.Stop(oldest))
-	f.Unlist(oldest)
+	f.RemoveFromVMList(oldest)
 }
 
 func seenByAll(f *Fleet, member *Member) bool {
@@ -162,7 +162,7 @@
 	leaving, err := standin.StartUpstream(leavingVM+":0", standin.Behaviour{Slots: 2, Versions: []uint64{7}})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = leaving.Close() })
-	f, err := Start(Options{Nodes: 2, LogTo: io.Discard, UpstreamVMs: []confservice.VM{
+	f, err := Start(Options{Nodes: 2, LogOutput: io.Discard, UpstreamVMs: []confservice.VM{
 		{ID: "upstream-1", State: confservice.VMLeaving, CallerAddress: leavingVM + ":1"},
 	}})
 	require.NoError(t, err)
--- a/internal/fleet/submit_test.go
+++ b/internal/fleet/submit_test.go
@@ -138,7 +138,7 @@
 	reply, refusal := caller.Submit(ctx, f.Members()[0].Addresses.Caller, "invoices", invoice(key))
 	require.Equal(t, "done", reply.Outcome, "%+v", refusal)
 	require.NoError(t, f.Stop(leaving))
-	f.Unlist(leaving)
+	f.RemoveFromVMList(leaving)
 	for _, member := range f.Members() {
 		kept, refusal := caller.Submit(ctx, member.Addresses.Caller, "invoices", invoice(key))
 		require.Equal(t, "done", kept.Outcome, "%+v", refusal)
@@ -269,7 +269,7 @@
 // its key did not: another entry may have taken the key before.
 func TestASubmitThatFindsNoPlaceDidNotRun(t *testing.T) {
 	upstreams := startUpstreams(t, 3)
-	f := startWith(t, Options{Nodes: 1, LogTo: io.Discard, Alter: func(s *settings.Settings) { s.Limits.InFlight = 1 }}, submitText(upstreams))
+	f := startWith(t, Options{Nodes: 1, LogOutput: io.Discard, EditSettings: func(s *settings.Settings) { s.Limits.InFlight = 1 }}, submitText(upstreams))
 	for _, u := range upstreams {
 		u.Change(func(b *standin.Behaviour) { b.Silent = true })
 	}
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -9,8 +9,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// TextOptions are the choices of an emulation's text.
-type TextOptions struct {
+// ConfigTextOptions are the choices of an emulation's text.
+type ConfigTextOptions struct {
 	Routing    string
 	BundleSize int
 	// Weights lists the customers that have a weight of their own.
@@ -19,8 +19,8 @@
 	InFlight int
 }
 
-// Text writes the operators' text for the emulated replicas.
-func (e *Emulation) Text(options TextOptions) string {
+// ConfigText writes the operators' text for the emulated replicas.
+func (e *Emulation) ConfigText(options ConfigTextOptions) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\nindexes: [main]\npolicy: {routing: %s, bundle_size: %d}\n", options.Routing, options.BundleSize)
 	fmt.Fprintf(&b, "default_customer: {in_flight: %d}\n", options.InFlight)
