--- a/internal/edge/deadly_test.go
+++ b/internal/edge/deadly_test.go
@@ -105,7 +105,7 @@
 // recover starts what has ended again and waits until each node gives whole answers.
 func (w *world) recover() {
 	w.t.Helper()
-	_, err := w.fleet.Revive()
+	_, err := w.fleet.RestartCrashed()
 	require.NoError(w.t, err)
 	for _, one := range w.nodes {
 		for _, target := range []string{"/all/innocent", "/plain/innocent", "/once/innocent"} {
--- a/internal/edgefleet/edgefleet.go
+++ b/internal/edgefleet/edgefleet.go
@@ -84,9 +84,9 @@
 	return one, nil
 }
 
-// Revive starts a new incarnation of each replica that has ended under a request, at its address and under an
+// RestartCrashed starts a new incarnation of each replica that has ended under a request, at its address and under an
 // id of its own, and returns how many. Their acts are those of the former ones.
-func (f *Fleet) Revive() (int, error) {
+func (f *Fleet) RestartCrashed() (int, error) {
 	revived := 0
 	for i, former := range f.Replicas {
 		if !former.Crashed() {
