--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -80,7 +80,7 @@
 		HomeRings:         n.home.Rings(),
 		DroppedReplies:    n.upstream.DroppedReplies(),
 		Config:            n.config.Dump(),
-		Problems:          n.gatherer.Own().Problems,
+		Problems:          n.gatherer.LocalProblems().Problems,
 		OwnerShards:       n.owner.Dump(),
 		Quarantine:        n.quarantine.Requests(),
 	}
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -52,7 +52,7 @@
 	members    *membership.Duty
 	caller     *httpServer
 	operator   *httpServer
-	gatherer   *gather.Gatherer
+	gatherer   *gather.Collector
 	prober     *night.Prober
 	expiry     *expiryWatcher
 	rotation   api.Rotation
--- a/internal/app/operate.go
+++ b/internal/app/operate.go
@@ -12,7 +12,7 @@
 // startOperating starts the components for operators: probes of idle replicas,
 // certificate checks, the gathering of problems, and metrics.
 func (n *Node) startOperating(tlsConfig *tls.Config, certificates []certificateExpiry) {
-	n.gatherer = &gather.Gatherer{
+	n.gatherer = &gather.Collector{
 		Self:     n.identity,
 		TLS:      tlsConfig,
 		Nodes:    n.knownNodes,
--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -26,8 +26,8 @@
 	retryPause    = time.Second
 )
 
-// Gatherer asks peers for their problems. It runs one gathering at a time.
-type Gatherer struct {
+// Collector asks peers for their problems. It runs one gathering at a time.
+type Collector struct {
 	Self peer.Identity
 	TLS  *tls.Config
 	// Nodes lists whom to ask, also those that may not answer.
@@ -39,8 +39,8 @@
 	busy sync.Mutex
 }
 
-// Own lists this node's problems.
-func (g *Gatherer) Own() api.NodeProblems {
+// LocalProblems lists this node's problems.
+func (g *Collector) LocalProblems() api.NodeProblems {
 	now := g.Now()
 	own := api.NodeProblems{Node: g.Self.Node, Problems: []api.Problem{}}
 	for _, one := range g.Problems.List() {
@@ -56,9 +56,9 @@
 	return own
 }
 
-// Answer replies to a peer's ProblemsRequest.
-func (g *Gatherer) Answer(inbound *peer.Inbound) {
-	own := g.Own()
+// HandleRequest replies to a peer's ProblemsRequest.
+func (g *Collector) HandleRequest(inbound *peer.Inbound) {
+	own := g.LocalProblems()
 	reply := &peerpb.ProblemsReply{Node: string(own.Node)}
 	for _, one := range own.Problems {
 		reply.Problems = append(reply.Problems, &peerpb.Problem{
@@ -73,14 +73,14 @@
 	inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_ProblemsReply{ProblemsReply: reply}}, true)
 }
 
-// Fleet asks every node that Nodes lists. A node that does not answer is listed
+// FleetProblems asks every node that Nodes lists. A node that does not answer is listed
 // as such: it may have any problem.
-func (g *Gatherer) Fleet(ctx context.Context) (api.ProblemsReport, error) {
+func (g *Collector) FleetProblems(ctx context.Context) (api.ProblemsReport, error) {
 	if !g.busy.TryLock() {
 		return api.ProblemsReport{}, errBusy()
 	}
 	defer g.busy.Unlock()
-	report := api.ProblemsReport{Nodes: []api.NodeProblems{g.Own()}}
+	report := api.ProblemsReport{Nodes: []api.NodeProblems{g.LocalProblems()}}
 	var peers []route.Node
 	for _, node := range g.Nodes() {
 		if node.ID != g.Self.Node {
@@ -111,8 +111,8 @@
 	why   string
 }
 
-func (g *Gatherer) askBatch(ctx context.Context, nodes []route.Node, report *api.ProblemsReport) error {
-	pool, err := peer.NewPool(g.TLS, g.Self, peer.HandlerFunc(g.Answer))
+func (g *Collector) askBatch(ctx context.Context, nodes []route.Node, report *api.ProblemsReport) error {
+	pool, err := peer.NewPool(g.TLS, g.Self, peer.HandlerFunc(g.HandleRequest))
 	if err != nil {
 		return err
 	}
