--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -16,32 +16,32 @@
 	Name      string         `json:"name"`
 	All       load.Summary   `json:"all"`
 	Customers []load.Summary `json:"customers"`
-	// AnsweredPerSecond counts shards' parts.
-	AnsweredPerSecond float64 `json:"answered_parts_per_second"`
-	ExtraLoad         float64 `json:"extra_upstream_load"`
-	CPUPerPartMicros  float64 `json:"cpu_per_part_us"`
-	AllocationsPart   float64 `json:"allocations_per_part"`
-	PeakConnections   int     `json:"peak_connections_of_a_replica"`
-	HeldConnections   int     `json:"connections_held"`
-	Refused           int     `json:"connections_refused"`
+	// AnsweredPartsPerSecond counts shards' parts.
+	AnsweredPartsPerSecond float64 `json:"answered_parts_per_second"`
+	ExtraLoad              float64 `json:"extra_upstream_load"`
+	CPUPerPartMicros       float64 `json:"cpu_per_part_us"`
+	AllocationsPerPart     float64 `json:"allocations_per_part"`
+	PeakConnections        int     `json:"peak_connections_of_a_replica"`
+	OpenConnections        int     `json:"connections_held"`
+	RefusedConnections     int     `json:"connections_refused"`
 }
 
 // Spread is a figure's lowest, middle and highest value over the rounds.
 type Spread struct {
 	Low    float64 `json:"low"`
-	Middle float64 `json:"middle"`
+	Median float64 `json:"middle"`
 	High   float64 `json:"high"`
 }
 
 // Ratio compares a variant with the first one, round by round.
 type Ratio struct {
-	Name     string `json:"name"`
-	P50      Spread `json:"p50"`
-	P99      Spread `json:"p99"`
-	P999     Spread `json:"p999"`
-	CPU      Spread `json:"cpu_per_part"`
-	Coverage Spread `json:"mean_coverage_difference"`
-	Extra    Spread `json:"extra_load_difference"`
+	Name       string `json:"name"`
+	P50        Spread `json:"p50"`
+	P99        Spread `json:"p99"`
+	P999       Spread `json:"p999"`
+	CPUPerPart Spread `json:"cpu_per_part"`
+	Coverage   Spread `json:"mean_coverage_difference"`
+	ExtraLoad  Spread `json:"extra_load_difference"`
 }
 
 // Report is a whole experiment's figures.
@@ -72,16 +72,16 @@
 func reportVariant(name string, total Slice, cores int) VariantReport {
 	loads := total.Recorder.Report(name, cores)
 	return VariantReport{
-		Name:              name,
-		All:               loads.All,
-		Customers:         loads.Customers,
-		AnsweredPerSecond: float64(total.Recorder.All.Answered) / max(loads.Seconds, 1e-9),
-		ExtraLoad:         total.ExtraLoad(),
-		CPUPerPartMicros:  float64(total.CPUPerPart().Nanoseconds()) / 1000,
-		AllocationsPart:   total.AllocationsPerPart(),
-		PeakConnections:   total.Connections.Peak,
-		HeldConnections:   total.Connections.Open,
-		Refused:           total.Connections.Refused,
+		Name:                   name,
+		All:                    loads.All,
+		Customers:              loads.Customers,
+		AnsweredPartsPerSecond: float64(total.Recorder.All.Answered) / max(loads.Seconds, 1e-9),
+		ExtraLoad:              total.ExtraLoad(),
+		CPUPerPartMicros:       float64(total.CPUPerPart().Nanoseconds()) / 1000,
+		AllocationsPerPart:     total.AllocationsPerPart(),
+		PeakConnections:        total.Connections.Peak,
+		OpenConnections:        total.Connections.Open,
+		RefusedConnections:     total.Connections.Refused,
 	}
 }
 
@@ -97,13 +97,13 @@
 		return func(s Slice) float64 { return float64(max(1, s.Recorder.All.Quantile(q))) }
 	}
 	return Ratio{
-		Name:     r.Experiment.Variants[variant].Name,
-		P50:      over(quantile(load.Median)),
-		P99:      over(quantile(load.Tail)),
-		P999:     over(quantile(load.FarTail)),
-		CPU:      over(func(s Slice) float64 { return float64(max(1, s.CPUPerPart())) }),
-		Coverage: minus(func(s Slice) float64 { return s.Recorder.All.MeanCoverage() }),
-		Extra:    minus(Slice.ExtraLoad),
+		Name:       r.Experiment.Variants[variant].Name,
+		P50:        over(quantile(load.Median)),
+		P99:        over(quantile(load.Tail)),
+		P999:       over(quantile(load.FarTail)),
+		CPUPerPart: over(func(s Slice) float64 { return float64(max(1, s.CPUPerPart())) }),
+		Coverage:   minus(func(s Slice) float64 { return s.Recorder.All.MeanCoverage() }),
+		ExtraLoad:  minus(Slice.ExtraLoad),
 	}
 }
 
@@ -113,7 +113,7 @@
 		values = append(values, compare(round[0], round[variant]))
 	}
 	slices.Sort(values)
-	return Spread{Low: values[0], Middle: values[len(values)/2], High: values[len(values)-1]}
+	return Spread{Low: values[0], Median: values[len(values)/2], High: values[len(values)-1]}
 }
 
 // WriteText writes the report for people.
@@ -126,7 +126,7 @@
 	}
 	for _, ratio := range r.Ratios {
 		fmt.Fprintf(out, "%s / %s: p50 %s, p99 %s, p99.9 %s, CPU %s; coverage %+.4f, extra load %+.4f\n", ratio.Name, r.Variants[0].Name,
-			ratio.P50, ratio.P99, ratio.P999, ratio.CPU, ratio.Coverage.Middle, ratio.Extra.Middle)
+			ratio.P50, ratio.P99, ratio.P999, ratio.CPUPerPart, ratio.Coverage.Median, ratio.ExtraLoad.Median)
 	}
 }
 
@@ -138,7 +138,7 @@
 		}
 		fmt.Fprintf(out, "%-26s %8d %7d %8.2f %8.2f %8.2f %9.4f %7.4f %7.3f", name, s.Requests, s.Unsent, s.P50, s.P99, s.P999, s.MeanCoverage, s.ThinShare, s.LowestCoverage)
 		if i == 0 {
-			fmt.Fprintf(out, " %7.4f %8.0f %7.1f %6d %6d %8d", v.ExtraLoad, v.AnsweredPerSecond, v.CPUPerPartMicros, v.PeakConnections, v.HeldConnections, v.Refused)
+			fmt.Fprintf(out, " %7.4f %8.0f %7.1f %6d %6d %8d", v.ExtraLoad, v.AnsweredPartsPerSecond, v.CPUPerPartMicros, v.PeakConnections, v.OpenConnections, v.RefusedConnections)
 		}
 		fmt.Fprintln(out)
 	}
@@ -147,7 +147,7 @@
 
 // String renders the middle and the range.
 func (s Spread) String() string {
-	return fmt.Sprintf("%.2f (%.2f..%.2f)", s.Middle, s.Low, s.High)
+	return fmt.Sprintf("%.2f (%.2f..%.2f)", s.Median, s.Low, s.High)
 }
 
 // WriteJSON writes the report for programs.
--- a/internal/experiment/slopes.go
+++ b/internal/experiment/slopes.go
@@ -66,7 +66,7 @@
 	}
 	for _, key := range order {
 		sorted := slices.Sorted(slices.Values(values[key]))
-		spread := Spread{Low: sorted[0], Middle: sorted[len(sorted)/2], High: sorted[len(sorted)-1]}
+		spread := Spread{Low: sorted[0], Median: sorted[len(sorted)/2], High: sorted[len(sorted)-1]}
 		s.Slopes = append(s.Slopes, Slope{Name: key.name, Unit: key.unit, Spread: spread})
 	}
 	return nil
@@ -75,7 +75,7 @@
 // WriteText writes the slopes for people.
 func (s Slopes) WriteText(out io.Writer) {
 	for _, slope := range s.Slopes {
-		fmt.Fprintf(out, "%-58s %12.2f %-8s (%.2f..%.2f)\n", slope.Name, slope.Middle, slope.Unit, slope.Low, slope.High)
+		fmt.Fprintf(out, "%-58s %12.2f %-8s (%.2f..%.2f)\n", slope.Name, slope.Median, slope.Unit, slope.Low, slope.High)
 	}
 }
 
