--- a/internal/fleet/deadly_test.go
+++ b/internal/fleet/deadly_test.go
@@ -13,11 +13,11 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-// A question ends each replica that begins to run it. The caller asks it again, through any entry, once the replicas
-// are back. Each try is judged by itself: owners and entries keep nothing on a question beyond its end.
+// Guards against a query that crashes every replica that runs it and that the caller repeats, through any entry, once the
+// replicas have restarted. At most sendsLeft attempts may crash replicas after three have crashed.
 func TestAQuestionThatEndsReplicasIsSetAside(t *testing.T) {
 	const (
-		tries       = 9
+		attempts    = 9
 		enoughEnded = 3
 		sendsLeft   = 3
 	)
@@ -28,24 +28,24 @@
 		require.NoError(t, err)
 		replicas = append(replicas, one)
 	}
-	f := startFleet(t, 3, testText(replicas))
+	f := startFleet(t, 3, testConfig(replicas))
 	caller := client.New()
 	defer caller.Close()
-	ask := func(entry int, question string) (api.QueryReply, error) {
+	query := func(entry int, question string) (api.QueryReply, error) {
 		return caller.Query(context.Background(), f.Members()[entry].Addresses.Caller, "top", api.QueryRequest{Customer: "chef", Question: json.RawMessage(question)})
 	}
 	ended, late := 0, 0
-	for i := range tries {
+	for i := range attempts {
 		for entry := range f.Members() {
 			require.Eventually(t, func() bool {
-				reply, err := ask(entry, `"harmless"`)
+				reply, err := query(entry, `"harmless"`)
 				return err == nil && reply.Outcome == "done"
-			}, awaitLimit, awaitPause, "other questions are answered")
+			}, awaitTimeout, awaitInterval, "other queries are answered")
 		}
 		before := ended
-		_, _ = ask(i%len(f.Members()), `"deadly"`)
+		_, _ = query(i%len(f.Members()), `"deadly"`)
 		for at, one := range replicas {
-			// Its address is free again once it has ended.
+			// The address can be bound only if the replica has ended.
 			again, err := standin.StartUpstream(one.Address(), behaviour)
 			if err == nil {
 				replicas[at] = again
@@ -59,5 +59,5 @@
 	for _, one := range replicas {
 		require.NoError(t, one.Close())
 	}
-	require.LessOrEqual(t, late, sendsLeft, "tries that were begun after it had ended three")
+	require.LessOrEqual(t, late, sendsLeft, "attempts that ended replicas after three had ended")
 }
--- a/internal/fleet/emulation.go
+++ b/internal/fleet/emulation.go
@@ -8,17 +8,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-// maxReplicas bounds an emulation, so that one process can hold it.
+// maxReplicas keeps an emulation small enough for one process.
 const maxReplicas = 1000
 
-// Replica is one emulated replica.
+// Replica is an emulated replica of a service.
 type Replica struct {
 	*standin.Upstream
 	Service  string
 	listener *limitedListener
 }
 
-// Connections reports the replica's connections so far.
+// Connections returns the replica's connection counts since its start.
 func (r *Replica) Connections() ConnectionCounts { return r.listener.counts() }
 
 // Emulation is a running set of emulated replicas.
@@ -45,15 +45,15 @@
 
 func (e *Emulation) startReplica(service ServiceShape, seed uint64) (*Replica, error) {
 	if len(e.Replicas) >= maxReplicas {
-		return nil, fault.NotRun(fault.CodeBadRequest, fmt.Sprintf("the text has more than %d replicas", maxReplicas), "emulate a smaller text")
+		return nil, fault.NotRun(fault.CodeBadRequest, fmt.Sprintf("the configuration has more than %d replicas", maxReplicas), "emulate a smaller configuration")
 	}
-	listener, err := net.Listen("tcp", anyPort)
+	listener, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return nil, fault.Step("listen for an emulated replica", err)
 	}
-	limited := &limitedListener{Listener: listener, limit: service.Connections, cost: service.ConnectCost}
-	draw := e.Shape.ServiceTime.Sampler(seed + uint64(len(e.Replicas)))
-	behaviour := standin.Behaviour{Slots: service.Slots, Versions: e.Shape.Versions, Draw: draw}
+	limited := &limitedListener{Listener: listener, maxConnections: service.Connections, connectCost: service.ConnectCost}
+	sampleServiceTime := e.Shape.ServiceTime.Sampler(seed + uint64(len(e.Replicas)))
+	behaviour := standin.Behaviour{Slots: service.Slots, Versions: e.Shape.Versions, Draw: sampleServiceTime}
 	return &Replica{
 		Upstream: standin.StartUpstreamOn(limited, behaviour),
 		Service:  service.Name,
@@ -61,14 +61,14 @@
 	}, nil
 }
 
-// Close ends all replicas.
+// Close stops all replicas.
 func (e *Emulation) Close() {
 	for _, replica := range e.Replicas {
 		_ = replica.Close()
 	}
 }
 
-// Received counts the requests that reached the replicas.
+// Received returns the number of requests that reached the replicas.
 func (e *Emulation) Received() int {
 	sum := 0
 	for _, replica := range e.Replicas {
@@ -77,7 +77,7 @@
 	return sum
 }
 
-// Connections sums the replicas' connections; Peak is the highest of any.
+// Connections sums the replicas' connection counts; Peak is the highest of any one replica.
 func (e *Emulation) Connections() ConnectionCounts {
 	var sum ConnectionCounts
 	for _, replica := range e.Replicas {
--- a/internal/fleet/evidence_test.go
+++ b/internal/fleet/evidence_test.go
@@ -20,8 +20,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// askTop asks the service top once for what the upstreams then see.
-func askTop(t *testing.T, f *Fleet) {
+// queryTop sends one query to the service top, so that its replicas receive requests.
+func queryTop(t *testing.T, f *Fleet) {
 	t.Helper()
 	caller := client.New()
 	defer caller.Close()
@@ -29,9 +29,9 @@
 	require.NoError(t, err)
 }
 
-// Something in front of a replica hands a chef the list of another kitchen. The
-// reply is dropped and the answer thin; the operators must be told which address
-// it was, how often and since when.
+// Guards against replies that carry another request's id, as a faulty proxy in
+// front of a replica sends them, being dropped without a report: the problem list
+// must name the replica's address and the count.
 func TestCrossedRepliesAreAProblemOfTheirAddress(t *testing.T) {
 	crossed := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(upstream.HeaderRequestID, "another request's")
@@ -40,10 +40,10 @@
 	t.Cleanup(crossed.Close)
 	address := crossed.Listener.Addr().String()
 	text := fmt.Sprintf("version: 1\nindexes: [i]\nservices: [{name: top, index: i, timeout: 1s, shards: [{replicas: [{address: %q}]}]}]\n", address)
-	f := startWith(t, Options{Nodes: 1, LogOutput: io.Discard}, text)
-	askTop(t, f)
-	report := get[api.ProblemsReport](t, f.Members()[0].Addresses.Operator, "/v1/problems")
-	require.Equal(t, 1, kinds(report)[observe.KindCrossedReply])
+	f := startFleetWithOptions(t, Options{Nodes: 1, LogOutput: io.Discard}, text)
+	queryTop(t, f)
+	report := getJSON[api.ProblemsReport](t, f.Members()[0].Addresses.Operator, "/v1/problems")
+	require.Equal(t, 1, countByKind(report)[observe.KindCrossedReply])
 	for _, problem := range report.Nodes[0].Problems {
 		if observe.Kind(problem.Kind) == observe.KindCrossedReply {
 			require.Equal(t, "upstream "+address, problem.Subject)
@@ -53,19 +53,19 @@
 	}
 }
 
-// One replica is gone; both the owner, by its requests, and the probes of idle
-// replicas find out. Each named it in its own way, and an operator who counted
-// problems saw two dead replicas.
+// Guards against listing one dead replica as two problems: the owner detects it
+// by its requests and the prober of idle replicas by its probes, and each used to
+// name it differently.
 func TestADeadReplicaIsListedOnce(t *testing.T) {
 	upstreams := startUpstreams(t, 2)
 	var log logs.Buffer
-	f := startWith(t, Options{Nodes: 1, LogOutput: &log, EditSettings: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }}, testText(upstreams))
+	f := startFleetWithOptions(t, Options{Nodes: 1, LogOutput: &log, EditSettings: func(s *settings.Settings) { s.Probing.ReportWithin = 600 * time.Millisecond }}, testConfig(upstreams))
 	require.NoError(t, upstreams[0].Close())
 	require.Eventually(t, func() bool {
-		askTop(t, f)
+		queryTop(t, f)
 		text := log.String()
 		return strings.Contains(text, `"to":"down"`) && strings.Contains(text, `"event":"replica_down"`)
-	}, awaitLimit, awaitPause, "both have found out")
-	report := get[api.ProblemsReport](t, f.Members()[0].Addresses.Operator, "/v1/problems")
-	require.Equal(t, 1, kinds(report)[observe.KindReplicaDown], "%v", report)
+	}, awaitTimeout, awaitInterval, "the owner and the prober have detected it")
+	report := getJSON[api.ProblemsReport](t, f.Members()[0].Addresses.Operator, "/v1/problems")
+	require.Equal(t, 1, countByKind(report)[observe.KindReplicaDown], "%v", report)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs a whole small fleet in one process on loopback: stand-in
-// platform, stand-in upstreams and nodes. The demo and tests use it.
+// Package fleet runs a small fleet in one process on loopback: nodes and a
+// stand-in platform. It also emulates upstream replicas for the demo and tests.
 package fleet
 
 import (
@@ -23,16 +23,16 @@
 )
 
 const (
-	anyPort      = "127.0.0.1:0"
-	validity     = 30 * 24 * time.Hour
-	startTimeout = 20 * time.Second
-	pollPause    = 5 * time.Millisecond
-	dataCentres  = 3
-	// entriesTTL is short, so that planned stops are.
+	loopbackAnyPort     = "127.0.0.1:0"
+	certificateValidity = 30 * 24 * time.Hour
+	startTimeout        = 20 * time.Second
+	pollInterval        = 5 * time.Millisecond
+	dataCentreCount     = 3
+	// entriesTTL is short to keep planned stops short.
 	entriesTTL = 300 * time.Millisecond
 )
 
-// Member is one running node.
+// Member is a running node of the fleet.
 type Member struct {
 	ID        core.NodeID
 	Node      *app.Node
@@ -45,35 +45,35 @@
 type Fleet struct {
 	Platform  *standin.Platform
 	authority *keys.Authority
-	logTo     io.Writer
+	logOutput io.Writer
 	members   []*Member
-	// added counts the nodes started so far: an id is never used twice.
-	added       int
-	alter       func(*settings.Settings)
-	upstreamVMs []confservice.VM
+	// nodesStarted numbers the nodes, so that no id is used twice.
+	nodesStarted int
+	editSettings func(*settings.Settings)
+	upstreamVMs  []confservice.VM
 }
 
-// Options choose a fleet.
+// Options configure a fleet.
 type Options struct {
 	Nodes     int
 	LogOutput io.Writer
-	// EditSettings, when set, changes each node's settings before its start.
+	// EditSettings, if set, changes each node's settings before the node starts.
 	EditSettings func(*settings.Settings)
-	// UpstreamVMs are in the VM list beside the nodes.
+	// UpstreamVMs are listed in the VM list in addition to the nodes.
 	UpstreamVMs []confservice.VM
 }
 
-// Start runs a platform and nodes. The text is published by the caller.
+// Start starts a platform and nodes. The caller publishes the configuration.
 func Start(options Options) (*Fleet, error) {
-	authority, err := keys.NewAuthority(time.Now(), validity)
+	authority, err := keys.NewAuthority(time.Now(), certificateValidity)
 	if err != nil {
 		return nil, err
 	}
-	stand, err := standin.StartPlatform(anyPort)
+	platform, err := standin.StartPlatform(loopbackAnyPort)
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Platform: stand, authority: authority, logTo: options.LogOutput, alter: options.EditSettings, upstreamVMs: options.UpstreamVMs}
+	fleet := &Fleet{Platform: platform, authority: authority, logOutput: options.LogOutput, editSettings: options.EditSettings, upstreamVMs: options.UpstreamVMs}
 	for range options.Nodes {
 		if _, err := fleet.Add(); err != nil {
 			fleet.Close()
@@ -85,28 +85,28 @@
 
 // Add starts one more node and lists its VM as live.
 func (f *Fleet) Add() (*Member, error) {
-	number := f.added
-	f.added++
-	id := core.NodeID(fmt.Sprintf("vm-%d", number+1))
-	pair, err := f.authority.Issue(string(id), time.Now(), validity)
+	index := f.nodesStarted
+	f.nodesStarted++
+	id := core.NodeID(fmt.Sprintf("vm-%d", index+1))
+	pair, err := f.authority.Issue(string(id), time.Now(), certificateValidity)
 	if err != nil {
 		return nil, err
 	}
 	s := &settings.Settings{
 		Node:            string(id),
-		DataCentre:      fmt.Sprintf("dc%d", number%dataCentres+1),
-		CallerAddress:   anyPort,
-		PeerAddress:     anyPort,
-		OperatorAddress: anyPort,
+		DataCentre:      fmt.Sprintf("dc%d", index%dataCentreCount+1),
+		CallerAddress:   loopbackAnyPort,
+		PeerAddress:     loopbackAnyPort,
+		OperatorAddress: loopbackAnyPort,
 		Platform:        f.Platform.URL(),
 		EntriesTTL:      entriesTTL,
 		TLS:             settings.TLS{Authority: string(f.authority.Certificate), Certificate: string(pair.Certificate), Key: string(pair.Key)},
 	}
 	settings.Fill(s)
-	if f.alter != nil {
-		f.alter(s)
+	if f.editSettings != nil {
+		f.editSettings(s)
 	}
-	member, err := f.start(id, s)
+	member, err := f.startNode(id, s)
 	if err != nil {
 		return nil, err
 	}
@@ -115,8 +115,8 @@
 	return member, nil
 }
 
-func (f *Fleet) start(id core.NodeID, s *settings.Settings) (*Member, error) {
-	log, err := logs.New(f.logTo, s.LogLevel)
+func (f *Fleet) startNode(id core.NodeID, s *settings.Settings) (*Member, error) {
+	log, err := logs.New(f.logOutput, s.LogLevel)
 	if err != nil {
 		return nil, err
 	}
@@ -139,17 +139,17 @@
 	return member, nil
 }
 
-// Members returns the nodes that were started, in order.
+// Members returns the nodes in the VM list, in the order of their start.
 func (f *Fleet) Members() []*Member { return f.members }
 
-// Stop stops a member as planned; its VM stays in the list until RemoveFromVMList.
+// Stop performs a planned stop of a member; its VM stays in the VM list until RemoveFromVMList.
 func (f *Fleet) Stop(member *Member) error {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	return member.app.Stop(ctx)
 }
 
-// RemoveFromVMList takes a member's VM off the list.
+// RemoveFromVMList removes a member's VM from the VM list.
 func (f *Fleet) RemoveFromVMList(member *Member) {
 	kept := f.members[:0]
 	for _, one := range f.members {
@@ -169,21 +169,21 @@
 	f.Platform.SetVMs(vms)
 }
 
-// AwaitReady waits until every node serves the revision with the full view.
+// AwaitReady waits until every node has the configuration revision in force and sees all nodes.
 func (f *Fleet) AwaitReady(ctx context.Context, revision uint64) error {
 	for {
-		if f.ready(revision) {
+		if f.isReady(revision) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fault.NotRun(fault.CodeNotReady, "the fleet did not become ready in time", "look at the nodes' logs")
-		case <-time.After(pollPause):
+			return fault.NotRun(fault.CodeNotReady, fmt.Sprintf("the fleet of %d nodes did not become ready at configuration revision %d in time", len(f.members), revision), "see the nodes' logs")
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (f *Fleet) ready(revision uint64) bool {
+func (f *Fleet) isReady(revision uint64) bool {
 	for _, member := range f.members {
 		status := member.Node.Status()
 		if status.ConfigRevision < revision || status.Nodes != len(f.members) {
@@ -193,12 +193,12 @@
 	return true
 }
 
-// Close stops all that is left.
+// Close stops all remaining nodes and the platform.
 func (f *Fleet) Close() {
-	var stopped sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, member := range f.members {
-		stopped.Go(func() { _ = f.Stop(member) })
+		stopping.Go(func() { _ = f.Stop(member) })
 	}
-	stopped.Wait()
+	stopping.Wait()
 	_ = f.Platform.Close()
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,11 +17,11 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-const awaitLimit = 20 * time.Second
+const awaitTimeout = 20 * time.Second
 
-// testText writes services base-01..n and top, each of one shard with two
-// replicas at the given addresses.
-func testText(upstreams []*standin.Upstream) string {
+// testConfig describes the service top and the services base-02..n that it
+// depends on, each of one shard with two of the given replicas.
+func testConfig(upstreams []*standin.Upstream) string {
 	var b strings.Builder
 	b.WriteString("version: 1\nindexes: [prices]\nservices:\n")
 	for i := 0; i+1 < len(upstreams); i += 2 {
@@ -60,7 +60,7 @@
 	f, err := Start(Options{Nodes: nodes, LogOutput: io.Discard})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
 	require.NoError(t, f.AwaitReady(ctx, f.Platform.Publish(text)))
 	return f
@@ -68,7 +68,7 @@
 
 func TestWholePath(t *testing.T) {
 	upstreams := startUpstreams(t, 8)
-	f := startFleet(t, 2, testText(upstreams))
+	f := startFleet(t, 2, testConfig(upstreams))
 	caller := client.New()
 	defer caller.Close()
 	entries, err := caller.Entries(context.Background(), f.Members()[0].Addresses.Caller)
@@ -85,7 +85,7 @@
 
 func TestThinAnswerNamesWhatIsMissing(t *testing.T) {
 	upstreams := startUpstreams(t, 8)
-	f := startFleet(t, 2, testText(upstreams))
+	f := startFleet(t, 2, testConfig(upstreams))
 	for _, u := range upstreams[6:] {
 		u.Change(func(b *standin.Behaviour) { b.Draining = true })
 	}
--- a/internal/fleet/listener.go
+++ b/internal/fleet/listener.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// limitedListener emulates a server that takes few connections, each at a
-// cost: a connection above the limit is reset, and the first read of one that
-// is taken comes after the cost.
+// limitedListener emulates a server that accepts few connections and spends time
+// on each new one: a connection above the limit is reset, and the first read of an
+// accepted connection is delayed by connectCost.
 type limitedListener struct {
 	net.Listener
-	limit int
-	cost  time.Duration
+	maxConnections int
+	connectCost    time.Duration
 
-	mutex    sync.Mutex
-	counters ConnectionCounts
+	mutex   sync.Mutex
+	current ConnectionCounts
 }
 
-// ConnectionCounts are the connections of one emulated replica.
+// ConnectionCounts counts the connections of an emulated replica: open now, most open at once, accepted and refused.
 type ConnectionCounts struct {
 	Open     int
 	Peak     int
@@ -33,61 +33,61 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.take() {
+		if l.tryAcquire() {
 			return &limitedConn{Conn: connection, listener: l}, nil
 		}
-		reset(connection)
+		resetConnection(connection)
 	}
 }
 
-func reset(connection net.Conn) {
+func resetConnection(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = connection.Close()
 }
 
-func (l *limitedListener) take() bool {
+func (l *limitedListener) tryAcquire() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.limit > 0 && l.counters.Open >= l.limit {
-		l.counters.Refused++
+	if l.maxConnections > 0 && l.current.Open >= l.maxConnections {
+		l.current.Refused++
 		return false
 	}
-	l.counters.Open++
-	l.counters.Accepted++
-	l.counters.Peak = max(l.counters.Peak, l.counters.Open)
+	l.current.Open++
+	l.current.Accepted++
+	l.current.Peak = max(l.current.Peak, l.current.Open)
 	return true
 }
 
 func (l *limitedListener) release() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.counters.Open--
+	l.current.Open--
 }
 
 func (l *limitedListener) counts() ConnectionCounts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.counters
+	return l.current
 }
 
-// limitedConn is one connection that was taken.
+// limitedConn is an accepted connection that counts towards the limit.
 type limitedConn struct {
 	net.Conn
-	listener *limitedListener
-	opened   sync.Once
-	closed   sync.Once
+	listener        *limitedListener
+	connectCostOnce sync.Once
+	releaseOnce     sync.Once
 }
 
 // Read implements net.Conn.
 func (c *limitedConn) Read(buffer []byte) (int, error) {
-	c.opened.Do(func() { time.Sleep(c.listener.cost) })
+	c.connectCostOnce.Do(func() { time.Sleep(c.listener.connectCost) })
 	return c.Conn.Read(buffer)
 }
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	c.closed.Do(c.listener.release)
+	c.releaseOnce.Do(c.listener.release)
 	return c.Conn.Close()
 }
--- a/internal/fleet/paired_test.go
+++ b/internal/fleet/paired_test.go
@@ -23,9 +23,9 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-// ledgerText writes the service invoices, which must not be repeated, with one
-// shard for each upstream. Their data centre makes the third node the owner.
-func ledgerText(upstreams []*standin.Upstream) string {
+// ledgerConfig describes the non-idempotent service invoices with one shard for
+// each upstream. The replicas' data centre makes the third node their owner.
+func ledgerConfig(upstreams []*standin.Upstream) string {
 	var b strings.Builder
 	b.WriteString("version: 1\nindexes: [ledger]\nservices:\n  - name: invoices\n    index: ledger\n    idempotent: false\n")
 	b.WriteString("    slots: 32\n    connections: 200\n    timeout: 5s\n    shards:\n")
@@ -35,9 +35,10 @@
 	return b.String()
 }
 
-// heldSubmits are invoices whose home is the first node, sent through the second.
-// Each shard of the former layout runs one, the others wait at the third.
-type heldSubmits struct {
+// blockedSubmits are invoices whose home is the first node and that are sent
+// through the second. Each shard of the former layout runs one until release is
+// closed; the others wait at the third node, the owner.
+type blockedSubmits struct {
 	upstreams []*standin.Upstream
 	fleet     *Fleet
 	caller    *client.Client
@@ -50,26 +51,26 @@
 const (
 	formerShards = 2
 	newShards    = 3
-	heldCount    = 12
+	blockedCount = 12
 )
 
-func startHeldSubmits(t *testing.T) *heldSubmits {
-	h := &heldSubmits{
+func startBlockedSubmits(t *testing.T) *blockedSubmits {
+	h := &blockedSubmits{
 		upstreams: startUpstreams(t, formerShards+newShards),
 		caller:    client.New(),
-		keys:      make([]string, heldCount),
-		outcomes:  make([]string, heldCount),
+		keys:      make([]string, blockedCount),
+		outcomes:  make([]string, blockedCount),
 		release:   make(chan struct{}),
 	}
 	t.Cleanup(h.caller.Close)
 	for _, u := range h.upstreams {
 		u.Change(func(b *standin.Behaviour) { b.Slots, b.Hold = 0, h.release })
 	}
-	h.fleet = startFleet(t, 3, ledgerText(h.upstreams[:formerShards]))
+	h.fleet = startFleet(t, 3, ledgerConfig(h.upstreams[:formerShards]))
 	for i := range h.keys {
-		h.keys[i] = freshKey(t, h.caller, h.fleet.Members()[0].Addresses.Caller)
+		h.keys[i] = newKey(t, h.caller, h.fleet.Members()[0].Addresses.Caller)
 		h.ended.Go(func() {
-			reply, refusal := h.caller.Submit(context.Background(), h.fleet.Members()[1].Addresses.Caller, "invoices", invoice(h.keys[i]))
+			reply, refusal := h.caller.Submit(context.Background(), h.fleet.Members()[1].Addresses.Caller, "invoices", invoiceRequest(h.keys[i]))
 			h.outcomes[i] = reply.Outcome + refusal.Outcome
 		})
 	}
@@ -78,15 +79,15 @@
 		shards[xxhash.Sum64String(key)%formerShards] = true
 	}
 	require.Eventually(t, func() bool {
-		return len(ran(h.upstreams)) == len(shards) && ownerWaits(t, h.fleet) == heldCount
-	}, awaitLimit, pollPause)
+		return len(runsByKey(h.upstreams)) == len(shards) && countOwnerRequests(t, h.fleet) == blockedCount
+	}, awaitTimeout, pollInterval)
 	return h
 }
 
-// ownerWaits counts the requests that the third node, the owner, holds.
-func ownerWaits(t *testing.T, f *Fleet) int {
+// countOwnerRequests counts the requests that are waiting or in flight at the third node, the owner.
+func countOwnerRequests(t *testing.T, f *Fleet) int {
 	held := 0
-	for _, shard := range get[app.Dump](t, f.Members()[2].Addresses.Operator, "/v1/dump").OwnerShards {
+	for _, shard := range getJSON[app.Dump](t, f.Members()[2].Addresses.Operator, "/v1/dump").OwnerShards {
 		held += shard.Waiting
 		for _, replica := range shard.Replicas {
 			held += replica.InFlight
@@ -95,9 +96,9 @@
 	return held
 }
 
-// requireRightShard checks that each key ran at most once, where its hash says by
-// the layout that it ran in.
-func (h *heldSubmits) requireRightShard(t *testing.T) {
+// requireCorrectShards checks that each key ran at most once, at the shard that its
+// hash selects in the layout in which it ran.
+func (h *blockedSubmits) requireCorrectShards(t *testing.T) {
 	for i, u := range h.upstreams {
 		for key := range u.Submits() {
 			hash := xxhash.Sum64String(key)
@@ -108,91 +109,92 @@
 			}
 		}
 	}
-	for key, runs := range ran(h.upstreams) {
+	for key, runs := range runsByKey(h.upstreams) {
 		require.Equal(t, 1, runs, key)
 	}
 }
 
-// Invoices are at their upstreams, and others wait at the owner, when their home
-// dies and the operators split the service. A key's hash names another shard now.
-// What waits must not be recorded at the replica that took over its shard's
-// number, nor a retry through another entry at the new shard: nobody is left who
-// knows what ran, so callers are told that it is not known.
+// Guards against recording an invoice twice when its home crashes and a new layout
+// maps its key to another shard. Invoices in flight or waiting at the owner must
+// not run at the replica that now has their shard's number, nor may a retry through
+// another entry run at the new shard: no node knows any more which ran, so callers
+// receive the outcome unknown.
 func TestALostHomeDuringARepartitionRunsNothingTwice(t *testing.T) {
-	h := startHeldSubmits(t)
+	h := startBlockedSubmits(t)
 	home, other, owner := h.fleet.Members()[0], h.fleet.Members()[1], h.fleet.Members()[2]
 	home.Node.Kill()
-	revision := h.fleet.Platform.Publish(ledgerText(h.upstreams[formerShards:]))
+	revision := h.fleet.Platform.Publish(ledgerConfig(h.upstreams[formerShards:]))
 	require.Eventually(t, func() bool {
 		return other.Node.Status().ConfigRevision == revision && owner.Node.Status().ConfigRevision == revision
-	}, awaitLimit, pollPause)
+	}, awaitTimeout, pollInterval)
 	close(h.release)
 	h.ended.Wait()
 	for i, key := range h.keys {
 		require.Equal(t, core.Unknown.String(), h.outcomes[i])
 		for _, entry := range []*Member{other, owner} {
-			reply, refusal := h.caller.Submit(context.Background(), entry.Addresses.Caller, "invoices", invoice(key))
+			reply, refusal := h.caller.Submit(context.Background(), entry.Addresses.Caller, "invoices", invoiceRequest(key))
 			require.Empty(t, reply.Outcome)
 			require.Equal(t, core.Unknown.String(), refusal.Outcome)
 			require.Equal(t, fault.CodeHomeGone, refusal.Code)
 		}
 	}
-	h.requireRightShard(t)
-	require.Empty(t, ran(h.upstreams[formerShards:]), "without its home a request is not routed anew")
+	h.requireCorrectShards(t)
+	require.Empty(t, runsByKey(h.upstreams[formerShards:]), "a request without its home is not rerouted")
 }
 
-// The home lives while the service is split: it routes anew what waited, and
-// retries through another entry get the first outcome, not a second run.
+// Guards against lost or repeated submits when a service is split while their home
+// is alive: the home reroutes the waiting submits, and retries through another
+// entry return the first outcome without a second run.
 func TestARepartitionRecordsWaitingSubmitsAtTheRightShard(t *testing.T) {
-	h := startHeldSubmits(t)
-	revision := h.fleet.Platform.Publish(ledgerText(h.upstreams[formerShards:]))
-	require.Eventually(t, func() bool { return h.fleet.ready(revision) }, awaitLimit, pollPause)
+	h := startBlockedSubmits(t)
+	revision := h.fleet.Platform.Publish(ledgerConfig(h.upstreams[formerShards:]))
+	require.Eventually(t, func() bool { return h.fleet.isReady(revision) }, awaitTimeout, pollInterval)
 	close(h.release)
 	h.ended.Wait()
-	runs := ran(h.upstreams)
-	t.Logf("%d of %d invoices ran; outcomes: %v", len(runs), heldCount, h.outcomes)
+	runs := runsByKey(h.upstreams)
+	t.Logf("%d of %d invoices ran; outcomes: %v", len(runs), blockedCount, h.outcomes)
 	for i, key := range h.keys {
-		requireTrue(t, key, h.outcomes[i:i+1], runs[key])
+		requireOutcomesMatchRuns(t, key, h.outcomes[i:i+1], runs[key])
 		require.NotEqual(t, core.Unknown.String(), h.outcomes[i], "nothing was lost")
-		reply, refusal := h.caller.Submit(context.Background(), h.fleet.Members()[2].Addresses.Caller, "invoices", invoice(key))
+		reply, refusal := h.caller.Submit(context.Background(), h.fleet.Members()[2].Addresses.Caller, "invoices", invoiceRequest(key))
 		require.Equal(t, h.outcomes[i], reply.Outcome+refusal.Outcome)
 	}
-	h.requireRightShard(t)
-	require.Equal(t, runs, ran(h.upstreams), "a retry ran")
+	h.requireCorrectShards(t)
+	require.Equal(t, runs, runsByKey(h.upstreams), "a retry ran")
 }
 
-// An upstream drains and tells only the owner of its shard, which is stopped as
-// planned right then. The drain must outlive that node: no chef's question is cut
-// off or thin, and nodes that own the shard later give the upstream no work.
+// Guards against losing a drain that only the owner of the shard has observed when
+// that owner is stopped as planned: no query may fail or be incomplete, and later
+// owners of the shard must send the draining upstream no requests.
 func TestAPlannedStopOfTheOnlyWitnessOfADrain(t *testing.T) {
 	const callers = 4
 	upstreams := startUpstreams(t, 2)
 	for _, u := range upstreams {
 		u.Change(func(b *standin.Behaviour) { b.Slots, b.Service = 16, 5*time.Millisecond })
 	}
-	text := strings.ReplaceAll(testText(upstreams), "timeout: 5s", "timeout: 5s\n    slots: 16\n    connections: 100")
+	text := strings.ReplaceAll(testConfig(upstreams), "timeout: 5s", "timeout: 5s\n    slots: 16\n    connections: 100")
 	f := startFleet(t, 4, strings.ReplaceAll(text, "dc1", "dc3"))
-	stays, owner := f.Members()[0], f.Members()[2]
-	book := &addressBook{caller: client.New()}
-	defer book.caller.Close()
-	ask := func(address string) {
-		reply, err := book.caller.Query(context.Background(), address, "top", api.QueryRequest{Customer: "chef", Question: json.RawMessage(`"pork"`)})
+	remaining, owner := f.Members()[0], f.Members()[2]
+	cache := &entryCache{caller: client.New()}
+	defer cache.caller.Close()
+	query := func(address string) {
+		reply, err := cache.caller.Query(context.Background(), address, "top", api.QueryRequest{Customer: "chef", Question: json.RawMessage(`"pork"`)})
 		if assert.NoError(t, err) {
 			assert.False(t, reply.Coverage.Thin, "missing: %v", reply.Coverage.Missing)
 		}
 	}
-	ask(stays.Addresses.Caller)
-	var over atomic.Bool
+	query(remaining.Addresses.Caller)
+	var stopped atomic.Bool
 	var running sync.WaitGroup
 	for range callers {
 		running.Go(func() {
-			for !over.Load() {
-				ask(stays.Addresses.Caller)
+			for !stopped.Load() {
+				query(remaining.Addresses.Caller)
 			}
 		})
 	}
 	upstreams[0].Change(func(b *standin.Behaviour) { b.Draining = true })
-	require.Eventually(t, func() bool { return owner.Node.Status().DrainedUpstreams == 1 }, awaitLimit, pollPause)
+	require.Eventually(t, func() bool { return owner.Node.Status().DrainedUpstreams == 1 }, awaitTimeout, pollInterval)
 	require.NoError(t, f.Stop(owner))
 	f.RemoveFromVMList(owner)
 	require.Eventually(t, func() bool {
@@ -202,37 +204,38 @@
 			}
 		}
 		return true
-	}, awaitLimit, pollPause)
-	over.Store(true)
+	}, awaitTimeout, pollInterval)
+	stopped.Store(true)
 	running.Wait()
-	// A node that never spoke to the upstream takes its shard over.
-	var fresh *Member
-	for range dataCentres {
+	// A node that has had no contact with the upstream becomes the owner of its shard.
+	var joined *Member
+	for range dataCentreCount {
 		var err error
-		fresh, err = f.Add()
+		joined, err = f.Add()
 		require.NoError(t, err)
-		if fresh.vm.DataCentre == "dc3" {
+		if joined.vm.DataCentre == "dc3" {
 			break
 		}
 	}
-	require.Eventually(t, func() bool { return seenByAll(f, fresh) }, awaitLimit, pollPause)
-	require.Eventually(t, func() bool { return fresh.Node.Status().DrainedUpstreams == 1 }, awaitLimit, pollPause, "a node that joins is told of drains")
+	require.Eventually(t, func() bool { return allNodesReady(f, joined) }, awaitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return joined.Node.Status().DrainedUpstreams == 1 }, awaitTimeout, pollInterval, "a joining node receives the drains")
 	before, answered := upstreams[0].Received(), upstreams[1].Received()
 	for range 50 {
-		ask(stays.Addresses.Caller)
+		query(remaining.Addresses.Caller)
 	}
-	require.Equal(t, before, upstreams[0].Received(), "new work for the drained upstream")
+	require.Equal(t, before, upstreams[0].Received(), "new requests for the drained upstream")
 	require.Equal(t, answered+50, upstreams[1].Received())
 }
 
-// A data centre is lost, its node and a replica of every shard, while the large
-// customer sends ten times what it may have in work. What is over its limit is
-// refused at once, with the time to come back, and not held; chefs who ask while
-// its questions fill all slots that are left get whole answers.
+// Guards against incomplete answers for other customers when a data centre is lost,
+// with a node and a replica of every shard, while one customer sends ten times its
+// in-flight limit. The excess must be refused at once with a retry-after time, and
+// queries of another customer must be answered completely although the first
+// customer's queries occupy the remaining slots.
 func TestALostDataCentreUnderASurgeStaysWhole(t *testing.T) {
-	const allowed, surge, chefs = 4, 40, 12
+	const limit, surge, chefs = 4, 40, 12
 	upstreams := startUpstreams(t, 6)
-	text := fmt.Sprintf("customers: [{name: large, in_flight: %d}, {name: chef, in_flight: %d}]\n", allowed, chefs) + testText(upstreams)
+	text := fmt.Sprintf("customers: [{name: large, in_flight: %d}, {name: chef, in_flight: %d}]\n", limit, chefs) + testConfig(upstreams)
 	f := startFleet(t, 3, text)
 	entry := f.Members()[0]
 	f.Members()[1].Node.Kill()
@@ -243,18 +246,18 @@
 		}
 		u.Change(func(b *standin.Behaviour) { b.Hold = release })
 	}
-	require.Eventually(t, func() bool { return entry.Node.Status().Nodes == 2 }, awaitLimit, pollPause)
+	require.Eventually(t, func() bool { return entry.Node.Status().Nodes == 2 }, awaitTimeout, pollInterval)
 	caller := client.New()
 	defer caller.Close()
-	minute := time.Minute.Milliseconds()
-	ask := func(customer core.Customer) (api.QueryReply, error) {
-		return caller.Query(context.Background(), entry.Addresses.Caller, "top", api.QueryRequest{Customer: customer, TimeoutMs: &minute})
+	minuteMs := time.Minute.Milliseconds()
+	query := func(customer core.Customer) (api.QueryReply, error) {
+		return caller.Query(context.Background(), entry.Addresses.Caller, "top", api.QueryRequest{Customer: customer, TimeoutMs: &minuteMs})
 	}
-	var refused, whole atomic.Int64
-	var asking sync.WaitGroup
+	var refused, complete atomic.Int64
+	var running sync.WaitGroup
 	for range surge {
-		asking.Go(func() {
-			reply, err := ask("large")
+		running.Go(func() {
+			reply, err := query("large")
 			if err == nil {
 				assert.False(t, reply.Coverage.Thin, "missing: %v", reply.Coverage.Missing)
 				return
@@ -265,25 +268,25 @@
 			refused.Add(1)
 		})
 	}
-	require.Eventually(t, func() bool { return refused.Load() == surge-allowed }, awaitLimit, pollPause)
+	require.Eventually(t, func() bool { return refused.Load() == surge-limit }, awaitTimeout, pollInterval)
 	for range chefs {
-		asking.Go(func() {
-			reply, err := ask("chef")
+		running.Go(func() {
+			reply, err := query("chef")
 			if assert.NoError(t, err) && assert.False(t, reply.Coverage.Thin, "missing: %v", reply.Coverage.Missing) {
-				whole.Add(1)
+				complete.Add(1)
 			}
 		})
 	}
-	require.Eventually(t, func() bool { return entry.Node.Status().InFlight == allowed+chefs }, awaitLimit, pollPause)
+	require.Eventually(t, func() bool { return entry.Node.Status().InFlight == limit+chefs }, awaitTimeout, pollInterval)
 	close(release)
-	asking.Wait()
-	require.EqualValues(t, surge-allowed, refused.Load())
-	require.EqualValues(t, chefs, whole.Load())
+	running.Wait()
+	require.EqualValues(t, surge-limit, refused.Load())
+	require.EqualValues(t, chefs, complete.Load())
 	received, services := 0, len(upstreams)/2
 	for _, u := range upstreams {
 		received += u.Received()
 	}
-	first := services * (allowed + chefs)
-	t.Logf("%d requests reached upstreams for %d first tries", received, first)
-	require.LessOrEqual(t, received, first+first/10+budget.DefaultFloor)
+	firstAttempts := services * (limit + chefs)
+	t.Logf("%d requests reached upstreams for %d first attempts", received, firstAttempts)
+	require.LessOrEqual(t, received, firstAttempts+firstAttempts/10+budget.DefaultFloor)
 }
--- a/internal/fleet/quarantine_test.go
+++ b/internal/fleet/quarantine_test.go
@@ -18,7 +18,7 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-func isDeadly(question string) bool { return strings.Contains(question, "deadly") }
+func endsReplica(question string) bool { return strings.Contains(question, "deadly") }
 
 // crashingFleet is a fleet with replicas that end when they run deadly requests and are restarted at their addresses.
 type crashingFleet struct {
@@ -41,7 +41,7 @@
 		c.behaviours[i] = standin.Behaviour{Slots: 2, Versions: []uint64{7}}
 	}
 	for _, index := range deadly {
-		c.behaviours[index].Deadly = isDeadly
+		c.behaviours[index].Deadly = endsReplica
 	}
 	for _, behaviour := range c.behaviours {
 		one, err := standin.StartUpstream("127.0.0.1:0", behaviour)
@@ -68,44 +68,44 @@
 	}
 }
 
-func (c *crashingFleet) ask(entry int, question string) (api.QueryReply, error) {
+func (c *crashingFleet) query(entry int, question string) (api.QueryReply, error) {
 	address := c.Members()[entry%len(c.Members())].Addresses.Caller
 	return c.caller.Query(context.Background(), address, "top", api.QueryRequest{Customer: "chef", Question: json.RawMessage(question)})
 }
 
-// awaitRecovery restarts ended replicas and waits until each entry answers a harmless question completely.
+// awaitRecovery restarts ended replicas and waits until each entry answers a harmless query completely.
 func (c *crashingFleet) awaitRecovery() {
 	c.t.Helper()
 	c.restartEnded()
 	for entry := range c.Members() {
 		require.Eventually(c.t, func() bool {
-			reply, err := c.ask(entry, `"harmless"`)
+			reply, err := c.query(entry, `"harmless"`)
 			return err == nil && !reply.Coverage.Thin
-		}, awaitLimit, awaitPause, "other questions are answered completely")
+		}, awaitTimeout, awaitInterval, "other queries are answered completely")
 	}
 }
 
-// runTries makes each try with all replicas running, and requires that at most maxLate tries end replicas after three
-// replicas have ended.
-func (c *crashingFleet) runTries(count int, try func(i int)) {
+// runAttempts makes each attempt with all replicas running, and requires that at most maxLate attempts end replicas after
+// three replicas have ended.
+func (c *crashingFleet) runAttempts(count int, attempt func(i int)) {
 	c.t.Helper()
 	const enoughEnded, maxLate = 3, 3
 	late := 0
 	for i := range count {
 		c.awaitRecovery()
 		before := c.ended
-		try(i)
+		attempt(i)
 		c.restartEnded()
 		if before >= enoughEnded && c.ended > before {
 			late++
 		}
 	}
 	require.GreaterOrEqual(c.t, c.ended, enoughEnded)
-	require.LessOrEqual(c.t, late, maxLate, "tries that ended replicas after three had ended")
+	require.LessOrEqual(c.t, late, maxLate, "attempts that ended replicas after three had ended")
 }
 
-// shardedText describes a service top whose shards have two replicas each.
-func shardedText(replicas []*standin.Upstream) string {
+// shardedConfig describes a service top whose shards have two replicas each.
+func shardedConfig(replicas []*standin.Upstream) string {
 	var b strings.Builder
 	b.WriteString("version: 1\nindexes: [prices]\nservices:\n  - name: top\n    index: prices\n    timeout: 5s\n    shards:\n")
 	for i := 0; i+1 < len(replicas); i += 2 {
@@ -114,17 +114,17 @@
 	return b.String()
 }
 
-// Guards against a question that ends the replicas of one service or shard while the others answer it: it is then answered
-// without that service or shard, and ends no further replicas.
+// Guards against a query that ends the replicas of one service or shard while the others answer it: it must be answered
+// without that service or shard, and end no further replicas.
 func TestAQuestionThatEndsSomeReplicasIsAnsweredWithoutThem(t *testing.T) {
-	for name, text := range map[string]func([]*standin.Upstream) string{"a service that the asked one depends on": testText, "a shard": shardedText} {
+	for name, text := range map[string]func([]*standin.Upstream) string{"a service that the asked one depends on": testConfig, "a shard": shardedConfig} {
 		t.Run(name, func(t *testing.T) {
 			c := startCrashingFleet(t, 6, text, 2, 3)
-			c.runTries(9, func(i int) { _, _ = c.ask(i, `"deadly"`) })
+			c.runAttempts(9, func(i int) { _, _ = c.query(i, `"deadly"`) })
 			c.awaitRecovery()
 			before := c.ended
 			for entry := range c.Members() {
-				reply, err := c.ask(entry, `"deadly"`)
+				reply, err := c.query(entry, `"deadly"`)
 				require.NoError(t, err)
 				require.True(t, reply.Coverage.Thin)
 				require.Equal(t, 2, reply.Coverage.Answered)
@@ -136,36 +136,36 @@
 	}
 }
 
-// Guards against a question that ends the replicas of all shards: it ends at most one replica of each of the six shards
+// Guards against a query that ends the replicas of all shards: it may end at most one replica of each of the six shards
 // and three more.
 func TestAQuestionThatEndsAllShardsEndsOneOfEach(t *testing.T) {
-	c := startCrashingFleet(t, 12, shardedText, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
-	c.runTries(9, func(i int) { _, _ = c.ask(i, `"deadly"`) })
+	c := startCrashingFleet(t, 12, shardedConfig, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
+	c.runAttempts(9, func(i int) { _, _ = c.query(i, `"deadly"`) })
 	require.LessOrEqual(t, c.ended, 6+3)
 }
 
-// Guards against a question that ends the replicas of all services of its closure: it ends at most one replica of each of
+// Guards against a query that ends the replicas of all services of its closure: it may end at most one replica of each of
 // the six services and three more.
 func TestAQuestionThatEndsAllServicesEndsOneOfEach(t *testing.T) {
-	c := startCrashingFleet(t, 12, testText, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
-	c.runTries(9, func(i int) { _, _ = c.ask(i, `"deadly"`) })
+	c := startCrashingFleet(t, 12, testConfig, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
+	c.runAttempts(9, func(i int) { _, _ = c.query(i, `"deadly"`) })
 	require.LessOrEqual(t, c.ended, 6+3)
 }
 
-// Guards against a node that joins later running a question that is set aside: all nodes refuse it as not run.
+// Guards against a node that joins later running a query that is set aside: all nodes must refuse it as not run.
 func TestANodeThatJoinsLaterRefusesAQuestionThatIsSetAside(t *testing.T) {
-	c := startCrashingFleet(t, 2, testText, 0, 1)
-	c.runTries(6, func(i int) { _, _ = c.ask(i, `"deadly"`) })
+	c := startCrashingFleet(t, 2, testConfig, 0, 1)
+	c.runAttempts(6, func(i int) { _, _ = c.query(i, `"deadly"`) })
 	joined, err := c.Add()
 	require.NoError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
 	require.NoError(t, c.AwaitReady(ctx, 1))
-	require.Eventually(t, func() bool { return joined.Node.SetAsideCount() > 0 }, awaitLimit, awaitPause, "the node learns of the question")
+	require.Eventually(t, func() bool { return joined.Node.SetAsideCount() > 0 }, awaitTimeout, awaitInterval, "the node receives the set-aside query")
 	c.awaitRecovery()
 	before := c.ended
 	for entry := range c.Members() {
-		_, err := c.ask(entry, `"deadly"`)
+		_, err := c.query(entry, `"deadly"`)
 		typed := fault.As(err)
 		require.Equal(t, fault.CodeSetAside, typed.Code)
 		require.Equal(t, core.NotRun, typed.Outcome)
@@ -175,15 +175,15 @@
 	require.Equal(t, before, c.ended)
 }
 
-// Guards against a submit that ends replicas and is retried under a new key each time: it is refused as not run.
+// Guards against a submit that ends replicas and is retried under a new key each time: it must be refused as not run.
 func TestASubmitThatEndsReplicasIsRefused(t *testing.T) {
 	text := func(replicas []*standin.Upstream) string {
-		return submitText(replicas) + fmt.Sprintf("  - name: top\n    index: ledger\n    timeout: 5s\n    shards:\n      - replicas:\n          - {address: %q, data_centre: dc1}\n", replicas[3].Address())
+		return submitConfig(replicas) + fmt.Sprintf("  - name: top\n    index: ledger\n    timeout: 5s\n    shards:\n      - replicas:\n          - {address: %q, data_centre: dc1}\n", replicas[3].Address())
 	}
 	c := startCrashingFleet(t, 4, text, 0, 1)
 	submit := func(i int, payload string) error {
 		address := c.Members()[i%len(c.Members())].Addresses.Caller
-		request := invoice(freshKey(t, c.caller, address))
+		request := invoiceRequest(newKey(t, c.caller, address))
 		request.Payload = json.RawMessage(payload)
 		reply, refusal := c.caller.Submit(context.Background(), address, "invoices", request)
 		if reply.Outcome == core.Done.String() {
@@ -191,10 +191,10 @@
 		}
 		return api.ErrorFromReply(refusal)
 	}
-	c.runTries(9, func(i int) {
+	c.runAttempts(9, func(i int) {
 		require.Eventually(t, func() bool {
 			return submit(i, fmt.Sprintf(`{"total":%d}`, time.Now().UnixNano())) == nil
-		}, awaitLimit, awaitPause, "other submits run")
+		}, awaitTimeout, awaitInterval, "other submits run")
 		_ = submit(i, `"deadly"`)
 	})
 	typed := fault.As(submit(0, `"deadly"`))
@@ -202,9 +202,9 @@
 	require.Equal(t, core.NotRun, typed.Outcome)
 }
 
-// Guards against setting aside harmless popular questions that are running when replicas crash for other reasons.
+// Guards against setting aside harmless frequent queries that are running when replicas crash for other reasons.
 func TestPopularQuestionsAreNotSetAsideWhileReplicasCrash(t *testing.T) {
-	c := startCrashingFleet(t, 4, shardedText)
+	c := startCrashingFleet(t, 4, shardedConfig)
 	ctx, stop := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	var mutex sync.Mutex
@@ -213,7 +213,7 @@
 	for number := range 6 {
 		callers.Go(func() {
 			for i := number; ctx.Err() == nil; i++ {
-				reply, err := c.ask(i, fmt.Sprintf(`"popular-%d"`, number%2))
+				reply, err := c.query(i, fmt.Sprintf(`"popular-%d"`, number%2))
 				mutex.Lock()
 				answered++
 				if err != nil && fault.As(err).Code == fault.CodeSetAside {
@@ -235,7 +235,7 @@
 	}
 	for i := range 40 {
 		from := count()
-		require.Eventually(t, func() bool { return count() >= from+20 }, awaitLimit, time.Millisecond)
+		require.Eventually(t, func() bool { return count() >= from+20 }, awaitTimeout, time.Millisecond)
 		require.NoError(t, c.replicas[i%len(c.replicas)].Close())
 		c.restartEnded()
 	}
--- a/internal/fleet/repartition_test.go
+++ b/internal/fleet/repartition_test.go
@@ -14,8 +14,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-// layoutText writes one service with one shard for each upstream.
-func layoutText(upstreams []*standin.Upstream) string {
+// layoutConfig describes one service with one shard for each upstream.
+func layoutConfig(upstreams []*standin.Upstream) string {
 	var b strings.Builder
 	b.WriteString("version: 1\nindexes: [i]\nservices:\n  - name: prices\n    index: i\n    timeout: 5s\n    shards:\n")
 	for _, u := range upstreams {
@@ -24,9 +24,9 @@
 	return b.String()
 }
 
-// Supervisors search while the catalogue is split from two shards into three on
-// other replicas, and merged back. A list drawn from replicas of both layouts
-// would show some tracks twice and lack others, and call itself whole.
+// Guards against answers that mix parts of two layouts while a service is split
+// from two shards into three on other replicas, and merged back: such an answer
+// would repeat some results and lack others, and still claim to be complete.
 func TestNoAnswerMixesTwoLayouts(t *testing.T) {
 	upstreams := startUpstreams(t, 5)
 	layouts := [][]*standin.Upstream{upstreams[:2], upstreams[2:]}
@@ -36,15 +36,15 @@
 			layoutOf[u.Address()] = i
 		}
 	}
-	f := startFleet(t, 3, layoutText(layouts[0]))
+	f := startFleet(t, 3, layoutConfig(layouts[0]))
 	caller := client.New()
 	defer caller.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), awaitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
 	for round := 1; round <= 4; round++ {
-		revision := f.Platform.Publish(layoutText(layouts[round%2]))
-		for question := 0; !f.ready(revision) || question < 20; question++ {
-			require.NoError(t, ctx.Err(), "the text did not come into force in time")
+		revision := f.Platform.Publish(layoutConfig(layouts[round%2]))
+		for question := 0; !f.isReady(revision) || question < 20; question++ {
+			require.NoError(t, ctx.Err(), "the configuration did not come into force in time")
 			entry := f.Members()[question%len(f.Members())].Addresses.Caller
 			reply, err := caller.Query(ctx, entry, "prices", api.QueryRequest{Customer: "supervisor"})
 			require.NoError(t, err)
@@ -57,12 +57,12 @@
 	t.Helper()
 	seen := map[int]bool{}
 	for _, part := range reply.Parts {
-		var made struct {
+		var payload struct {
 			Replica string `json:"replica"`
 		}
-		require.NoError(t, json.Unmarshal(part.Data, &made))
-		seen[layoutOf[made.Replica]] = true
-		require.Len(t, layouts[layoutOf[made.Replica]], reply.Coverage.Asked, "a replica of a layout that was not asked")
+		require.NoError(t, json.Unmarshal(part.Data, &payload))
+		seen[layoutOf[payload.Replica]] = true
+		require.Len(t, layouts[layoutOf[payload.Replica]], reply.Coverage.Asked, "a replica of a layout that was not queried")
 	}
 	require.LessOrEqual(t, len(seen), 1, "parts of two layouts in one answer")
 	require.Equal(t, reply.Coverage.Asked, reply.Coverage.Answered+len(reply.Coverage.Missing))
--- a/internal/fleet/shape.go
+++ b/internal/fleet/shape.go
@@ -10,14 +10,14 @@
 	"github.com/pistachiopier/pistachiopier/internal/catalog"
 )
 
-// Shape is the size of an emulated set of services.
+// Shape describes an emulated set of services.
 type Shape struct {
 	Services    []ServiceShape
 	Versions    []uint64
 	ServiceTime ServiceTime
 }
 
-// ServiceShape is the size of one service.
+// ServiceShape describes an emulated service.
 type ServiceShape struct {
 	Name        string
 	DependsOn   []string
@@ -30,31 +30,31 @@
 	Idempotent  bool
 }
 
-// ServiceTime is a log-normal service time, of which a share takes much longer.
+// ServiceTime is a log-normal distribution of service times with a slow tail.
 type ServiceTime struct {
 	Median time.Duration
-	// Sigma is the standard deviation of the time's logarithm.
+	// Sigma is the standard deviation of the logarithm of the service time.
 	Sigma float64
-	// TailShare of the requests take TailFactor times as long.
+	// TailShare is the fraction of requests that take TailFactor times as long.
 	TailShare  float64
 	TailFactor float64
 }
 
-// MainSearchService is the service that MainSearch asks.
+// MainSearchService is the queried service of MainSearch.
 const MainSearchService = "main-search"
 
-// MainSearch is the size of both users' main searches: 20 services of 2
-// replicas with 2 slots, 25 connections and 6 ms for each new one. The first
-// depends on all the others.
+// MainSearch is the shape of both users' main searches: 20 services of 2
+// replicas, each with 2 slots, 25 connections and 6 ms for each new connection.
+// The first service depends on all others.
 func MainSearch() Shape {
 	const services = 20
 	return MainSearchOf(services)
 }
 
-// MainSearchOf is a main search of fewer or more services.
+// MainSearchOf is MainSearch with the given number of services.
 func MainSearchOf(services int) Shape {
 	shape := Shape{Versions: []uint64{41, 42}, ServiceTime: DefaultServiceTime()}
-	lead := ServiceShape{
+	mainSearch := ServiceShape{
 		Name:        MainSearchService,
 		Shards:      1,
 		Replicas:    2,
@@ -64,9 +64,9 @@
 		Timeout:     500 * time.Millisecond,
 		Idempotent:  true,
 	}
-	shape.Services = []ServiceShape{lead}
+	shape.Services = []ServiceShape{mainSearch}
 	for number := 2; number <= services; number++ {
-		next := lead
+		next := mainSearch
 		next.Name = fmt.Sprintf("%s-%02d", MainSearchService, number)
 		shape.Services = append(shape.Services, next)
 		shape.Services[0].DependsOn = append(shape.Services[0].DependsOn, next.Name)
@@ -74,14 +74,14 @@
 	return shape
 }
 
-// DefaultServiceTime is 4 ms in the middle; one request in a hundred takes
-// eight times as long.
+// DefaultServiceTime has a median of 4 ms; one request in a hundred takes eight
+// times as long.
 func DefaultServiceTime() ServiceTime {
 	return ServiceTime{Median: 4 * time.Millisecond, Sigma: 0.4, TailShare: 0.01, TailFactor: 8}
 }
 
-// ShapeOf is the size of an operators' text. A service's shards take the
-// number of replicas of its first one.
+// ShapeOf returns the shape of an operators' configuration. All shards of a service
+// get the number of replicas of its first shard.
 func ShapeOf(text *catalog.Catalog) Shape {
 	shape := Shape{Versions: []uint64{41, 42}, ServiceTime: DefaultServiceTime()}
 	for _, name := range text.Names {
@@ -101,17 +101,17 @@
 	return shape
 }
 
-// Sampler returns a seeded source of service times, safe for concurrent use.
+// Sampler returns a seeded generator of service times that is safe for concurrent use.
 func (s ServiceTime) Sampler(seed uint64) func() time.Duration {
 	var mutex sync.Mutex
-	source := rand.New(rand.NewPCG(seed, seed))
+	rng := rand.New(rand.NewPCG(seed, seed))
 	return func() time.Duration {
 		mutex.Lock()
 		defer mutex.Unlock()
-		drawn := float64(s.Median) * math.Exp(s.Sigma*source.NormFloat64())
-		if source.Float64() < s.TailShare {
-			drawn *= s.TailFactor
+		nanoseconds := float64(s.Median) * math.Exp(s.Sigma*rng.NormFloat64())
+		if rng.Float64() < s.TailShare {
+			nanoseconds *= s.TailFactor
 		}
-		return time.Duration(drawn)
+		return time.Duration(nanoseconds)
 	}
 }
--- a/internal/fleet/stop_test.go
+++ b/internal/fleet/stop_test.go
@@ -20,50 +20,50 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-// addressBook is a caller that keeps the address answer for its time to live, as
-// real callers do, and then asks again.
-type addressBook struct {
-	caller  *client.Client
-	entries []api.EntryAddress
-	until   time.Time
-	next    int
+// entryCache is a caller that caches the entries' addresses for their time to
+// live, as real callers do, and then requests them again.
+type entryCache struct {
+	caller    *client.Client
+	entries   []api.EntryAddress
+	expiresAt time.Time
+	next      int
 }
 
-func (b *addressBook) address(t *testing.T, known []string) string {
-	if time.Now().After(b.until) {
+func (b *entryCache) address(t *testing.T, known []string) string {
+	if time.Now().After(b.expiresAt) {
 		b.refresh(t, known)
 	}
 	b.next++
 	return b.entries[b.next%len(b.entries)].Address
 }
 
-// refresh asks an entry of the old answer, or of the first one.
-func (b *addressBook) refresh(t *testing.T, known []string) {
+// refresh requests the addresses from a cached entry or, failing that, from a known one.
+func (b *entryCache) refresh(t *testing.T, known []string) {
 	for _, one := range b.entries {
 		known = append(known, one.Address)
 	}
 	for i := range known {
-		asked := time.Now()
+		requestedAt := time.Now()
 		entries, err := b.caller.Entries(context.Background(), known[len(known)-1-i])
 		if err == nil && len(entries.Entries) > 0 {
 			b.entries = entries.Entries
-			b.until = asked.Add(time.Duration(entries.TTLMs) * time.Millisecond)
+			b.expiresAt = requestedAt.Add(time.Duration(entries.TTLMs) * time.Millisecond)
 			return
 		}
 	}
-	assert.Fail(t, "no entry tells addresses")
+	assert.Fail(t, "no entry returned addresses")
 }
 
-// Operators replace every VM in turn while chefs ask. A stop that cut off a
-// request, or an owner that vanished under one, would show as a failed request
-// or as a thin answer. Callers keep their addresses as long as they were told.
+// Guards against failed or incomplete queries while every VM is replaced in turn,
+// as when a planned stop interrupts a request or its owner. Callers cache the
+// entries' addresses for their full time to live.
 func TestRollingReplacementCutsNothingOff(t *testing.T) {
 	const nodes, callers = 4, 6
 	upstreams := startUpstreams(t, 8)
 	for _, u := range upstreams {
 		u.Change(func(b *standin.Behaviour) { b.Service = 10 * time.Millisecond })
 	}
-	f := startFleet(t, nodes, testText(upstreams))
+	f := startFleet(t, nodes, testConfig(upstreams))
 	first := f.Members()[0].Addresses.Caller
 	var asked, thin atomic.Int64
 	var failures sync.Map
@@ -71,7 +71,7 @@
 	var running sync.WaitGroup
 	for range callers {
 		running.Go(func() {
-			book := &addressBook{caller: client.New()}
+			book := &entryCache{caller: client.New()}
 			defer book.caller.Close()
 			for {
 				select {
@@ -96,27 +96,27 @@
 	}
 	close(done)
 	running.Wait()
-	failures.Range(func(what, why any) bool {
-		assert.Fail(t, "a request was cut off", "%v: %v", what, why)
+	failures.Range(func(failure, cause any) bool {
+		assert.Fail(t, "a request failed or was answered incompletely", "%v: %v", failure, cause)
 		return true
 	})
 	require.Zero(t, thin.Load())
 	require.Greater(t, asked.Load(), int64(nodes*callers))
-	t.Logf("%d questions while %d nodes were replaced", asked.Load(), nodes)
+	t.Logf("%d queries while %d nodes were replaced", asked.Load(), nodes)
 }
 
-// replaceOldest starts a node, stops the oldest and takes it off the list only
-// after it has gone: the list lags.
+// replaceOldest starts a node, stops the oldest and removes it from the VM list
+// only after it has stopped, because a real VM list lags.
 func replaceOldest(t *testing.T, f *Fleet) {
 	oldest := f.Members()[0]
-	fresh, err := f.Add()
+	joined, err := f.Add()
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return seenByAll(f, fresh) }, awaitLimit, pollPause)
+	require.Eventually(t, func() bool { return allNodesReady(f, joined) }, awaitTimeout, pollInterval)
 	require.NoError(t, f.Stop(oldest))
 	f.RemoveFromVMList(oldest)
 }
 
-func seenByAll(f *Fleet, member *Member) bool {
+func allNodesReady(f *Fleet, member *Member) bool {
 	for _, one := range f.Members() {
 		status := one.Node.Status()
 		if status.ConfigRevision == 0 || status.Nodes != len(f.Members()) {
@@ -126,15 +126,15 @@
 	return true
 }
 
-// An upstream tells one owner that it drains. Every node must know within
-// seconds, so that no owner gives it new work.
+// Guards against new requests to a draining upstream from nodes other than the
+// owner that observed the drain: every node must learn of it within seconds.
 func TestADrainSeenByOneOwnerIsKnownToAll(t *testing.T) {
 	upstreams := startUpstreams(t, 2)
-	f := startFleet(t, 3, testText(upstreams))
+	f := startFleet(t, 3, testConfig(upstreams))
 	upstreams[0].Change(func(b *standin.Behaviour) { b.Draining = true })
 	caller := client.New()
 	defer caller.Close()
-	known := func() bool {
+	knownToAll := func() bool {
 		_, err := caller.Query(context.Background(), f.Members()[0].Addresses.Caller, "top", api.QueryRequest{Customer: "chef"})
 		require.NoError(t, err)
 		for _, member := range f.Members() {
@@ -144,7 +144,7 @@
 		}
 		return true
 	}
-	require.Eventually(t, known, awaitLimit, pollPause)
+	require.Eventually(t, knownToAll, awaitTimeout, pollInterval)
 	before := upstreams[0].Queries()
 	for range 20 {
 		_, err := caller.Query(context.Background(), f.Members()[0].Addresses.Caller, "top", api.QueryRequest{Customer: "chef"})
@@ -153,9 +153,9 @@
 	require.Equal(t, before, upstreams[0].Queries())
 }
 
-// Nodes start and read the VM list, which shows an upstream's VM leaving, before
-// they read the first text. The text then names a replica on that VM: it must get
-// no work, although the list does not change any more.
+// Guards against sending requests to a replica on a leaving VM when the nodes read
+// the VM list before the first configuration that names the replica, and the list
+// does not change afterwards.
 func TestALeavingVMInTheListBeforeTheTextIsDrained(t *testing.T) {
 	const leavingVM = "127.0.0.2"
 	upstreams := startUpstreams(t, 1)
@@ -167,30 +167,30 @@
 	}})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
-	listRead := func() bool { return f.Members()[0].Node.Status().Nodes == 2 && f.Members()[1].Node.Status().Nodes == 2 }
-	require.Eventually(t, listRead, awaitLimit, pollPause)
-	f.Platform.Publish(testText(append(upstreams, leaving)))
+	vmListRead := func() bool { return f.Members()[0].Node.Status().Nodes == 2 && f.Members()[1].Node.Status().Nodes == 2 }
+	require.Eventually(t, vmListRead, awaitTimeout, pollInterval)
+	f.Platform.Publish(testConfig(append(upstreams, leaving)))
 	drained := func() bool {
 		return f.Members()[0].Node.Status().DrainedUpstreams == 1 && f.Members()[1].Node.Status().DrainedUpstreams == 1
 	}
-	require.Eventually(t, drained, awaitLimit, pollPause)
+	require.Eventually(t, drained, awaitTimeout, pollInterval)
 }
 
-// A node dies without a planned stop and its VM stays in the list. Questions must soon
-// be whole again, with its bundles at other owners.
+// Guards against incomplete answers after a node crashes while its VM stays in the
+// VM list: other nodes must take over its bundles, and operators must see it as lost.
 func TestADeadOwnerIsReplacedThoughItIsListed(t *testing.T) {
 	upstreams := startUpstreams(t, 8)
-	f := startFleet(t, 4, testText(upstreams))
+	f := startFleet(t, 4, testConfig(upstreams))
 	lost := f.Members()[3]
 	lost.Node.Kill()
 	caller := client.New()
 	defer caller.Close()
-	require.Eventually(t, func() bool { return f.Members()[0].Node.Status().Nodes == 3 }, awaitLimit, pollPause)
+	require.Eventually(t, func() bool { return f.Members()[0].Node.Status().Nodes == 3 }, awaitTimeout, pollInterval)
 	reply, err := caller.Query(context.Background(), f.Members()[0].Addresses.Caller, "top", api.QueryRequest{Customer: "chef"})
 	require.NoError(t, err)
 	require.False(t, reply.Coverage.Thin, "missing: %v", reply.Coverage.Missing)
 	require.Eventually(t, func() bool {
-		report := get[api.ProblemsReport](t, f.Members()[0].Addresses.Operator, "/v1/problems")
-		return kinds(report)[observe.KindPeerUnreachable] == 1
-	}, awaitLimit, pollPause, "operators see that it is lost")
+		report := getJSON[api.ProblemsReport](t, f.Members()[0].Addresses.Operator, "/v1/problems")
+		return countByKind(report)[observe.KindPeerUnreachable] == 1
+	}, awaitTimeout, pollInterval, "operators see the lost node")
 }
--- a/internal/fleet/submit_test.go
+++ b/internal/fleet/submit_test.go
@@ -22,9 +22,9 @@
 
 const submitTimeoutMs = int64(10_000)
 
-// submitText writes a service that must not be repeated, of two shards, and one
-// that may be. The replicas' data centre makes the third node their owner.
-func submitText(upstreams []*standin.Upstream) string {
+// submitConfig describes a non-idempotent service of two shards and an idempotent
+// one. The replicas' data centre makes the third node their owner.
+func submitConfig(upstreams []*standin.Upstream) string {
 	shard := func(i int) string {
 		return fmt.Sprintf("      - replicas:\n          - {address: %q, data_centre: dc3}\n", upstreams[i].Address())
 	}
@@ -42,11 +42,11 @@
 		t.Cleanup(func() { _ = u.Close() })
 		upstreams = append(upstreams, u)
 	}
-	return startFleet(t, nodes, submitText(upstreams)), upstreams
+	return startFleet(t, nodes, submitConfig(upstreams)), upstreams
 }
 
-// ran counts the runs of each key over all upstreams.
-func ran(upstreams []*standin.Upstream) map[string]int {
+// runsByKey counts the runs of each key across all upstreams.
+func runsByKey(upstreams []*standin.Upstream) map[string]int {
 	counts := map[string]int{}
 	for _, u := range upstreams {
 		for key, count := range u.Submits() {
@@ -56,7 +56,7 @@
 	return counts
 }
 
-func freshKey(t *testing.T, caller *client.Client, address string) string {
+func newKey(t *testing.T, caller *client.Client, address string) string {
 	t.Helper()
 	entries, err := caller.Entries(context.Background(), address)
 	require.NoError(t, err)
@@ -65,42 +65,42 @@
 	return key
 }
 
-func invoice(key string) api.SubmitRequest {
+func invoiceRequest(key string) api.SubmitRequest {
 	timeout := submitTimeoutMs
 	return api.SubmitRequest{Customer: "ham house", Key: key, Payload: json.RawMessage(`{"total":12}`), TimeoutMs: &timeout}
 }
 
-// A kitchen manager's client retries an invoice through every entry, since each
-// answer comes late. The keys are equal, so the invoice is recorded once and each
-// entry gives the same outcome, also later and also for the refusals.
+// Guards against recording an invoice twice when a client with slow answers submits
+// it through every entry under one key: it must run once, every entry must return
+// the same outcome, also later, and refused submits must not run.
 func TestASubmitRunsOnceThroughAllEntries(t *testing.T) {
 	f, upstreams := startSubmitFleet(t, 3, 20*time.Millisecond)
 	caller := client.New()
 	defer caller.Close()
 	ctx := context.Background()
-	key := freshKey(t, caller, f.Members()[0].Addresses.Caller)
+	key := newKey(t, caller, f.Members()[0].Addresses.Caller)
 	var done sync.WaitGroup
 	for _, member := range f.Members() {
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			reply, refusal := caller.Submit(ctx, member.Addresses.Caller, "invoices", invoice(key))
+			reply, refusal := caller.Submit(ctx, member.Addresses.Caller, "invoices", invoiceRequest(key))
 			assert.Equal(t, "done", reply.Outcome, "%+v", refusal)
 			assert.NotEmpty(t, reply.Payload)
 		}()
 	}
 	done.Wait()
-	again, _ := caller.Submit(ctx, f.Members()[2].Addresses.Caller, "invoices", invoice(key))
+	again, _ := caller.Submit(ctx, f.Members()[2].Addresses.Caller, "invoices", invoiceRequest(key))
 	require.True(t, again.Repeated)
-	require.Equal(t, map[string]int{key: 1}, ran(upstreams))
+	require.Equal(t, map[string]int{key: 1}, runsByKey(upstreams))
 	requireRefusals(t, caller, f, key)
-	require.Equal(t, map[string]int{key: 1}, ran(upstreams))
+	require.Equal(t, map[string]int{key: 1}, runsByKey(upstreams))
 }
 
 func requireRefusals(t *testing.T, caller *client.Client, f *Fleet, key string) {
 	t.Helper()
 	address := f.Members()[1].Addresses.Caller
-	other := invoice(key)
+	other := invoiceRequest(key)
 	other.Payload = json.RawMessage(`{"total":13}`)
 	cases := []struct {
 		service string
@@ -108,11 +108,11 @@
 		code    fault.Code
 	}{
 		{"invoices", other, fault.CodeKeyReused},
-		{"invoices", invoice(""), fault.CodeKeyMissing},
-		{"invoices", invoice("vm-1.1.1.forged.id"), fault.CodeHomeGone},
-		{"invoices", invoice("nonsense"), fault.CodeKeyInvalid},
-		{"prices", invoice(freshKey(t, caller, address)), fault.CodeWrongMethod},
-		{"nothing", invoice(freshKey(t, caller, address)), fault.CodeUnknownService},
+		{"invoices", invoiceRequest(""), fault.CodeKeyMissing},
+		{"invoices", invoiceRequest("vm-1.1.1.forged.id"), fault.CodeHomeGone},
+		{"invoices", invoiceRequest("nonsense"), fault.CodeKeyInvalid},
+		{"prices", invoiceRequest(newKey(t, caller, address)), fault.CodeWrongMethod},
+		{"nothing", invoiceRequest(newKey(t, caller, address)), fault.CodeUnknownService},
 	}
 	for _, one := range cases {
 		_, refusal := caller.Submit(context.Background(), address, one.service, one.request)
@@ -126,31 +126,31 @@
 	}
 }
 
-// A home is stopped as planned while its callers still retry. What ran before
-// the stop is told by the home's successor; nothing runs a second time.
+// Guards against losing outcomes when a home is stopped as planned while its callers
+// still retry: its successor must return the outcomes, and nothing may run again.
 func TestAPlannedStopHandsItsOutcomesOver(t *testing.T) {
 	f, upstreams := startSubmitFleet(t, 3, 0)
 	caller := client.New()
 	defer caller.Close()
 	ctx := context.Background()
 	leaving := f.Members()[1]
-	key := freshKey(t, caller, leaving.Addresses.Caller)
-	reply, refusal := caller.Submit(ctx, f.Members()[0].Addresses.Caller, "invoices", invoice(key))
+	key := newKey(t, caller, leaving.Addresses.Caller)
+	reply, refusal := caller.Submit(ctx, f.Members()[0].Addresses.Caller, "invoices", invoiceRequest(key))
 	require.Equal(t, "done", reply.Outcome, "%+v", refusal)
 	require.NoError(t, f.Stop(leaving))
 	f.RemoveFromVMList(leaving)
 	for _, member := range f.Members() {
-		kept, refusal := caller.Submit(ctx, member.Addresses.Caller, "invoices", invoice(key))
+		kept, refusal := caller.Submit(ctx, member.Addresses.Caller, "invoices", invoiceRequest(key))
 		require.Equal(t, "done", kept.Outcome, "%+v", refusal)
 		require.True(t, kept.Repeated)
 		require.JSONEq(t, string(reply.Payload), string(kept.Payload))
 	}
-	require.Equal(t, map[string]int{key: 1}, ran(upstreams))
+	require.Equal(t, map[string]int{key: 1}, runsByKey(upstreams))
 }
 
-// Many invoices are sent while one of three nodes stops, each retried through
-// all entries at once. An invoice must not be recorded twice, and what a client
-// was told of it must be so.
+// Guards against double runs and false outcomes when invoices are submitted through
+// all entries at once while one of three nodes stops: each may run at most once, and
+// every outcome returned must match the runs.
 func TestOutcomesAreTrueWhileANodeStops(t *testing.T) {
 	f, upstreams := startSubmitFleet(t, 3, 5*time.Millisecond)
 	addresses := make([]string, 0, 3)
@@ -161,15 +161,15 @@
 	defer caller.Close()
 	const submits = 60
 	var done sync.WaitGroup
-	told := make([][]string, submits)
+	outcomes := make([][]string, submits)
 	keys := make([]string, submits)
 	for i := range submits {
 		issuers := addresses
 		if i >= submits/2 {
-			// By now the third is stopping or gone.
+			// The third node is stopping or has stopped.
 			issuers = addresses[:2]
 		}
-		keys[i] = freshKey(t, caller, issuers[i%len(issuers)])
+		keys[i] = newKey(t, caller, issuers[i%len(issuers)])
 		if i == submits/2 {
 			done.Add(1)
 			go func() {
@@ -180,22 +180,22 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			told[i] = retryEverywhere(caller, addresses, keys[i])
+			outcomes[i] = submitThroughAll(caller, addresses, keys[i])
 		}()
 	}
 	done.Wait()
-	runs := ran(upstreams)
+	runs := runsByKey(upstreams)
 	require.NotEmpty(t, runs)
-	logOutcomes(t, told)
+	logOutcomes(t, outcomes)
 	for i, key := range keys {
 		require.LessOrEqual(t, runs[key], 1, key)
-		requireTrue(t, key, told[i], runs[key])
+		requireOutcomesMatchRuns(t, key, outcomes[i], runs[key])
 	}
 }
 
-// Invoices are being recorded when one of three nodes is stopped as planned, the
-// home of some and the owner of all. Each client keeps waiting at its entry,
-// which stays. None may be left without knowing.
+// Guards against interrupted submits when one of three nodes, the home of some and
+// the owner of all, is stopped as planned while they run. The clients wait at the
+// other two entries, and each must receive the outcome done.
 func TestAPlannedStopCutsOffNoSubmit(t *testing.T) {
 	f, upstreams := startSubmitFleet(t, 3, 300*time.Millisecond)
 	caller := client.New()
@@ -204,16 +204,16 @@
 	outcomes := make([]string, submits)
 	var done sync.WaitGroup
 	for i := range submits {
-		key := freshKey(t, caller, f.Members()[i%3].Addresses.Caller)
+		key := newKey(t, caller, f.Members()[i%3].Addresses.Caller)
 		address := f.Members()[i%2].Addresses.Caller
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			reply, refusal := caller.Submit(context.Background(), address, "invoices", invoice(key))
+			reply, refusal := caller.Submit(context.Background(), address, "invoices", invoiceRequest(key))
 			outcomes[i] = reply.Outcome + refusal.Outcome + " " + string(refusal.Code)
 		}()
 	}
-	require.Eventually(t, func() bool { return len(ran(upstreams)) == submits }, awaitLimit, pollPause)
+	require.Eventually(t, func() bool { return len(runsByKey(upstreams)) == submits }, awaitTimeout, pollInterval)
 	require.NoError(t, f.Stop(f.Members()[2]))
 	done.Wait()
 	for i, outcome := range outcomes {
@@ -221,27 +221,27 @@
 	}
 }
 
-// retryEverywhere sends one key through all entries at once and returns what
-// each said.
-func retryEverywhere(caller *client.Client, addresses []string, key string) []string {
-	told := make([]string, len(addresses))
+// submitThroughAll submits one key through all entries at once and returns the
+// outcome from each.
+func submitThroughAll(caller *client.Client, addresses []string, key string) []string {
+	outcomes := make([]string, len(addresses))
 	var done sync.WaitGroup
 	for i, address := range addresses {
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			reply, refusal := caller.Submit(context.Background(), address, "invoices", invoice(key))
-			told[i] = reply.Outcome + refusal.Outcome
+			reply, refusal := caller.Submit(context.Background(), address, "invoices", invoiceRequest(key))
+			outcomes[i] = reply.Outcome + refusal.Outcome
 		}()
 	}
 	done.Wait()
-	return told
+	return outcomes
 }
 
-func logOutcomes(t *testing.T, told [][]string) {
+func logOutcomes(t *testing.T, outcomes [][]string) {
 	t.Helper()
 	counts := map[string]int{}
-	for _, replies := range told {
+	for _, replies := range outcomes {
 		for _, outcome := range replies {
 			counts[outcome]++
 		}
@@ -249,58 +249,59 @@
 	t.Logf("replies by outcome: %v", counts)
 }
 
-func requireTrue(t *testing.T, key string, told []string, runs int) {
+func requireOutcomesMatchRuns(t *testing.T, key string, outcomes []string, runs int) {
 	t.Helper()
-	for _, outcome := range told {
+	for _, outcome := range outcomes {
 		switch outcome {
 		case core.Done.String():
-			require.Equal(t, 1, runs, "%s was told done", key)
+			require.Equal(t, 1, runs, "%s was reported as done", key)
 		case core.NotRun.String():
-			require.Equal(t, 0, runs, "%s was told not run", key)
+			require.Equal(t, 0, runs, "%s was reported as not run", key)
 		default:
 			require.Equal(t, core.Unknown.String(), outcome)
 		}
 	}
 }
 
-// An import fills an entry with invoices that an upstream does not answer, and
-// each holds a goroutine and a body of the entry. Submits must take places as
-// queries do. The one too many is told that its try did not run, yet not that
-// its key did not: another entry may have taken the key before.
+// Guards against an entry running out of memory when an upstream does not answer
+// submits, each of which occupies a goroutine and a body: submits must count towards
+// the entry's in-flight limit as queries do. The refusal of a submit above the limit
+// must state that this attempt did not run, but leave the outcome of the key unknown,
+// because another entry may have accepted the key before.
 func TestASubmitThatFindsNoPlaceDidNotRun(t *testing.T) {
 	upstreams := startUpstreams(t, 3)
-	f := startWith(t, Options{Nodes: 1, LogOutput: io.Discard, EditSettings: func(s *settings.Settings) { s.Limits.InFlight = 1 }}, submitText(upstreams))
+	f := startFleetWithOptions(t, Options{Nodes: 1, LogOutput: io.Discard, EditSettings: func(s *settings.Settings) { s.Limits.InFlight = 1 }}, submitConfig(upstreams))
 	for _, u := range upstreams {
 		u.Change(func(b *standin.Behaviour) { b.Silent = true })
 	}
 	address := f.Members()[0].Addresses.Caller
 	caller := client.New()
 	defer caller.Close()
-	ctx, leave := context.WithCancel(context.Background())
-	var held sync.WaitGroup
-	first := invoice(freshKey(t, caller, address))
-	held.Go(func() { caller.Submit(ctx, address, "invoices", first) })
-	require.Eventually(t, func() bool { return upstreams[0].Received()+upstreams[1].Received() == 1 }, awaitLimit, awaitPause)
+	ctx, cancel := context.WithCancel(context.Background())
+	var pending sync.WaitGroup
+	first := invoiceRequest(newKey(t, caller, address))
+	pending.Go(func() { caller.Submit(ctx, address, "invoices", first) })
+	require.Eventually(t, func() bool { return upstreams[0].Received()+upstreams[1].Received() == 1 }, awaitTimeout, awaitInterval)
 
-	key := freshKey(t, caller, address)
-	_, refusal := caller.Submit(context.Background(), address, "invoices", invoice(key))
+	key := newKey(t, caller, address)
+	_, refusal := caller.Submit(context.Background(), address, "invoices", invoiceRequest(key))
 	require.Equal(t, fault.CodeOverloaded, refusal.Code)
 	require.Equal(t, core.Unknown.String(), refusal.Outcome)
 	require.Equal(t, core.NotRun.String(), refusal.ThisTry)
 	require.Positive(t, refusal.RetryAfterMs)
 	require.Equal(t, 1, upstreams[0].Received()+upstreams[1].Received())
 
-	leave()
-	held.Wait()
+	cancel()
+	pending.Wait()
 	for _, u := range upstreams {
 		u.Change(func(b *standin.Behaviour) { b.Silent = false })
 	}
 	require.Eventually(t, func() bool {
-		reply, _ := caller.Submit(context.Background(), address, "invoices", invoice(key))
+		reply, _ := caller.Submit(context.Background(), address, "invoices", invoiceRequest(key))
 		return reply.Outcome == core.Done.String()
-	}, awaitLimit, awaitPause, "the same key runs once a place is free")
+	}, awaitTimeout, awaitInterval, "the same key runs once the limit allows it")
 	for _, u := range upstreams {
-		// Or the planned stop waits for the submit that is held upstream.
+		// Otherwise the planned stop would wait for a submit held by the upstream.
 		require.NoError(t, u.Close())
 	}
 }
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -9,17 +9,17 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// ConfigTextOptions are the choices of an emulation's text.
+// ConfigTextOptions select the policy and customers of an emulation's configuration.
 type ConfigTextOptions struct {
 	Routing    string
 	BundleSize int
-	// Weights lists the customers that have a weight of their own.
+	// Weights lists the customers that are configured with their own weight.
 	Weights map[core.Customer]float64
-	// InFlight bounds each customer's requests at an entry.
+	// InFlight limits the requests of each customer in flight at an entry.
 	InFlight int
 }
 
-// ConfigText writes the operators' text for the emulated replicas.
+// ConfigText returns the operators' configuration text for the emulated replicas.
 func (e *Emulation) ConfigText(options ConfigTextOptions) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\nindexes: [main]\npolicy: {routing: %s, bundle_size: %d}\n", options.Routing, options.BundleSize)
@@ -31,14 +31,14 @@
 		fmt.Fprintf(&b, "  - {name: %s, weight: %g, in_flight: %d}\n", name, options.Weights[name], options.InFlight)
 	}
 	b.WriteString("services:\n")
-	next := 0
+	replicaIndex := 0
 	for _, service := range e.Shape.Services {
 		writeService(&b, service)
 		for range service.Shards {
 			b.WriteString("      - replicas:\n")
 			for range service.Replicas {
-				fmt.Fprintf(&b, "          - {address: %q, data_centre: dc%d}\n", e.Replicas[next].Address(), next%dataCentres+1)
-				next++
+				fmt.Fprintf(&b, "          - {address: %q, data_centre: dc%d}\n", e.Replicas[replicaIndex].Address(), replicaIndex%dataCentreCount+1)
+				replicaIndex++
 			}
 		}
 	}
