--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -177,7 +177,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.NotRun(fault.CodeNotReady, fmt.Sprintf("the fleet of %d nodes did not become ready at configuration revision %d in time", len(f.members), revision), "see the nodes' logs")
+			return fault.NotRun(fault.CodeNotReady, "the nodes did not all have the configuration revision in force and see each other in time", "see the nodes' logs")
 		case <-time.After(pollInterval):
 		}
 	}
