--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -40,15 +40,13 @@
 
 func (n *Node) operatorHandler() http.Handler {
 	return api.NewOperatorHandler(api.OperatorOptions{
-		Log:         n.log,
-		BodyTimeout: n.settings.Limits.BodyTimeout,
-		Health:      n.health,
-		Status:      func() any { return n.Status() },
-		Dump:        n.dump,
-		Nodes:       n.nodeAddresses,
-		Problems: func() api.ProblemsReport {
-			return api.ProblemsReport{Nodes: []api.NodeProblems{n.gatherer.LocalProblems()}}
-		},
+		Log:           n.log,
+		BodyTimeout:   n.settings.Limits.BodyTimeout,
+		Health:        n.health,
+		Status:        func() any { return n.Status() },
+		Dump:          n.dump,
+		Nodes:         n.nodeAddresses,
+		Problems:      func() api.ProblemsReport { return api.ProblemsReport{Nodes: []api.NodeProblems{n.gatherer.Local()}} },
 		FleetProblems: n.gatherer.FleetProblems,
 		Metrics:       func(out io.Writer) { observe.WriteText(out, n.metrics) },
 	})
--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -80,7 +80,7 @@
 		HomeRings:         n.home.Rings(),
 		DroppedReplies:    n.upstream.DroppedReplies(),
 		Config:            n.config.Dump(),
-		Problems:          n.gatherer.LocalProblems().Problems,
+		Problems:          n.gatherer.Local().Problems,
 		OwnerShards:       n.owner.Dump(),
 		Quarantine:        n.quarantine.Requests(),
 	}
--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -39,8 +39,8 @@
 	busy sync.Mutex
 }
 
-// LocalProblems lists this node's problems.
-func (g *Collector) LocalProblems() api.NodeProblems {
+// Local lists this node's problems.
+func (g *Collector) Local() api.NodeProblems {
 	now := g.Now()
 	own := api.NodeProblems{Node: g.Self.Node, Problems: []api.Problem{}}
 	for _, one := range g.Problems.List() {
@@ -58,7 +58,7 @@
 
 // HandleRequest replies to a peer's ProblemsRequest.
 func (g *Collector) HandleRequest(inbound *peer.Inbound) {
-	own := g.LocalProblems()
+	own := g.Local()
 	reply := &peerpb.ProblemsReply{Node: string(own.Node)}
 	for _, one := range own.Problems {
 		reply.Problems = append(reply.Problems, &peerpb.Problem{
@@ -80,7 +80,7 @@
 		return api.ProblemsReport{}, errBusy()
 	}
 	defer g.busy.Unlock()
-	report := api.ProblemsReport{Nodes: []api.NodeProblems{g.LocalProblems()}}
+	report := api.ProblemsReport{Nodes: []api.NodeProblems{g.Local()}}
 	var peers []route.Node
 	for _, node := range g.Nodes() {
 		if node.ID != g.Self.Node {
