--- a/internal/edgefleet/edgefleet.go
+++ b/internal/edgefleet/edgefleet.go
@@ -1,5 +1,5 @@
 // Package edgefleet runs a small forwarding tier in one process on loopback: nodes, and
-// stand-ins of the users' metadata store and replicas. The demo and tests use it.
+// stand-ins for the users' metadata store and replicas. The demo and tests use it.
 package edgefleet
 
 import (
@@ -23,20 +23,20 @@
 )
 
 const (
-	anyPort = "127.0.0.1:0"
-	// addressesOfNode are those of callers, readiness, directory, metrics and peers.
-	addressesOfNode = 5
-	// stopWait is short, so that planned stops are.
+	loopbackAnyPort = "127.0.0.1:0"
+	// addressesPerNode counts the addresses for callers, readiness, directory, metrics and peers.
+	addressesPerNode = 5
+	// stopWait is short to keep planned stops short.
 	stopWait    = 1500 * time.Millisecond
 	configApply = 3 * time.Second
-	// extraRatio, extraWindow and extraAllowance are a bound like those of the users'
-	// deployments, for fewer requests.
+	// extraRatio, extraWindow and extraAllowance limit extra sends as the users' deployments
+	// do, scaled down to fewer requests.
 	extraRatio     = 0.2
 	extraWindow    = 10 * time.Second
 	extraAllowance = 50
-	askTimeout     = time.Second
-	pollPause      = 5 * time.Millisecond
-	// recordBytes is the length of one record of an answer.
+	resolveTimeout = time.Second
+	pollInterval   = 5 * time.Millisecond
+	// recordBytes is the length of a record in an answer.
 	recordBytes = 16
 )
 
@@ -45,9 +45,10 @@
 	Store    *platformtest.Store
 	Replicas []*platformtest.Replica
 	Nodes    []*Node
-	// dataCentres are those of the replicas, in their order; born counts the revived ones.
+	// dataCentres holds the data centre of each of Replicas, in the same order; restarts counts the
+	// restarted replicas.
 	dataCentres []string
-	born        int
+	restarts    int
 }
 
 // Node is one node of the tier.
@@ -58,56 +59,56 @@
 	stopped  bool
 }
 
-// Start starts a store; nodes and replicas are added to it.
+// Start starts a store without replicas or nodes; AddReplica and AddNode add them.
 func Start() (*Fleet, error) {
 	store, err := platformtest.StartStore()
 	if err != nil {
-		return nil, fault.Step("start the stand-in of the store", err)
+		return nil, fault.Step("start the stand-in for the metadata store", err)
 	}
 	return &Fleet{Store: store}, nil
 }
 
-// AddReplica starts a replica and lists it. Its answers hold the given records, each cut
-// or filled up to the length of a record.
+// AddReplica starts a replica and puts it into the store. Its answers hold the given
+// records, each truncated or padded to recordBytes.
 func (f *Fleet) AddReplica(service, dataCentre string, records ...string) (*platformtest.Replica, error) {
 	var body strings.Builder
-	for _, one := range records {
-		fmt.Fprintf(&body, "%-*.*s", recordBytes, recordBytes, one)
+	for _, record := range records {
+		fmt.Fprintf(&body, "%-*.*s", recordBytes, recordBytes, record)
 	}
-	one, err := platformtest.StartReplica(fmt.Sprintf("i-%s-%d", service, len(f.Replicas)), service, []byte(body.String()))
+	replica, err := platformtest.StartReplica(fmt.Sprintf("i-%s-%d", service, len(f.Replicas)), service, []byte(body.String()))
 	if err != nil {
-		return nil, fault.Step("start a stand-in of a replica", err)
+		return nil, fault.Step("start a stand-in for a replica", err)
 	}
-	f.Replicas = append(f.Replicas, one)
+	f.Replicas = append(f.Replicas, replica)
 	f.dataCentres = append(f.dataCentres, dataCentre)
-	f.Store.Put(one.Key(), one.Entry(dataCentre, platformtest.StateReady))
-	return one, nil
+	f.Store.Put(replica.Key(), replica.Entry(dataCentre, platformtest.StateReady))
+	return replica, nil
 }
 
-// RestartCrashed starts a new incarnation of each replica that has ended under a request, at its address and under an
-// id of its own, and returns how many. Their acts are those of the former ones.
+// RestartCrashed starts a new incarnation of each replica that a request has crashed, at the same address, under a new id
+// and with the same behaviour, and returns their number.
 func (f *Fleet) RestartCrashed() (int, error) {
-	revived := 0
+	restarted := 0
 	for i, former := range f.Replicas {
 		if !former.Crashed() {
 			continue
 		}
-		f.born++
-		one, err := former.Restart(fmt.Sprintf("i-%s-%d-%d", former.Service, i, f.born))
+		f.restarts++
+		restartedReplica, err := former.Restart(fmt.Sprintf("i-%s-%d-%d", former.Service, i, f.restarts))
 		if err != nil {
-			return revived, fault.Step("start a stand-in of a replica again", err)
+			return restarted, fault.Step("restart the stand-in for a replica", err)
 		}
-		f.Replicas[i] = one
+		f.Replicas[i] = restartedReplica
 		f.Store.Remove(former.Key())
-		f.Store.Put(one.Key(), one.Entry(f.dataCentres[i], platformtest.StateReady))
-		revived++
+		f.Store.Put(restartedReplica.Key(), restartedReplica.Entry(f.dataCentres[i], platformtest.StateReady))
+		restarted++
 	}
-	return revived, nil
+	return restarted, nil
 }
 
-// AddNode starts a node whose settings are changed first; the first node is the seed of all.
+// AddNode starts a node after change, if not nil, has edited its settings. The first node is the seed of all others.
 func (f *Fleet) AddNode(dataCentre string, log io.Writer, change func(*settings.Edge)) (*Node, error) {
-	free, err := FreeAddresses(addressesOfNode)
+	free, err := FreeAddresses(addressesPerNode)
 	if err != nil {
 		return nil, err
 	}
@@ -127,37 +128,37 @@
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	one := &Node{Settings: s}
-	one.app, one.Node = edge.New(s, log)
-	if err := errors.Join(one.app.Err(), one.app.Start(context.Background())); err != nil {
+	node := &Node{Settings: s}
+	node.app, node.Node = edge.New(s, log)
+	if err := errors.Join(node.app.Err(), node.app.Start(context.Background())); err != nil {
 		return nil, err
 	}
-	f.Nodes = append(f.Nodes, one)
-	return one, nil
+	f.Nodes = append(f.Nodes, node)
+	return node, nil
 }
 
-// AwaitReady waits until the nodes that run take callers and each sends callers to all.
+// AwaitReady waits until all running nodes accept callers and the directory of each lists all of them.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
-	directory := platform.NewDirectoryClient(askTimeout)
+	directory := platform.NewDirectoryClient(resolveTimeout)
 	defer directory.Close()
 	running := 0
-	for _, one := range f.Nodes {
-		if !one.stopped {
+	for _, node := range f.Nodes {
+		if !node.stopped {
 			running++
 		}
 	}
-	for _, one := range f.Nodes {
-		for !one.stopped && !one.ready(ctx, directory, running) {
-			if !wait.For(ctx, pollPause) {
-				return fault.NotRun(fault.CodeNotReady, one.Settings.Node+" does not take callers", "look at its log")
+	for _, node := range f.Nodes {
+		for !node.stopped && !node.isReady(ctx, directory, running) {
+			if !wait.For(ctx, pollInterval) {
+				return fault.NotRun(fault.CodeNotReady, node.Settings.Node+" does not accept callers or does not list all nodes", "see its log")
 			}
 		}
 	}
 	return nil
 }
 
-// ready reports whether a node takes callers and sends them to so many nodes.
-func (n *Node) ready(ctx context.Context, directory *platform.DirectoryClient, nodes int) bool {
+// isReady reports whether the node accepts callers and its directory lists at least the given number of nodes.
+func (n *Node) isReady(ctx context.Context, directory *platform.DirectoryClient, nodes int) bool {
 	if !n.TakesCallers() {
 		return false
 	}
@@ -165,7 +166,7 @@
 	return err == nil && len(answer.Addresses) >= nodes
 }
 
-// Stop is a planned stop of a node.
+// Stop performs a planned stop of the node. Later calls do nothing.
 func (n *Node) Stop(ctx context.Context) error {
 	if n.stopped {
 		return nil
@@ -174,35 +175,35 @@
 	return n.app.Stop(ctx)
 }
 
-// Close ends everything; the nodes stop at the same time.
+// Close stops all nodes at the same time, and then the replicas and the store.
 func (f *Fleet) Close(ctx context.Context) error {
 	failures := make([]error, len(f.Nodes))
 	var stopping sync.WaitGroup
-	for i, one := range f.Nodes {
-		stopping.Go(func() { failures[i] = one.Stop(ctx) })
+	for i, node := range f.Nodes {
+		stopping.Go(func() { failures[i] = node.Stop(ctx) })
 	}
 	stopping.Wait()
-	for _, one := range f.Replicas {
-		one.Close()
+	for _, replica := range f.Replicas {
+		replica.Close()
 	}
 	f.Store.Close()
 	return errors.Join(failures...)
 }
 
-// FreeAddresses finds addresses of loopback that are free for TCP and UDP. All are held
-// until the last is found: a port that is given back may be given out again at once, and two
-// addresses of one node would be the same.
+// FreeAddresses returns loopback addresses that are free for TCP and UDP. It keeps all of them
+// bound until it has found the last one: the system may assign a released port again at once, and
+// two addresses would then be equal.
 func FreeAddresses(count int) ([]string, error) {
 	var found []string
 	for len(found) < count {
-		listener, err := net.Listen("tcp", anyPort)
+		listener, err := net.Listen("tcp", loopbackAnyPort)
 		if err != nil {
-			return nil, fault.Step("find a free port", err)
+			return nil, fault.Step("find a free TCP port", err)
 		}
 		defer func() { _ = listener.Close() }()
 		packets, err := net.ListenPacket("udp", listener.Addr().String())
 		if err != nil {
-			// Something else has the port for UDP; the next one may be free.
+			// The UDP port is in use; the next one may be free.
 			continue
 		}
 		defer func() { _ = packets.Close() }()
