--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// batch is how many peers are asked at once. Their connections are closed
-	// before the next batch, so that a gathering in a fleet of any size holds
-	// the memory of one batch.
-	batch = 16
-	// answerTimeout is how long a peer may take.
-	answerTimeout = 3 * time.Second
-	retryPause    = time.Second
+	// batchSize is the number of peers requested at once. Their connections are
+	// closed before the next batch, so that the memory for a collection does not
+	// grow with the fleet.
+	batchSize = 16
+	// batchTimeout limits the wait for the replies of a batch.
+	batchTimeout = 3 * time.Second
+	retryAfter   = time.Second
 )
 
-// Collector asks peers for their problems. It runs one gathering at a time.
+// Collector collects the problems of all nodes. It runs one collection at a time.
 type Collector struct {
 	Self peer.Identity
 	TLS  *tls.Config
-	// Nodes lists whom to ask, also those that may not answer.
+	// Nodes returns the known nodes, including those that may not answer.
 	Nodes    func() []route.Node
 	Problems *observe.Problems
 	// Now reads the node's monotonic clock.
 	Now func() core.Time
-	// busy is held by the gathering under way.
+	// busy is locked during a collection.
 	busy sync.Mutex
 }
 
@@ -43,38 +43,38 @@
 func (g *Collector) Local() api.NodeProblems {
 	now := g.Now()
 	own := api.NodeProblems{Node: g.Self.Node, Problems: []api.Problem{}}
-	for _, one := range g.Problems.List() {
+	for _, problem := range g.Problems.List() {
 		own.Problems = append(own.Problems, api.Problem{
-			Kind:       string(one.Kind),
-			Subject:    one.Subject,
-			Detail:     one.Detail,
-			FirstAgeMs: (now - one.First).Milliseconds(),
-			LastAgeMs:  (now - one.Last).Milliseconds(),
-			Count:      uint64(one.Count),
+			Kind:       string(problem.Kind),
+			Subject:    problem.Subject,
+			Detail:     problem.Detail,
+			FirstAgeMs: (now - problem.First).Milliseconds(),
+			LastAgeMs:  (now - problem.Last).Milliseconds(),
+			Count:      uint64(problem.Count),
 		})
 	}
 	return own
 }
 
-// HandleRequest replies to a peer's ProblemsRequest.
+// HandleRequest replies to a ProblemsRequest of a peer.
 func (g *Collector) HandleRequest(inbound *peer.Inbound) {
-	own := g.Local()
-	reply := &peerpb.ProblemsReply{Node: string(own.Node)}
-	for _, one := range own.Problems {
+	local := g.Local()
+	reply := &peerpb.ProblemsReply{Node: string(local.Node)}
+	for _, problem := range local.Problems {
 		reply.Problems = append(reply.Problems, &peerpb.Problem{
-			Kind:       one.Kind,
-			Subject:    one.Subject,
-			Detail:     one.Detail,
-			FirstAgeMs: uint64(one.FirstAgeMs),
-			LastAgeMs:  uint64(one.LastAgeMs),
-			Count:      one.Count,
+			Kind:       problem.Kind,
+			Subject:    problem.Subject,
+			Detail:     problem.Detail,
+			FirstAgeMs: uint64(problem.FirstAgeMs),
+			LastAgeMs:  uint64(problem.LastAgeMs),
+			Count:      problem.Count,
 		})
 	}
 	inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_ProblemsReply{ProblemsReply: reply}}, true)
 }
 
-// FleetProblems asks every node that Nodes lists. A node that does not answer is listed
-// as such: it may have any problem.
+// FleetProblems collects the problems of every node that Nodes returns. The report
+// names the nodes that did not answer, because their problems are unknown.
 func (g *Collector) FleetProblems(ctx context.Context) (api.ProblemsReport, error) {
 	if !g.busy.TryLock() {
 		return api.ProblemsReport{}, errBusy()
@@ -87,8 +87,8 @@
 			peers = append(peers, node)
 		}
 	}
-	for start := 0; start < len(peers); start += batch {
-		if err := g.askBatch(ctx, peers[start:min(start+batch, len(peers))], &report); err != nil {
+	for start := 0; start < len(peers); start += batchSize {
+		if err := g.requestBatch(ctx, peers[start:min(start+batchSize, len(peers))], &report); err != nil {
 			return report, err
 		}
 	}
@@ -99,73 +99,73 @@
 	return &fault.Error{
 		Code:       fault.CodeOverloaded,
 		Outcome:    core.NotRun,
-		Message:    "a gathering is under way on this node",
-		Fix:        "come back later or ask another node",
-		RetryAfter: retryPause,
+		Message:    "a collection of problems is already running on this node",
+		Fix:        "retry later or request the report from another node",
+		RetryAfter: retryAfter,
 	}
 }
 
-// answer is one peer's reply, or why there is none.
-type answer struct {
-	reply *peerpb.ProblemsReply
-	why   string
+// result is a peer's reply, or the reason why there is none.
+type result struct {
+	reply  *peerpb.ProblemsReply
+	reason string
 }
 
-func (g *Collector) askBatch(ctx context.Context, nodes []route.Node, report *api.ProblemsReport) error {
+func (g *Collector) requestBatch(ctx context.Context, nodes []route.Node, report *api.ProblemsReport) error {
 	pool, err := peer.NewPool(g.TLS, g.Self, peer.HandlerFunc(g.HandleRequest))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = pool.Close() }()
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
-	answers := make([]chan answer, len(nodes))
+	results := make([]chan result, len(nodes))
 	for i, node := range nodes {
-		answers[i] = make(chan answer, 1)
-		ask(pool, node, answers[i])
+		results[i] = make(chan result, 1)
+		requestProblems(pool, node, results[i])
 	}
 	for i, node := range nodes {
 		select {
-		case got := <-answers[i]:
-			add(report, node.ID, got)
+		case received := <-results[i]:
+			addResult(report, node.ID, received)
 		case <-ctx.Done():
-			add(report, node.ID, answer{why: "no answer in time"})
+			addResult(report, node.ID, result{reason: "no reply within the time limit"})
 		}
 	}
 	return nil
 }
 
-func ask(pool *peer.Pool, node route.Node, out chan<- answer) {
+func requestProblems(pool *peer.Pool, node route.Node, out chan<- result) {
 	request := &peerpb.Envelope{Body: &peerpb.Envelope_ProblemsRequest{ProblemsRequest: &peerpb.ProblemsRequest{}}}
 	pool.Ask(peer.Target{Node: node.ID, Address: node.PeerAddress}, request, func(reply *peerpb.Envelope, failure *peer.LinkError) {
-		got := answer{reply: reply.GetProblemsReply()}
+		received := result{reply: reply.GetProblemsReply()}
 		switch {
 		case failure != nil:
-			got.why = failure.Error()
-		case got.reply == nil:
-			got.why = "the node does not know the question"
+			received.reason = failure.Error()
+		case received.reply == nil:
+			received.reason = "the node does not support requests for problems"
 		}
 		select {
-		case out <- got:
+		case out <- received:
 		default:
 		}
 	})
 }
 
-func add(report *api.ProblemsReport, node core.NodeID, got answer) {
-	if got.why != "" {
-		report.NoAnswer = append(report.NoAnswer, api.NoAnswer{Node: node, Why: got.why})
+func addResult(report *api.ProblemsReport, node core.NodeID, received result) {
+	if received.reason != "" {
+		report.NoAnswer = append(report.NoAnswer, api.NoAnswer{Node: node, Why: received.reason})
 		return
 	}
 	list := api.NodeProblems{Node: node, Problems: []api.Problem{}}
-	for _, one := range got.reply.GetProblems() {
+	for _, problem := range received.reply.GetProblems() {
 		list.Problems = append(list.Problems, api.Problem{
-			Kind:       one.GetKind(),
-			Subject:    one.GetSubject(),
-			Detail:     one.GetDetail(),
-			FirstAgeMs: int64(one.GetFirstAgeMs()),
-			LastAgeMs:  int64(one.GetLastAgeMs()),
-			Count:      one.GetCount(),
+			Kind:       problem.GetKind(),
+			Subject:    problem.GetSubject(),
+			Detail:     problem.GetDetail(),
+			FirstAgeMs: int64(problem.GetFirstAgeMs()),
+			LastAgeMs:  int64(problem.GetLastAgeMs()),
+			Count:      problem.GetCount(),
 		})
 	}
 	report.Nodes = append(report.Nodes, list)
