--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment compares settings of the system on one machine: named,
-// seeded and bounded runs, in short slices that alternate between the variants,
-// so that a noisy machine hits all alike.
+// Package experiment compares variants of the system on one machine in named,
+// seeded and bounded runs. The variants run in alternating short slices, so that
+// noise of the machine affects all of them alike.
 package experiment
 
 import (
@@ -14,22 +14,22 @@
 	"github.com/pistachiopier/pistachiopier/internal/load"
 )
 
-// Variant is one of the settings compared.
+// Variant is a setup of the system to compare.
 type Variant struct {
 	Name string
-	// Nodes is the number of the system's nodes, or with Naive of the
-	// callers' processes.
+	// Nodes is the number of the system's nodes, or of caller processes if Naive
+	// is set.
 	Nodes int
-	// Naive leaves the system out: callers connect to replicas themselves.
+	// Naive runs without the system: callers connect to the replicas directly.
 	Naive bool
-	// Routing and BundleSize go into the operators' text.
+	// Routing and BundleSize are set in the operators' configuration.
 	Routing    string
 	BundleSize int
 	Weights    map[core.Customer]float64
 	Profile    load.Profile
-	// Prepare, when set, changes the replicas before the first slice.
+	// Prepare, if set, changes the replicas before the first slice.
 	Prepare func(*fleet.Emulation)
-	// During, when set, acts on the replicas while a slice runs.
+	// During, if set, changes the replicas while a slice runs.
 	During func(ctx context.Context, emulation *fleet.Emulation, round int, slice time.Duration)
 }
 
@@ -38,22 +38,23 @@
 	Name  string
 	About string
 	Shape fleet.Shape
-	// Rounds is how often each variant gets its slice.
+	// Rounds is the number of slices of each variant.
 	Rounds   int
 	Variants []Variant
 }
 
-// Slice is what was measured of a variant in one round or in all.
+// Slice holds the measurements of a variant in one round or in all rounds.
 type Slice struct {
 	Recorder *load.Recorder
 	Usage    load.Usage
 	// Received counts the requests that reached the replicas.
 	Received int
-	// Connections are over the whole run; Refused and Accepted of the slice.
+	// Connections holds Open and Peak of the run up to the end of the slice, and
+	// Refused and Accepted of the slice alone.
 	Connections fleet.ConnectionCounts
 }
 
-// ExtraLoad is the share of upstream requests above one for each shard asked.
+// ExtraLoad is the ratio of upstream requests to requested shards, less one.
 func (s Slice) ExtraLoad() float64 {
 	if s.Recorder.All.Asked == 0 {
 		return 0
@@ -61,13 +62,13 @@
 	return float64(s.Received)/float64(s.Recorder.All.Asked) - 1
 }
 
-// CPUPerPart is the whole process's CPU time for each shard asked: load, nodes
-// and replicas together.
+// CPUPerPart is the CPU time of the process, including load, nodes and replicas,
+// per requested shard.
 func (s Slice) CPUPerPart() time.Duration {
 	return s.Usage.CPU / time.Duration(max(1, s.Recorder.All.Asked))
 }
 
-// AllocationsPerPart is the whole process's allocations for each shard asked.
+// AllocationsPerPart is the number of allocations of the process per requested shard.
 func (s Slice) AllocationsPerPart() float64 {
 	return float64(s.Usage.Allocation) / float64(max(1, s.Recorder.All.Asked))
 }
@@ -82,7 +83,7 @@
 	s.Connections.Peak = max(s.Connections.Peak, other.Connections.Peak)
 }
 
-// Result is a finished experiment: a slice for each round of each variant.
+// Result is a finished experiment. Rounds holds a slice of each variant for each round.
 type Result struct {
 	Experiment Experiment
 	Cores      int
@@ -98,8 +99,8 @@
 	return total
 }
 
-// Order returns the order of the variants in each round. Every second round
-// runs backwards, so that a drift of the machine favours none.
+// Order returns the order of the variants in each round. Every second round is in
+// reverse, so that a drift of the machine's speed favours no variant.
 func Order(variants, rounds int) [][]int {
 	order := make([][]int, rounds)
 	for round := range order {
@@ -113,12 +114,12 @@
 	return order
 }
 
-// Run starts every variant's system, warms it with a slice that is not
+// Run starts the system of every variant, warms it up with a slice that is not
 // counted, and measures the rounds.
 func Run(ctx context.Context, e Experiment, cores int) (Result, error) {
 	result := Result{Experiment: e, Cores: cores}
 	if e.Rounds < 1 || len(e.Variants) == 0 {
-		return result, fault.NotRun(fault.CodeBadRequest, "the experiment has no round or no variant", "give at least one of each")
+		return result, fault.NotRun(fault.CodeBadRequest, "the experiment has no round or no variant", "define at least one of each")
 	}
 	systems := make([]*system, 0, len(e.Variants))
 	defer func() {
@@ -134,7 +135,7 @@
 		systems = append(systems, started)
 	}
 	for _, one := range systems {
-		if _, err := one.measure(ctx, warmRound); err != nil {
+		if _, err := one.measure(ctx, warmUpRound); err != nil {
 			return result, err
 		}
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -12,8 +12,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/load"
 )
 
-// A machine grows busier during a comparison. Were one variant always first,
-// it would look better than it is.
+// Guards against favouring the variant that always runs first when the machine
+// becomes busier during a comparison.
 func TestOrderAlternates(t *testing.T) {
 	require.Equal(t, [][]int{{0, 1, 2}, {2, 1, 0}, {0, 1, 2}}, Order(3, 3))
 }
--- a/internal/experiment/forwarder.go
+++ b/internal/experiment/forwarder.go
@@ -10,12 +10,12 @@
 
 const datagramBytes = 64 << 10
 
-// forwarder passes datagrams between one client and one server and counts
-// their bytes.
+// forwarder relays datagrams between one client and one server and counts their
+// bytes in both directions.
 type forwarder struct {
-	front *net.UDPConn
-	back  *net.UDPConn
-	// client is the last sender seen at the front.
+	clientSide *net.UDPConn
+	serverSide *net.UDPConn
+	// client is the address of the last sender at clientSide.
 	client atomic.Pointer[net.UDPAddr]
 	bytes  atomic.Int64
 	done   sync.WaitGroup
@@ -26,50 +26,50 @@
 	if err != nil {
 		return nil, fault.Step("resolve the server", err)
 	}
-	front, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	clientSide, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fault.Step("listen for datagrams", err)
 	}
-	back, err := net.DialUDP("udp", nil, address)
+	serverSide, err := net.DialUDP("udp", nil, address)
 	if err != nil {
-		_ = front.Close()
+		_ = clientSide.Close()
 		return nil, fault.Step("open a socket to the server", err)
 	}
-	f := &forwarder{front: front, back: back}
-	f.done.Go(f.forward)
-	f.done.Go(f.backward)
+	f := &forwarder{clientSide: clientSide, serverSide: serverSide}
+	f.done.Go(f.forwardToServer)
+	f.done.Go(f.forwardToClient)
 	return f, nil
 }
 
-func (f *forwarder) address() string { return f.front.LocalAddr().String() }
+func (f *forwarder) address() string { return f.clientSide.LocalAddr().String() }
 
 func (f *forwarder) close() {
-	_ = f.front.Close()
-	_ = f.back.Close()
+	_ = f.clientSide.Close()
+	_ = f.serverSide.Close()
 	f.done.Wait()
 }
 
-func (f *forwarder) forward() {
+func (f *forwarder) forwardToServer() {
 	buffer := make([]byte, datagramBytes)
 	for {
-		size, from, err := f.front.ReadFromUDP(buffer)
+		size, from, err := f.clientSide.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
 		f.client.Store(from)
 		f.bytes.Add(int64(size))
-		_, _ = f.back.Write(buffer[:size])
+		_, _ = f.serverSide.Write(buffer[:size])
 	}
 }
 
-func (f *forwarder) backward() {
+func (f *forwarder) forwardToClient() {
 	buffer := make([]byte, datagramBytes)
 	for {
-		size, err := f.back.Read(buffer)
+		size, err := f.serverSide.Read(buffer)
 		if err != nil {
 			return
 		}
 		f.bytes.Add(int64(size))
-		_, _ = f.front.WriteToUDP(buffer[:size], f.client.Load())
+		_, _ = f.clientSide.WriteToUDP(buffer[:size], f.client.Load())
 	}
 }
--- a/internal/experiment/named.go
+++ b/internal/experiment/named.go
@@ -17,43 +17,43 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-// The sizes of the named experiments.
+// Parameters of the named experiments.
 const (
-	nodes         = 8
-	rounds        = 5
-	sliceTime     = 2 * time.Second
-	searchRate    = 120.0
-	maxRequests   = 20000
-	outstanding   = 2000
-	seed          = 20250101
-	failingShare  = 0.3
-	largeFactor   = 10
-	smallCount    = 10
-	slowFactor    = 20
-	customerLarge = core.Customer("large")
+	nodeCount          = 8
+	roundCount         = 5
+	sliceDuration      = 2 * time.Second
+	searchRate         = 120.0
+	maxRequests        = 20000
+	maxOutstanding     = 2000
+	seed               = 20250101
+	failingShare       = 0.3
+	largeFactor        = 10
+	smallCustomerCount = 10
+	slowFactor         = 20
+	largeCustomer      = core.Customer("large")
 )
 
-// All lists the named experiments.
+// All returns the named experiments.
 func All() []Experiment {
 	return []Experiment{
 		wholePath(), routing(), fairness(), straggler(), failing(), shedding(), versions(), bundles(),
 	}
 }
 
-// Find returns a named experiment.
+// Find returns the experiment of the given name.
 func Find(name string) (Experiment, error) {
 	all := All()
-	at := slices.IndexFunc(all, func(e Experiment) bool { return e.Name == name })
-	if at < 0 {
+	index := slices.IndexFunc(all, func(e Experiment) bool { return e.Name == name })
+	if index < 0 {
 		return Experiment{}, fault.NotRun(fault.CodeBadRequest, "no experiment is named "+strconv.Quote(name), "see pistachiopier experiment")
 	}
-	return all[at], nil
+	return all[index], nil
 }
 
-// NamedVariant makes the variant that a short name stands for: owner, direct,
-// naive or bundle-N.
+// NamedVariant returns the variant with the given short name: owner, direct, naive
+// or bundle-N.
 func NamedVariant(name string) (Variant, error) {
-	variant := Variant{Name: name, Nodes: nodes, Routing: string(catalog.RoutingOwner), BundleSize: 1, Profile: searchProfile(searchRate)}
+	variant := Variant{Name: name, Nodes: nodeCount, Routing: string(catalog.RoutingOwner), BundleSize: 1, Profile: searchProfile(searchRate)}
 	switch {
 	case name == "owner":
 	case name == "direct":
@@ -72,15 +72,15 @@
 	return variant, nil
 }
 
-// variants makes several by their short names, each changed by alter.
-func variants(alter func(*Variant), names ...string) []Variant {
+// variants returns the variants with the given short names, each changed by edit.
+func variants(edit func(*Variant), names ...string) []Variant {
 	list := make([]Variant, 0, len(names))
 	for _, name := range names {
 		variant, err := NamedVariant(name)
 		if err != nil {
 			panic(err)
 		}
-		alter(&variant)
+		edit(&variant)
 		list = append(list, variant)
 	}
 	return list
@@ -92,19 +92,19 @@
 	return load.Profile{
 		Arrivals:       load.ArrivalsPoisson,
 		Rate:           rate,
-		Duration:       sliceTime,
+		Duration:       sliceDuration,
 		MaxRequests:    maxRequests,
-		MaxOutstanding: outstanding,
+		MaxOutstanding: maxOutstanding,
 		Shares:         smallShares(1),
 		Seed:           seed,
 	}
 }
 
-// smallShares are the small customers, together of the given weight.
+// smallShares returns the load shares of the small customers, whose weights add up to weight.
 func smallShares(weight float64) []load.Share {
 	var shares []load.Share
-	for i := range smallCount {
-		shares = append(shares, load.Share{Customer: core.Customer(fmt.Sprintf("small-%02d", i+1)), Service: fleet.MainSearchService, Weight: weight / smallCount, Class: "small"})
+	for i := range smallCustomerCount {
+		shares = append(shares, load.Share{Customer: core.Customer(fmt.Sprintf("small-%02d", i+1)), Service: fleet.MainSearchService, Weight: weight / smallCustomerCount, Class: "small"})
 	}
 	return shares
 }
@@ -114,30 +114,30 @@
 		Name:     "whole-path",
 		About:    "the users' main search through the system and through a naive fan-out",
 		Shape:    fleet.MainSearch(),
-		Rounds:   rounds,
+		Rounds:   roundCount,
 		Variants: variants(unchanged, "naive", "owner"),
 	}
 }
 
-// routing weighs owners against direct connections while one customer sends
-// most of the load, in bursts.
+// routing compares owners with direct connections while one customer sends most
+// of the load, in bursts.
 func routing() Experiment {
 	skewed := func(v *Variant) {
 		v.Profile.Arrivals = load.ArrivalsBursty
-		v.Profile.Shares = append(smallShares(1), load.Share{Customer: customerLarge, Service: fleet.MainSearchService, Weight: 3})
+		v.Profile.Shares = append(smallShares(1), load.Share{Customer: largeCustomer, Service: fleet.MainSearchService, Weight: 3})
 	}
 	return Experiment{
 		Name:     "routing",
 		About:    "one owner a replica against every node connecting with its share, 8 nodes, skewed customers in bursts",
 		Shape:    fleet.MainSearch(),
-		Rounds:   rounds,
+		Rounds:   roundCount,
 		Variants: variants(skewed, "owner", "direct"),
 	}
 }
 
-// fairness adds a large customer that sends ten times what all the small ones
-// do; together that is more than the replicas can take. Few services keep the
-// machine itself out of the measurement.
+// fairness adds a large customer that sends ten times the load of all small ones,
+// so that the replicas are overloaded. Few services keep the machine itself from
+// being the bottleneck.
 func fairness() Experiment {
 	const smallRate = 100.0
 	const services = 4
@@ -148,13 +148,13 @@
 	crowded := func(v *Variant) {
 		v.Name = "small and large, " + v.Name
 		v.Profile = searchProfile(smallRate * (1 + largeFactor))
-		v.Profile.Shares = append(smallShares(1), load.Share{Customer: customerLarge, Service: fleet.MainSearchService, Weight: largeFactor})
+		v.Profile.Shares = append(smallShares(1), load.Share{Customer: largeCustomer, Service: fleet.MainSearchService, Weight: largeFactor})
 	}
 	return Experiment{
 		Name:     "fairness",
 		About:    "the large customer at ten times the small ones' load: what the small ones feel",
 		Shape:    fleet.MainSearchOf(services),
-		Rounds:   rounds,
+		Rounds:   roundCount,
 		Variants: append(alone, variants(crowded, "owner", "naive")...),
 	}
 }
@@ -174,12 +174,12 @@
 		Name:     "straggler",
 		About:    "one replica in twenty is twenty times slower",
 		Shape:    fleet.MainSearch(),
-		Rounds:   rounds,
+		Rounds:   roundCount,
 		Variants: variants(slow, "naive", "owner", "direct"),
 	}
 }
 
-// failing stops 30% of the replicas, chosen by the seed.
+// failing stops 30% of the replicas, selected by the seed.
 func failing() Experiment {
 	broken := func(v *Variant) {
 		v.Prepare = func(emulation *fleet.Emulation) {
@@ -194,13 +194,13 @@
 		Name:     "failing",
 		About:    "30% of the replicas are gone: their ports refuse connections",
 		Shape:    fleet.MainSearch(),
-		Rounds:   rounds,
+		Rounds:   roundCount,
 		Variants: variants(broken, "naive", "owner"),
 	}
 }
 
-// shedding gives every replica one slot where the text says two, and more load
-// than one slot can take.
+// shedding gives every replica one slot although the configuration says two, and
+// more load than one slot can serve.
 func shedding() Experiment {
 	shape := fleet.MainSearch()
 	overload := func(v *Variant) {
@@ -215,39 +215,39 @@
 		Name:     "shedding",
 		About:    "every replica sheds: it has half the slots that the text says, under three times the load",
 		Shape:    shape,
-		Rounds:   rounds,
+		Rounds:   roundCount,
 		Variants: variants(overload, "naive", "owner"),
 	}
 }
 
-// versions rolls a new index version over the replicas in every slice.
+// versions rolls out a new index version to the replicas in every slice.
 func versions() Experiment {
 	rolling := func(v *Variant) { v.During = rollVersion }
 	return Experiment{
 		Name:     "versions",
 		About:    "a new index version rolls over the replicas and the old one goes, in every slice",
 		Shape:    fleet.MainSearch(),
-		Rounds:   rounds,
+		Rounds:   roundCount,
 		Variants: variants(rolling, "naive", "owner"),
 	}
 }
 
-const firstRolled = 100
+const firstRolledVersion = 100
 
-// rollVersion gives the round's version to the first replicas, then to the
-// others, and then takes the older ones away in the same order.
+// rollVersion adds the round's version to the first replica of each pair, then to
+// the second, and then removes the older versions in the same order.
 func rollVersion(ctx context.Context, emulation *fleet.Emulation, round int, slice time.Duration) {
 	const steps = 5
-	fresh := uint64(firstRolled + round)
-	change := func(first bool, alter func([]uint64) []uint64) {
+	newVersion := uint64(firstRolledVersion + round)
+	change := func(first bool, edit func([]uint64) []uint64) {
 		for i, replica := range emulation.Replicas {
 			if (i%2 == 0) == first {
-				replica.Change(func(b *standin.Behaviour) { b.Versions = alter(slices.Clone(b.Versions)) })
+				replica.Change(func(b *standin.Behaviour) { b.Versions = edit(slices.Clone(b.Versions)) })
 			}
 		}
 	}
-	add := func(versions []uint64) []uint64 { return append(versions, fresh) }
-	drop := func([]uint64) []uint64 { return []uint64{fresh} }
+	add := func(versions []uint64) []uint64 { return append(versions, newVersion) }
+	drop := func([]uint64) []uint64 { return []uint64{newVersion} }
 	for _, step := range []func(){
 		func() { change(true, add) },
 		func() { change(false, add) },
@@ -267,7 +267,7 @@
 		Name:     "bundles",
 		About:    "shards owned and asked together: 1, 5, 10 and 20",
 		Shape:    fleet.MainSearch(),
-		Rounds:   rounds,
+		Rounds:   roundCount,
 		Variants: variants(unchanged, "bundle-1", "bundle-5", "bundle-10", "bundle-20"),
 	}
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -11,12 +11,12 @@
 	"github.com/pistachiopier/pistachiopier/internal/plot"
 )
 
-// VariantReport is one variant's figures over all rounds.
+// VariantReport holds the figures of a variant over all rounds.
 type VariantReport struct {
 	Name      string         `json:"name"`
 	All       load.Summary   `json:"all"`
 	Customers []load.Summary `json:"customers"`
-	// AnsweredPartsPerSecond counts shards' parts.
+	// AnsweredPartsPerSecond counts the answered shards, not the queries.
 	AnsweredPartsPerSecond float64 `json:"answered_parts_per_second"`
 	ExtraLoad              float64 `json:"extra_upstream_load"`
 	CPUPerPartMicros       float64 `json:"cpu_per_part_us"`
@@ -26,14 +26,15 @@
 	RefusedConnections     int     `json:"connections_refused"`
 }
 
-// Spread is a figure's lowest, middle and highest value over the rounds.
+// Spread is the lowest, median and highest value of a figure over the rounds.
 type Spread struct {
 	Low    float64 `json:"low"`
 	Median float64 `json:"middle"`
 	High   float64 `json:"high"`
 }
 
-// Ratio compares a variant with the first one, round by round.
+// Ratio compares a variant with the first one, round by round: as ratios, and for Coverage and
+// ExtraLoad as differences.
 type Ratio struct {
 	Name       string `json:"name"`
 	P50        Spread `json:"p50"`
@@ -44,7 +45,7 @@
 	ExtraLoad  Spread `json:"extra_load_difference"`
 }
 
-// Report is a whole experiment's figures.
+// Report holds the figures of an experiment.
 type Report struct {
 	Name     string          `json:"name"`
 	About    string          `json:"about"`
@@ -55,7 +56,7 @@
 	series   []plot.Series
 }
 
-// Report works out the figures of a result.
+// Report computes the figures of a result.
 func (r Result) Report() Report {
 	report := Report{Name: r.Experiment.Name, About: r.Experiment.About, Cores: r.Cores, Rounds: len(r.Rounds)}
 	for i, variant := range r.Experiment.Variants {
@@ -70,12 +71,12 @@
 }
 
 func reportVariant(name string, total Slice, cores int) VariantReport {
-	loads := total.Recorder.Report(name, cores)
+	loadReport := total.Recorder.Report(name, cores)
 	return VariantReport{
 		Name:                   name,
-		All:                    loads.All,
-		Customers:              loads.Customers,
-		AnsweredPartsPerSecond: float64(total.Recorder.All.Answered) / max(loads.Seconds, 1e-9),
+		All:                    loadReport.All,
+		Customers:              loadReport.Customers,
+		AnsweredPartsPerSecond: float64(total.Recorder.All.Answered) / max(loadReport.Seconds, 1e-9),
 		ExtraLoad:              total.ExtraLoad(),
 		CPUPerPartMicros:       float64(total.CPUPerPart().Nanoseconds()) / 1000,
 		AllocationsPerPart:     total.AllocationsPerPart(),
@@ -87,10 +88,10 @@
 
 // ratio compares the variant with the first one in each round.
 func (r Result) ratio(variant int) Ratio {
-	over := func(figure func(Slice) float64) Spread {
+	ratioOf := func(figure func(Slice) float64) Spread {
 		return r.spread(variant, func(a, b Slice) float64 { return figure(b) / figure(a) })
 	}
-	minus := func(figure func(Slice) float64) Spread {
+	differenceOf := func(figure func(Slice) float64) Spread {
 		return r.spread(variant, func(a, b Slice) float64 { return figure(b) - figure(a) })
 	}
 	quantile := func(q float64) func(Slice) float64 {
@@ -98,12 +99,12 @@
 	}
 	return Ratio{
 		Name:       r.Experiment.Variants[variant].Name,
-		P50:        over(quantile(load.Median)),
-		P99:        over(quantile(load.Tail)),
-		P999:       over(quantile(load.FarTail)),
-		CPUPerPart: over(func(s Slice) float64 { return float64(max(1, s.CPUPerPart())) }),
-		Coverage:   minus(func(s Slice) float64 { return s.Recorder.All.MeanCoverage() }),
-		ExtraLoad:  minus(Slice.ExtraLoad),
+		P50:        ratioOf(quantile(load.Median)),
+		P99:        ratioOf(quantile(load.Tail)),
+		P999:       ratioOf(quantile(load.FarTail)),
+		CPUPerPart: ratioOf(func(s Slice) float64 { return float64(max(1, s.CPUPerPart())) }),
+		Coverage:   differenceOf(func(s Slice) float64 { return s.Recorder.All.MeanCoverage() }),
+		ExtraLoad:  differenceOf(Slice.ExtraLoad),
 	}
 }
 
@@ -116,7 +117,7 @@
 	return Spread{Low: values[0], Median: values[len(values)/2], High: values[len(values)-1]}
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as readable text.
 func (r Report) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "%s: %s\n%d cores, %d rounds, variants alternating\n", r.Name, r.About, r.Cores, r.Rounds)
 	fmt.Fprintf(out, "%-26s %8s %7s %8s %8s %8s %9s %7s %7s %7s %8s %7s %6s %6s %8s\n", "",
@@ -145,19 +146,19 @@
 	v.All.WriteOutcomes(out, "    ")
 }
 
-// String renders the middle and the range.
+// String formats the median and the range.
 func (s Spread) String() string {
 	return fmt.Sprintf("%.2f (%.2f..%.2f)", s.Median, s.Low, s.High)
 }
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as JSON.
 func (r Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return fault.Step("write the report", encoder.Encode(r))
 }
 
-// SVG draws all variants' latencies.
+// SVG plots the latencies of all variants.
 func (r Report) SVG() string {
 	return plot.SVG(r.Name+": "+r.About, r.series)
 }
--- a/internal/experiment/responder.go
+++ b/internal/experiment/responder.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	rawRequests   = 20000
-	responderRead = 1024
+	bareRequests         = 20000
+	responderBufferBytes = 1024
 )
 
-// responders answer the upstream protocol with as little work as can be, so
-// that a measurement of the owner holds little else.
+// responders are minimal servers of the upstream protocol. They use little CPU, so
+// that measurements of the owner contain little else.
 type responders struct {
-	listeners []net.Listener
-	mutex     sync.Mutex
-	open      []net.Conn
-	done      sync.WaitGroup
-	// hold, when set, makes each request wait until it is closed.
+	listeners       []net.Listener
+	mutex           sync.Mutex
+	openConnections []net.Conn
+	done            sync.WaitGroup
+	// hold, if set, delays all replies until it is closed.
 	hold chan struct{}
 }
 
@@ -55,7 +55,7 @@
 			return
 		}
 		r.mutex.Lock()
-		r.open = append(r.open, connection)
+		r.openConnections = append(r.openConnections, connection)
 		r.mutex.Unlock()
 		r.done.Go(func() { r.answer(connection) })
 	}
@@ -66,16 +66,16 @@
 		_ = listener.Close()
 	}
 	r.mutex.Lock()
-	for _, connection := range r.open {
+	for _, connection := range r.openConnections {
 		_ = connection.Close()
 	}
 	r.mutex.Unlock()
 	r.done.Wait()
 }
 
-// answer serves one connection: it reads the few headers it needs by name.
+// answer serves one connection. It parses only the headers that it needs.
 func (r *responders) answer(connection net.Conn) {
-	reader := bufio.NewReaderSize(connection, responderRead)
+	reader := bufio.NewReaderSize(connection, responderBufferBytes)
 	body := strings.Repeat("x", payloadBytes-2)
 	for {
 		id, length, err := readHead(reader)
@@ -116,9 +116,9 @@
 	}
 }
 
-// rawCost is the CPU of one request over a bare connection, in microseconds:
-// what a measurement against a responder holds besides the program's own work.
-func rawCost(address string) (float64, error) {
+// bareRequestCost is the CPU time of one request over a bare connection, in
+// microseconds: the overhead in each measurement against a responder.
+func bareRequestCost(address string) (float64, error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return 0, fault.Step("dial the responder", err)
@@ -126,8 +126,8 @@
 	defer func() { _ = connection.Close() }()
 	request := fmt.Appendf(nil, "POST / HTTP/1.1\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", upstream.HeaderRequestID)
 	reader := bufio.NewReader(connection)
-	cpu, _, err := cpuOf(func() error {
-		for range rawRequests {
+	cpu, _, err := measureCPU(func() error {
+		for range bareRequests {
 			if _, err := connection.Write(request); err != nil {
 				return err
 			}
@@ -141,22 +141,22 @@
 		}
 		return nil
 	})
-	return micros(cpu, rawRequests), fault.Step("ask the responder", err)
+	return microsPer(cpu, bareRequests), fault.Step("send a request to the responder", err)
 }
 
-// connectionSlopes weighs open connections to a replica: those of the client
-// and, to be taken off, bare ones.
+// connectionSlopes measures the memory of open connections to a replica: those of
+// the upstream client, and bare ones, which are to be subtracted.
 func connectionSlopes() ([]figure, error) {
 	bare, err := bareConnections()
 	if err != nil {
 		return nil, err
 	}
-	both, err := clientConnections()
+	client, err := clientConnections()
 	if err != nil {
 		return nil, err
 	}
 	return []figure{
-		{"replica connection: memory, idle, both ends", "bytes", both},
+		{"replica connection: memory, idle, both ends", "bytes", client},
 		{"bare connection and responder: memory", "bytes", bare},
 	}, nil
 }
@@ -174,7 +174,7 @@
 			_ = connection.Close()
 		}
 	}()
-	for range heldConnections {
+	for range connectionCount {
 		connection, err := net.Dial("tcp", addresses[0])
 		if err != nil {
 			return 0, fault.Step("dial the responder", err)
@@ -182,16 +182,17 @@
 		opened = append(opened, connection)
 		request := fmt.Sprintf("POST / HTTP/1.1\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", upstream.HeaderRequestID)
 		if _, err := io.WriteString(connection, request); err != nil {
-			return 0, fault.Step("ask the responder", err)
+			return 0, fault.Step("send a request to the responder", err)
 		}
-		if _, err := io.ReadAtLeast(connection, make([]byte, responderRead), payloadBytes); err != nil {
-			return 0, fault.Step("ask the responder", err)
+		if _, err := io.ReadAtLeast(connection, make([]byte, responderBufferBytes), payloadBytes); err != nil {
+			return 0, fault.Step("send a request to the responder", err)
 		}
 	}
-	return (memoryInUse() - before) / heldConnections, nil
+	return (memoryInUse() - before) / connectionCount, nil
 }
 
-// clientConnections holds requests until all connections are open.
+// clientConnections delays all replies until all connections are open, so that no
+// connection is reused.
 func clientConnections() (float64, error) {
 	hold := make(chan struct{})
 	r, addresses, err := startResponders(1, hold)
@@ -201,41 +202,41 @@
 	defer r.close()
 	client := upstream.NewClient()
 	defer client.Close()
-	client.SetConnectionShare(addresses[0], heldConnections)
+	client.SetConnectionShare(addresses[0], connectionCount)
 	before := memoryInUse()
-	failures := make(chan upstream.Result, heldConnections)
-	var open sync.WaitGroup
-	for range heldConnections {
-		open.Go(func() { failures <- client.Do(context.Background(), exampleCall(addresses[0])) })
+	failures := make(chan upstream.Result, connectionCount)
+	var running sync.WaitGroup
+	for range connectionCount {
+		running.Go(func() { failures <- client.Do(context.Background(), exampleCall(addresses[0])) })
 	}
-	awaited := r.awaitOpen(heldConnections)
+	awaitErr := r.awaitOpen(connectionCount)
 	close(hold)
-	open.Wait()
+	running.Wait()
 	close(failures)
-	if awaited != nil {
-		return 0, awaited
+	if awaitErr != nil {
+		return 0, awaitErr
 	}
 	for result := range failures {
 		if result.Outcome != core.Done {
-			return 0, &fault.Error{Code: fault.CodeUpstream, Message: "the responder gave no part", Cause: result.Cause}
+			return 0, &fault.Error{Code: fault.CodeUpstream, Message: "the responder returned no part", Cause: result.Cause}
 		}
 	}
-	return (memoryInUse() - before) / heldConnections, nil
+	return (memoryInUse() - before) / connectionCount, nil
 }
 
-// awaitOpen waits until the number of connections is open.
+// awaitOpen waits until the given number of connections is open.
 func (r *responders) awaitOpen(count int) error {
-	limit := time.Now().Add(readyTimeout)
-	for time.Now().Before(limit) {
+	deadline := time.Now().Add(readyTimeout)
+	for time.Now().Before(deadline) {
 		r.mutex.Lock()
-		open := len(r.open)
+		openCount := len(r.openConnections)
 		r.mutex.Unlock()
-		if open >= count {
+		if openCount >= count {
 			return nil
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return fault.NotRun(fault.CodeUpstream, "the connections did not open in time", "run fewer things at once")
+	return fault.NotRun(fault.CodeUpstream, "the connections to the responder did not open in time", "run fewer things at once")
 }
 
 func exampleCall(address string) upstream.Call {
--- a/internal/experiment/slopes.go
+++ b/internal/experiment/slopes.go
@@ -12,36 +12,36 @@
 	"github.com/pistachiopier/pistachiopier/internal/load"
 )
 
-// repeats is how often each slope is measured, but for the slow ones.
-const repeats = 3
+// repetitions is the number of measurements of each slope, except keepAliveSlopes, which is slow.
+const repetitions = 3
 
-// Slope is what one more of something costs on this machine.
+// Slope is the marginal cost of one more unit, such as a replica or a link, on this machine.
 type Slope struct {
 	Name string `json:"name"`
 	Unit string `json:"unit"`
 	Spread
 }
 
-// Slopes are all slopes of one run.
+// Slopes holds all slopes of a run.
 type Slopes struct {
 	Cores  int     `json:"cores"`
 	Slopes []Slope `json:"slopes"`
 }
 
-// figure is one measured value; its name and unit identify it over repeats.
+// figure is a measured value. Its name and unit identify it across repetitions.
 type figure struct {
 	name  string
 	unit  string
 	value float64
 }
 
-// MeasureSlopes measures every slope several times.
+// MeasureSlopes measures every slope, most of them repeatedly.
 func MeasureSlopes() (Slopes, error) {
 	slopes := Slopes{Cores: runtime.NumCPU()}
 	for _, measure := range []func() ([]figure, error){
 		catalogSlopes, handshakeSlopes, hopSlopes, entrySlopes, ownerSlopes, connectionSlopes, idleSlopes,
 	} {
-		if err := slopes.repeat(measure, repeats); err != nil {
+		if err := slopes.repeat(measure, repetitions); err != nil {
 			return slopes, err
 		}
 	}
@@ -72,21 +72,21 @@
 	return nil
 }
 
-// WriteText writes the slopes for people.
+// WriteText writes the slopes as readable text.
 func (s Slopes) WriteText(out io.Writer) {
 	for _, slope := range s.Slopes {
 		fmt.Fprintf(out, "%-58s %12.2f %-8s (%.2f..%.2f)\n", slope.Name, slope.Median, slope.Unit, slope.Low, slope.High)
 	}
 }
 
-// WriteJSON writes the slopes for programs.
+// WriteJSON writes the slopes as JSON.
 func (s Slopes) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return fault.Step("write the slopes", encoder.Encode(s))
 }
 
-// memoryInUse is the live heap and the stacks, in bytes, after a collection.
+// memoryInUse returns the bytes of live heap and stacks after garbage collection.
 func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -95,8 +95,8 @@
 	return float64(stats.HeapAlloc) + float64(stats.StackInuse)
 }
 
-// cpuOf runs the work and returns the process's CPU time and the time taken.
-func cpuOf(work func() error) (cpu, elapsed time.Duration, err error) {
+// measureCPU runs the work and returns the CPU time of the process and the elapsed time.
+func measureCPU(work func() error) (cpu, elapsed time.Duration, err error) {
 	runtime.GC()
 	started := time.Now()
 	before := load.ReadUsage()
@@ -104,6 +104,6 @@
 	return load.ReadUsage().Since(before).CPU, time.Since(started), err
 }
 
-func micros(duration time.Duration, count int) float64 {
+func microsPer(duration time.Duration, count int) float64 {
 	return float64(duration) / float64(time.Microsecond) / float64(count)
 }
--- a/internal/experiment/slopes_catalog.go
+++ b/internal/experiment/slopes_catalog.go
@@ -11,26 +11,26 @@
 	"github.com/pistachiopier/pistachiopier/internal/fault"
 )
 
-// The sizes at which the text is measured, in services of one shard with two
-// replicas each; the larger has the 6,000 replicas of the target.
+// Sizes of the measured configurations, in services of one shard with two replicas
+// each. The larger one has the 6,000 replicas of the target.
 const (
 	fewServices  = 300
 	manyServices = 3000
-	// groupOfTarget is how many services a question needs.
-	groupOfTarget = 110
-	viewNodes     = 780
-	ownersDrawn   = 1000
+	// servicesPerQuery is the number of services in the closure of a query.
+	servicesPerQuery = 110
+	viewNodes        = 780
+	ownerLookups     = 1000
 )
 
-// wideText writes services of two replicas in groups, each group led by a
-// service that depends on the rest.
-func wideText(services, groupSize, bundleSize int) []byte {
+// groupedConfig describes services of two replicas in groups. The first service of
+// each group depends on the others.
+func groupedConfig(services, groupSize, bundleSize int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\nindexes: [main]\npolicy: {bundle_size: %d}\nservices:\n", bundleSize)
 	for i := range services {
-		group, place := i/groupSize, i%groupSize
-		fmt.Fprintf(&b, "  - {name: s-%d-%d, index: main, ", group, place)
-		if place == 0 {
+		group, position := i/groupSize, i%groupSize
+		fmt.Fprintf(&b, "  - {name: s-%d-%d, index: main, ", group, position)
+		if position == 0 {
 			writeDependencies(&b, group, min(groupSize, services-i))
 		}
 		fmt.Fprintf(&b, "shards: [{replicas: [{address: '10.%d.%d.1:80', data_centre: dc1}, {address: '10.%d.%d.2:80', data_centre: dc2}]}]}\n",
@@ -41,8 +41,8 @@
 
 func writeDependencies(b *strings.Builder, group, size int) {
 	names := make([]string, 0, size)
-	for place := 1; place < size; place++ {
-		names = append(names, fmt.Sprintf("s-%d-%d", group, place))
+	for position := 1; position < size; position++ {
+		names = append(names, fmt.Sprintf("s-%d-%d", group, position))
 	}
 	fmt.Fprintf(b, "depends_on: [%s], ", strings.Join(names, ", "))
 }
@@ -65,7 +65,8 @@
 	}, viewSlopes()...), nil
 }
 
-// catalogSize is what one text costs.
+// catalogSize holds the size of a configuration in memory and as text, in bytes, and the CPU
+// time to parse it, in milliseconds.
 type catalogSize struct {
 	memory float64
 	text   float64
@@ -73,21 +74,21 @@
 }
 
 func catalogCost(services int) (catalogSize, error) {
-	text := wideText(services, groupOfTarget, 1)
+	text := groupedConfig(services, servicesPerQuery, 1)
 	var parsed *catalog.Catalog
 	before := memoryInUse()
-	cpu, _, err := cpuOf(func() error {
+	cpu, _, err := measureCPU(func() error {
 		var err error
 		parsed, err = catalog.Parse(text)
 		return err
 	})
-	size := catalogSize{memory: memoryInUse() - before, text: float64(len(text)), millis: micros(cpu, 1) / 1000}
+	size := catalogSize{memory: memoryInUse() - before, text: float64(len(text)), millis: microsPer(cpu, 1) / 1000}
 	runtime.KeepAlive(parsed)
 	runtime.KeepAlive(text)
-	return size, fault.Step("parse the text", err)
+	return size, fault.Step("parse the configuration", err)
 }
 
-// viewSlopes is the cost of finding a bundle's owner among all nodes.
+// viewSlopes measures the memory of a view and the CPU time to find the owner of a bundle in it.
 func viewSlopes() []figure {
 	before := memoryInUse()
 	nodes := make([]route.Node, 0, viewNodes)
@@ -101,14 +102,14 @@
 	}
 	view := route.NewView(nodes)
 	memory := memoryInUse() - before
-	cpu, _, _ := cpuOf(func() error {
-		for bundle := range ownersDrawn {
+	cpu, _, _ := measureCPU(func() error {
+		for bundle := range ownerLookups {
 			view.Rank(core.BundleID(bundle), "dc1", 0)
 		}
 		return nil
 	})
 	return []figure{
 		{"view: memory of a node", "bytes", memory / viewNodes},
-		{"view: CPU to find an owner among 780 nodes", "us", micros(cpu, ownersDrawn)},
+		{"view: CPU to find an owner among 780 nodes", "us", microsPer(cpu, ownerLookups)},
 	}
 }
--- a/internal/experiment/slopes_idle.go
+++ b/internal/experiment/slopes_idle.go
@@ -10,16 +10,16 @@
 	"github.com/pistachiopier/pistachiopier/internal/fleet"
 )
 
-// The sizes of the measurement of nodes without load.
+// Parameters of the measurement of idle nodes.
 const (
-	fewNodes  = 4
-	manyNodes = 16
-	idleTime  = 2 * time.Second
+	fewNodes     = 4
+	manyNodes    = 16
+	idleDuration = 2 * time.Second
 )
 
-// idleSlopes weigh nodes that serve a text and get no question: what control
-// alone costs. A figure that grows with the number of nodes shows a mechanism
-// whose cost grows with the fleet.
+// idleSlopes measures nodes that have a configuration and receive no queries: the
+// cost of the control plane alone. A figure that grows with the number of nodes
+// shows a mechanism whose cost per node grows with the fleet.
 func idleSlopes() ([]figure, error) {
 	var figures []figure
 	for _, count := range []int{fewNodes, manyNodes} {
@@ -34,8 +34,8 @@
 	return figures, nil
 }
 
-// idleCost is what one node of a fleet without load costs: microseconds of CPU
-// a second, the stand-in platform included, and bytes.
+// idleCost returns the cost of one node of an idle fleet: microseconds of CPU time
+// per second, including the stand-in platform, and bytes of memory.
 func idleCost(count int) (cpuMicros, memory float64, err error) {
 	emulation, err := fleet.StartEmulation(fleet.MainSearch(), seed)
 	if err != nil {
@@ -50,14 +50,14 @@
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := emulation.ConfigText(fleet.ConfigTextOptions{Routing: "owner", BundleSize: 1, InFlight: inFlight})
+	text := emulation.ConfigText(fleet.ConfigTextOptions{Routing: "owner", BundleSize: 1, InFlight: inFlightLimit})
 	if err := running.AwaitReady(ctx, running.Platform.Publish(text)); err != nil {
 		return 0, 0, fault.Step("start idle nodes", err)
 	}
-	time.Sleep(idleTime)
-	cpu, elapsed, _ := cpuOf(func() error {
-		time.Sleep(idleTime)
+	time.Sleep(idleDuration)
+	cpu, elapsed, _ := measureCPU(func() error {
+		time.Sleep(idleDuration)
 		return nil
 	})
-	return micros(cpu, count) / elapsed.Seconds(), (memoryInUse() - before) / float64(count), nil
+	return microsPer(cpu, count) / elapsed.Seconds(), (memoryInUse() - before) / float64(count), nil
 }
--- a/internal/experiment/slopes_node.go
+++ b/internal/experiment/slopes_node.go
@@ -25,41 +25,41 @@
 	"github.com/pistachiopier/pistachiopier/internal/upstream"
 )
 
-// The sizes of the measurements of the roles.
+// Parameters of the measurements of entry and owner.
 const (
-	wideQuestion    = groupOfTarget
-	entryParts      = 220000
-	openQuestions   = 500
-	ownerShards     = 200
-	ownerParts      = 40000
-	askersAtOnce    = 32
-	heldConnections = 400
-	bodyBytes       = 1 << 20
-	longTimeout     = time.Minute
+	shardsPerQuery    = servicesPerQuery
+	entryParts        = 220000
+	queriesInFlight   = 500
+	ownerShards       = 200
+	ownerParts        = 40000
+	concurrentCallers = 32
+	connectionCount   = 400
+	bodyBytes         = 1 << 20
+	longTimeout       = time.Minute
 )
 
-// parts are what the roles need of a node.
-type parts struct {
+// components are the parts of a node that entry and owner need.
+type components struct {
 	belief   *belief.Store
 	now      func() core.Time
 	log      logrus.FieldLogger
 	problems *observe.Problems
 }
 
-func newParts(text []byte) (parts, error) {
+func newComponents(text []byte) (components, error) {
 	parsed, err := catalog.Parse(text)
 	if err != nil {
-		return parts{}, fault.Step("parse the text", err)
+		return components{}, fault.Step("parse the configuration", err)
 	}
 	store := belief.NewStore()
 	store.SetView(route.NewView([]route.Node{{ID: "self", DataCentre: "dc1"}}))
 	store.SetConfig(&belief.Config{Revision: 1, Text: text, Catalog: parsed})
 	started := time.Now()
 	now := func() core.Time { return time.Since(started) }
-	return parts{belief: store, now: now, log: quietLog(), problems: observe.NewProblems(now)}, nil
+	return components{belief: store, now: now, log: discardLog(), problems: observe.NewProblems(now)}, nil
 }
 
-// instantPeers answer every request at once; silent ones never do.
+// instantPeers answers every request at once, or never if silent is set.
 type instantPeers struct{ silent bool }
 
 type noTicket struct{}
@@ -69,13 +69,13 @@
 // Ask implements peer.Asker.
 func (p instantPeers) Ask(_ peer.Target, request *peerpb.Envelope, sink peer.Sink) peer.Ticket {
 	if !p.silent {
-		answerAll(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
+		replyAllParts(peer.NewInbound(context.Background(), peer.Identity{}, request, func(reply *peerpb.Envelope) { sink(reply, nil) }))
 	}
 	return noTicket{}
 }
 
 func newEntry(text []byte, peers peer.Asker) (*entry.Entry, error) {
-	p, err := newParts(text)
+	p, err := newComponents(text)
 	if err != nil {
 		return nil, err
 	}
@@ -85,110 +85,110 @@
 	}), nil
 }
 
-func question() entry.Query {
+func exampleQuery() entry.Query {
 	return entry.Query{Service: "s-0-0", Customer: "large", Body: []byte(`"pork shoulder"`), Timeout: longTimeout}
 }
 
-// questionText is the text of one question over the given number of shards:
-// one depends on all the others and receives their parts.
-func questionText(services, bundle int) []byte {
-	return []byte(strings.Replace(string(wideText(services, services, bundle)), "version: 1\n", fmt.Sprintf("version: 1\ndefault_customer: {in_flight: %d}\n", inFlight), 1))
+// queryConfig describes services of one shard each, the first of which depends on
+// all others and receives their parts.
+func queryConfig(services, bundle int) []byte {
+	return []byte(strings.Replace(string(groupedConfig(services, services, bundle)), "version: 1\n", fmt.Sprintf("version: 1\ndefault_customer: {in_flight: %d}\n", inFlightLimit), 1))
 }
 
 func entrySlopes() ([]figure, error) {
 	var figures []figure
 	for _, bundle := range []int{1, targetBundle} {
-		e, err := newEntry(questionText(wideQuestion, bundle), instantPeers{})
+		e, err := newEntry(queryConfig(shardsPerQuery, bundle), instantPeers{})
 		if err != nil {
 			return nil, err
 		}
-		cpu, _, err := cpuOf(func() error { return askMany(e, entryParts/wideQuestion) })
+		cpu, _, err := measureCPU(func() error { return runQueries(e, entryParts/shardsPerQuery) })
 		e.Close()
 		if err != nil {
-			return nil, fault.Step("ask the entry", err)
+			return nil, fault.Step("query the entry", err)
 		}
-		figures = append(figures, figure{fmt.Sprintf("entry: CPU of a part, 110 shards, bundle %d", bundle), "us", micros(cpu, entryParts)})
+		figures = append(figures, figure{fmt.Sprintf("entry: CPU of a part, 110 shards, bundle %d", bundle), "us", microsPer(cpu, entryParts)})
 	}
-	whole, err := callerSlopes()
+	callerFigures, err := callerSlopes()
 	if err != nil {
 		return nil, err
 	}
-	memory, err := questionMemory()
-	return append(append(figures, whole...), memory...), err
+	memory, err := queryMemory()
+	return append(append(figures, callerFigures...), memory...), err
 }
 
-// discard is a response that nobody reads.
-type discard struct {
+// discardResponse is a response writer that discards the body.
+type discardResponse struct {
 	header http.Header
 	status int
 }
 
-func (d *discard) Header() http.Header { return d.header }
+func (d *discardResponse) Header() http.Header { return d.header }
 
-func (d *discard) Write(body []byte) (int, error) { return len(body), nil }
+func (d *discardResponse) Write(body []byte) (int, error) { return len(body), nil }
 
-func (d *discard) WriteHeader(status int) { d.status = status }
+func (d *discardResponse) WriteHeader(status int) { d.status = status }
 
-// callerSlopes asks through the callers' interface, without a connection: the
-// JSON of question and answer counts, HTTP's bytes do not.
+// callerSlopes queries through the callers' HTTP handler without a connection: the
+// cost includes the JSON of query and answer, but not the HTTP transport.
 func callerSlopes() ([]figure, error) {
-	e, err := newEntry(questionText(wideQuestion, targetBundle), instantPeers{})
+	e, err := newEntry(queryConfig(shardsPerQuery, targetBundle), instantPeers{})
 	if err != nil {
 		return nil, err
 	}
 	defer e.Close()
 	handler := api.NewCallerHandler(api.CallerOptions{
-		Log:     quietLog(),
+		Log:     discardLog(),
 		Entry:   e,
 		Body:    api.BodyLimits{MaxBytes: bodyBytes, Timeout: longTimeout},
 		Metrics: observe.NewRegistry(),
 	})
-	const questions = entryParts / wideQuestion
-	cpu, _, err := cpuOf(func() error {
-		for range questions {
-			if err := askHandler(handler); err != nil {
+	const queries = entryParts / shardsPerQuery
+	cpu, _, err := measureCPU(func() error {
+		for range queries {
+			if err := sendQuery(handler); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	return []figure{{"entry: CPU of a part with the callers' JSON, 110 shards, bundle 10", "us", micros(cpu, questions*wideQuestion)}}, err
+	return []figure{{"entry: CPU of a part with the callers' JSON, 110 shards, bundle 10", "us", microsPer(cpu, queries*shardsPerQuery)}}, err
 }
 
-func askHandler(handler http.Handler) error {
+func sendQuery(handler http.Handler) error {
 	body := strings.NewReader(`{"customer":"large","question":"pork shoulder","timeout_ms":60000}`)
 	request, err := http.NewRequest(http.MethodPost, "/v1/query/s-0-0", body)
 	if err != nil {
 		return fault.Step("build a request", err)
 	}
-	response := &discard{header: http.Header{}, status: http.StatusOK}
+	response := &discardResponse{header: http.Header{}, status: http.StatusOK}
 	handler.ServeHTTP(response, request)
 	if response.status != http.StatusOK {
-		return &fault.Error{Code: fault.CodeInternal, Message: "the entry answered " + http.StatusText(response.status)}
+		return &fault.Error{Code: fault.CodeInternal, Message: "the entry returned HTTP status " + http.StatusText(response.status)}
 	}
 	return nil
 }
 
-func quietLog() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func askMany(e *entry.Entry, questions int) error {
-	var open sync.WaitGroup
-	errs := make(chan error, askersAtOnce)
-	for range askersAtOnce {
-		open.Go(func() {
-			for range questions / askersAtOnce {
-				if _, err := e.Ask(context.Background(), question()); err != nil {
+func runQueries(e *entry.Entry, queries int) error {
+	var running sync.WaitGroup
+	errs := make(chan error, concurrentCallers)
+	for range concurrentCallers {
+		running.Go(func() {
+			for range queries / concurrentCallers {
+				if _, err := e.Ask(context.Background(), exampleQuery()); err != nil {
 					errs <- err
 					return
 				}
 			}
 		})
 	}
-	open.Wait()
+	running.Wait()
 	select {
 	case err := <-errs:
 		return err
@@ -197,30 +197,30 @@
 	}
 }
 
-// questionMemory is what a question holds while no owner has answered.
-func questionMemory() ([]figure, error) {
-	e, err := newEntry(questionText(wideQuestion, 1), instantPeers{silent: true})
+// queryMemory measures the memory of a query in flight that no owner has answered.
+func queryMemory() ([]figure, error) {
+	e, err := newEntry(queryConfig(shardsPerQuery, 1), instantPeers{silent: true})
 	if err != nil {
 		return nil, err
 	}
 	defer e.Close()
 	before := memoryInUse()
 	ctx, cancel := context.WithCancel(context.Background())
-	var open sync.WaitGroup
-	for range openQuestions {
-		open.Go(func() { _, _ = e.Ask(ctx, question()) })
+	var running sync.WaitGroup
+	for range queriesInFlight {
+		running.Go(func() { _, _ = e.Ask(ctx, exampleQuery()) })
 	}
-	for e.InFlight() < openQuestions {
+	for e.InFlight() < queriesInFlight {
 		time.Sleep(time.Millisecond)
 	}
 	memory := memoryInUse() - before
 	cancel()
-	open.Wait()
-	return []figure{{"entry: memory of a question in flight, 110 shards", "bytes", memory / openQuestions}}, nil
+	running.Wait()
+	return []figure{{"entry: memory of a question in flight, 110 shards", "bytes", memory / queriesInFlight}}, nil
 }
 
-// shardText writes services of one shard with one replica at each address.
-func shardText(addresses []string) []byte {
+// shardConfig describes a service of one shard with one replica for each address.
+func shardConfig(addresses []string) []byte {
 	var b strings.Builder
 	b.WriteString("version: 1\nindexes: [main]\nservices:\n")
 	for i, address := range addresses {
@@ -229,15 +229,15 @@
 	return []byte(b.String())
 }
 
-// ownerSlopes runs parts through an owner against responders that cost as
-// little as can be.
+// ownerSlopes measures requests through an owner to responders, which use little
+// CPU.
 func ownerSlopes() ([]figure, error) {
 	responders, addresses, err := startResponders(ownerShards, nil)
 	if err != nil {
 		return nil, err
 	}
 	defer responders.close()
-	p, err := newParts(shardText(addresses))
+	p, err := newComponents(shardConfig(addresses))
 	if err != nil {
 		return nil, err
 	}
@@ -250,22 +250,22 @@
 	defer o.Close()
 	run := &ownerRun{owner: o, bundles: bundleIDs(p.belief.Config().Catalog, ownerShards)}
 	before := memoryInUse()
-	if err := run.ask(ownerShards, 1); err != nil {
+	if err := run.requestParts(ownerShards, 1); err != nil {
 		return nil, err
 	}
 	memory := memoryInUse() - before
-	cpu, _, err := cpuOf(func() error { return run.ask(ownerParts, askersAtOnce) })
+	cpu, _, err := measureCPU(func() error { return run.requestParts(ownerParts, concurrentCallers) })
 	if err != nil {
 		return nil, err
 	}
-	raw, err := rawCost(addresses[0])
+	bareCost, err := bareRequestCost(addresses[0])
 	if err != nil {
 		return nil, err
 	}
 	return []figure{
 		{"owner: memory of a shard with one connection, both ends", "bytes", memory / ownerShards},
-		{"owner: CPU of a part with its upstream request and the responder", "us", micros(cpu, ownerParts)},
-		{"responder and a bare connection: CPU of a request", "us", raw},
+		{"owner: CPU of a part with its upstream request and the responder", "us", microsPer(cpu, ownerParts)},
+		{"responder and a bare connection: CPU of a request", "us", bareCost},
 	}, nil
 }
 
@@ -277,15 +277,15 @@
 	return ids
 }
 
-// ownerRun asks an owner for shard after shard.
+// ownerRun requests parts of an owner, shard by shard.
 type ownerRun struct {
 	owner   *owner.Owner
 	bundles []uint32
 }
 
-// ask takes the given number of parts, with atOnce requests in flight.
-func (r *ownerRun) ask(count, atOnce int) error {
-	slots := make(chan struct{}, atOnce)
+// requestParts requests the given number of parts, with at most maxInFlight requests in flight.
+func (r *ownerRun) requestParts(count, maxInFlight int) error {
+	slots := make(chan struct{}, maxInFlight)
 	outcomes := make(chan string, count)
 	for i := range count {
 		slots <- struct{}{}
@@ -296,25 +296,25 @@
 		message.TimeLeftUs = uint64(longTimeout.Microseconds())
 		message.Asks = []*peerpb.ShardAsk{{Service: fmt.Sprintf("s-%d", number)}}
 		r.owner.HandleBundle(peer.NewInbound(context.Background(), peer.Identity{Node: "asker"}, request, func(reply *peerpb.Envelope) {
-			outcomes <- failureOf(reply)
+			outcomes <- failureReason(reply)
 			<-slots
 		}))
 	}
 	for range count {
 		if failure := <-outcomes; failure != "" {
-			return &fault.Error{Code: fault.CodeUpstream, Message: "the owner answered " + failure}
+			return &fault.Error{Code: fault.CodeUpstream, Message: "the owner returned no part: " + failure}
 		}
 	}
 	return nil
 }
 
-// failureOf names why a reply carries no part; "" is a part.
-func failureOf(reply *peerpb.Envelope) string {
+// failureReason returns the reason why a reply has no part, or "" if it has one.
+func failureReason(reply *peerpb.Envelope) string {
 	if reply.GetPart() == nil {
 		return "refused: " + reply.GetRefusal().GetReason()
 	}
 	if core.Outcome(reply.GetPart().GetOutcome()) != core.Done {
-		return "no part: " + reply.GetPart().GetReason()
+		return "outcome not done: " + reply.GetPart().GetReason()
 	}
 	return ""
 }
--- a/internal/experiment/slopes_peer.go
+++ b/internal/experiment/slopes_peer.go
@@ -18,31 +18,32 @@
 	"github.com/pistachiopier/pistachiopier/internal/peer/peerpb"
 )
 
-// The sizes of the measurements of links.
+// Parameters of the measurements of links.
 const (
-	fewLinks     = 20
-	manyLinks    = 120
-	manyPeers    = 64
-	hopParts     = 60000
-	hopInFlight  = 64
-	forwardParts = 10000
-	payloadBytes = 200
-	keysValid    = time.Hour
-	targetBundle = 10
+	fewLinks            = 20
+	manyLinks           = 120
+	manyPeers           = 64
+	hopParts            = 60000
+	hopInFlight         = 64
+	forwardParts        = 10000
+	payloadBytes        = 200
+	certificateValidity = time.Hour
+	targetBundle        = 10
 )
 
-// spreadStep is the time between two parts of a bundle that answers as its
-// replicas do: one after the other.
-const spreadStep = time.Millisecond
+// partInterval is the time between two parts of a bundle whose replicas finish one
+// after the other.
+const partInterval = time.Millisecond
 
-// An idle link first finds the largest packet that its path takes, one probe a
-// keepalive; settleTime spans that, keepAliveTime several keepalives after it.
+// An idle link first discovers the largest packet size of its path, with one probe
+// per keepalive. settleTime covers that discovery, and keepAliveDuration covers
+// several keepalives after it.
 const (
-	settleTime    = 30 * time.Second
-	keepAliveTime = 20 * time.Second
+	settleTime        = 30 * time.Second
+	keepAliveDuration = 20 * time.Second
 )
 
-// links are a pool and the servers it asks, in one process.
+// links holds a pool and the servers that it connects to, in one process.
 type links struct {
 	authority *keys.Authority
 	handler   peer.HandlerFunc
@@ -52,12 +53,12 @@
 }
 
 func newLinks(handler peer.HandlerFunc) (*links, error) {
-	authority, err := keys.NewAuthority(time.Now(), keysValid)
+	authority, err := keys.NewAuthority(time.Now(), certificateValidity)
 	if err != nil {
 		return nil, err
 	}
 	l := &links{authority: authority, handler: handler}
-	config, err := l.keys("asker")
+	config, err := l.tlsConfig("asker")
 	if err != nil {
 		return nil, err
 	}
@@ -65,18 +66,18 @@
 	return l, err
 }
 
-func (l *links) keys(id string) (*tls.Config, error) {
-	pair, err := l.authority.Issue(id, time.Now(), keysValid)
+func (l *links) tlsConfig(id string) (*tls.Config, error) {
+	pair, err := l.authority.Issue(id, time.Now(), certificateValidity)
 	if err != nil {
 		return nil, err
 	}
 	return keys.Config(l.authority.Certificate, pair)
 }
 
-func (l *links) serve(count int) error {
+func (l *links) startServers(count int) error {
 	for range count {
 		id := core.NodeID(fmt.Sprintf("server-%d", len(l.servers)))
-		config, err := l.keys(string(id))
+		config, err := l.tlsConfig(string(id))
 		if err != nil {
 			return err
 		}
@@ -97,9 +98,9 @@
 	}
 }
 
-// answerAll replies a part for each shard asked, one message each, as an owner
-// does.
-func answerAll(inbound *peer.Inbound) {
+// replyAllParts replies with a part for each requested shard, each in a message of
+// its own, as an owner does.
+func replyAllParts(inbound *peer.Inbound) {
 	request := inbound.Envelope.GetBundleRequest()
 	asks := request.GetAsks()
 	for i, ask := range asks {
@@ -107,20 +108,20 @@
 	}
 }
 
-// answerSpread replies the parts one after the other, as they finish at
-// different replicas, so that they do not share a packet.
-func answerSpread(inbound *peer.Inbound) {
+// replyPartsInSequence replies with the parts at intervals, as different replicas
+// finish them, so that they do not share a packet.
+func replyPartsInSequence(inbound *peer.Inbound) {
 	asks := inbound.Envelope.GetBundleRequest().GetAsks()
-	left := atomic.Int64{}
-	left.Store(int64(len(asks)))
+	remaining := atomic.Int64{}
+	remaining.Store(int64(len(asks)))
 	for i, ask := range asks {
-		time.AfterFunc(time.Duration(i+1)*spreadStep, func() {
-			inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_Part{Part: examplePart(ask)}}, left.Add(-1) == 0)
+		time.AfterFunc(time.Duration(i+1)*partInterval, func() {
+			inbound.Reply(&peerpb.Envelope{Body: &peerpb.Envelope_Part{Part: examplePart(ask)}}, remaining.Add(-1) == 0)
 		})
 	}
 }
 
-// examplePayload is a part as an upstream writes it: a JSON value.
+// examplePayload is the payload of a part as an upstream sends it: a JSON value.
 var examplePayload = []byte(strconv.Quote(strings.Repeat("x", payloadBytes-2)))
 
 func examplePart(ask *peerpb.ShardAsk) *peerpb.Part {
@@ -151,16 +152,16 @@
 	return &peerpb.Envelope{Body: &peerpb.Envelope_BundleRequest{BundleRequest: request}}
 }
 
-// ask sends messages for the number of parts, spread over the targets, with at
-// most inFlight messages open.
-func (l *links) ask(targets []peer.Target, parts, bundle, inFlight int) error {
+// requestParts requests the given number of parts in bundles, distributed over the
+// targets, with at most inFlight requests in flight.
+func (l *links) requestParts(targets []peer.Target, parts, bundle, inFlight int) error {
 	slots := make(chan struct{}, inFlight)
-	var open sync.WaitGroup
+	var pending sync.WaitGroup
 	var mutex sync.Mutex
 	var failed error
 	for i := range parts / bundle {
 		slots <- struct{}{}
-		open.Add(1)
+		pending.Add(1)
 		l.pool.Ask(targets[i%len(targets)], exampleRequest(bundle), func(reply *peerpb.Envelope, failure *peer.LinkError) {
 			if failure == nil && !reply.GetLast() {
 				return
@@ -171,51 +172,51 @@
 				mutex.Unlock()
 			}
 			<-slots
-			open.Done()
+			pending.Done()
 		})
 	}
-	open.Wait()
+	pending.Wait()
 	return failed
 }
 
-// handshakeSlopes opens links one after the other and weighs what they hold.
+// handshakeSlopes opens links one after the other and measures their memory and handshakes.
 func handshakeSlopes() ([]figure, error) {
-	l, err := newLinks(answerAll)
+	l, err := newLinks(replyAllParts)
 	if err != nil {
 		return nil, err
 	}
 	defer l.close()
-	if err := l.serve(manyLinks); err != nil {
+	if err := l.startServers(manyLinks); err != nil {
 		return nil, err
 	}
-	open := func(targets []peer.Target) func() error {
-		return func() error { return l.ask(targets, len(targets), 1, 1) }
+	openTargets := func(targets []peer.Target) func() error {
+		return func() error { return l.requestParts(targets, len(targets), 1, 1) }
 	}
-	if err := open(l.targets[:fewLinks])(); err != nil {
+	if err := openTargets(l.targets[:fewLinks])(); err != nil {
 		return nil, fault.Step("open links", err)
 	}
 	before := memoryInUse()
-	cpu, elapsed, err := cpuOf(open(l.targets[fewLinks:]))
+	cpu, elapsed, err := measureCPU(openTargets(l.targets[fewLinks:]))
 	if err != nil {
 		return nil, fault.Step("open links", err)
 	}
 	opened := manyLinks - fewLinks
 	return []figure{
 		{"peer link: memory, both ends", "bytes", (memoryInUse() - before) / float64(opened)},
-		{"peer handshake: CPU, both ends", "us", micros(cpu, opened)},
-		{"peer handshake: time on loopback, with one request", "us", micros(elapsed, opened)},
+		{"peer handshake: CPU, both ends", "us", microsPer(cpu, opened)},
+		{"peer handshake: time on loopback, with one request", "us", microsPer(elapsed, opened)},
 	}, nil
 }
 
-// openLinks makes links to manyPeers peers and opens each by one request.
+// openLinks opens links to manyPeers peers by sending one request over each.
 func openLinks(handler peer.HandlerFunc) (*links, error) {
 	l, err := newLinks(handler)
 	if err != nil {
 		return nil, err
 	}
-	err = l.serve(manyPeers)
+	err = l.startServers(manyPeers)
 	if err == nil {
-		err = fault.Step("open links", l.ask(l.targets, manyPeers, 1, 1))
+		err = fault.Step("open links", l.requestParts(l.targets, manyPeers, 1, 1))
 	}
 	if err != nil {
 		l.close()
@@ -224,52 +225,52 @@
 	return l, nil
 }
 
-// hopSlopes is the cost of sub-requests between two nodes, with few and many
-// peers and with small and large bundles.
+// hopSlopes measures the cost of requests between nodes, with one and many peers and
+// with small and large bundles.
 func hopSlopes() ([]figure, error) {
-	l, err := openLinks(answerAll)
+	l, err := openLinks(replyAllParts)
 	if err != nil {
 		return nil, err
 	}
 	defer l.close()
 	var figures []figure
 	for _, one := range []struct{ peers, bundle int }{{1, 1}, {1, targetBundle}, {manyPeers, 1}, {manyPeers, targetBundle}} {
-		cpu, _, err := cpuOf(func() error { return l.ask(l.targets[:one.peers], hopParts, one.bundle, hopInFlight) })
+		cpu, _, err := measureCPU(func() error { return l.requestParts(l.targets[:one.peers], hopParts, one.bundle, hopInFlight) })
 		if err != nil {
-			return nil, fault.Step("ask peers", err)
+			return nil, fault.Step("send requests to peers", err)
 		}
 		name := fmt.Sprintf("peer hop: CPU of a part, both ends, bundle %d, %d peers", one.bundle, one.peers)
-		figures = append(figures, figure{name, "us", micros(cpu, hopParts)})
+		figures = append(figures, figure{name, "us", microsPer(cpu, hopParts)})
 	}
 	bytes, err := l.hopBytes()
 	if err != nil {
 		return nil, err
 	}
-	spread, err := spreadHop()
+	spread, err := sequentialPartsSlopes()
 	return append(append(figures, bytes...), spread...), err
 }
 
-// spreadHop is the cost when batches thin out: many peers, few messages on each
-// and parts that come one after the other.
-func spreadHop() ([]figure, error) {
-	l, err := openLinks(answerSpread)
+// sequentialPartsSlopes measures the cost when little can be batched: many peers, few
+// messages on each link and parts that arrive one after the other.
+func sequentialPartsSlopes() ([]figure, error) {
+	l, err := openLinks(replyPartsInSequence)
 	if err != nil {
 		return nil, err
 	}
 	defer l.close()
-	cpu, _, err := cpuOf(func() error { return l.ask(l.targets, hopParts, targetBundle, hopInFlight) })
+	cpu, _, err := measureCPU(func() error { return l.requestParts(l.targets, hopParts, targetBundle, hopInFlight) })
 	name := fmt.Sprintf("peer hop: CPU of a part, both ends, bundle %d, %d peers, parts one by one", targetBundle, manyPeers)
-	return []figure{{name, "us", micros(cpu, hopParts)}}, fault.Step("ask peers", err)
+	return []figure{{name, "us", microsPer(cpu, hopParts)}}, fault.Step("send requests to peers", err)
 }
 
-// keepAliveSlopes counts the bytes of a link that carries nothing.
+// keepAliveSlopes counts the bytes of a link without requests.
 func keepAliveSlopes() ([]figure, error) {
-	l, err := newLinks(answerAll)
+	l, err := newLinks(replyAllParts)
 	if err != nil {
 		return nil, err
 	}
 	defer l.close()
-	if err := l.serve(1); err != nil {
+	if err := l.startServers(1); err != nil {
 		return nil, err
 	}
 	forward, err := startForwarder(l.targets[0].Address)
@@ -278,22 +279,22 @@
 	}
 	defer forward.close()
 	target := []peer.Target{{Node: l.targets[0].Node, Address: forward.address()}}
-	if err := l.ask(target, 1, 1, 1); err != nil {
+	if err := l.requestParts(target, 1, 1, 1); err != nil {
 		return nil, fault.Step("open a link", err)
 	}
 	opened := forward.bytes.Load()
 	time.Sleep(settleTime)
 	settled := forward.bytes.Load()
-	time.Sleep(keepAliveTime)
+	time.Sleep(keepAliveDuration)
 	kept := float64(forward.bytes.Load() - settled)
 	return []figure{
 		{"peer link: UDP bytes to open it, both ways", "bytes", float64(opened)},
 		{"peer link: UDP bytes to find its packet size, both ways", "bytes", float64(settled - opened)},
-		{"peer link: UDP bytes of an idle link, both ways", "bytes/s", kept / keepAliveTime.Seconds()},
+		{"peer link: UDP bytes of an idle link, both ways", "bytes/s", kept / keepAliveDuration.Seconds()},
 	}, nil
 }
 
-// hopBytes counts the UDP payload of sub-requests through a forwarder.
+// hopBytes counts the UDP payload bytes of requests through a forwarder.
 func (l *links) hopBytes() ([]figure, error) {
 	var figures []figure
 	for _, bundle := range []int{1, targetBundle} {
@@ -302,15 +303,15 @@
 			return nil, err
 		}
 		target := []peer.Target{{Node: l.targets[0].Node, Address: forward.address()}}
-		err = l.ask(target, bundle, bundle, 1)
+		err = l.requestParts(target, bundle, bundle, 1)
 		before := forward.bytes.Load()
 		if err == nil {
-			err = l.ask(target, forwardParts, bundle, hopInFlight)
+			err = l.requestParts(target, forwardParts, bundle, hopInFlight)
 		}
 		moved := forward.bytes.Load() - before
 		forward.close()
 		if err != nil {
-			return nil, fault.Step("ask through the forwarder", err)
+			return nil, fault.Step("send requests through the forwarder", err)
 		}
 		name := fmt.Sprintf("peer hop: UDP bytes of a part, both ways, bundle %d", bundle)
 		figures = append(figures, figure{name, "bytes", float64(moved) / forwardParts})
@@ -319,8 +320,7 @@
 	return figures, nil
 }
 
-// messageBytes is the encoded size of a part's share of the request and of its
-// reply.
+// messageBytes is the encoded size of a part's reply and of its share of the request.
 func messageBytes(bundle int) float64 {
 	request := exampleRequest(bundle)
 	reply := &peerpb.Envelope{Id: 1, Body: &peerpb.Envelope_Part{Part: examplePart(request.GetBundleRequest().GetAsks()[0])}}
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -15,14 +15,14 @@
 
 const (
 	readyTimeout = 30 * time.Second
-	// warmRound numbers the slice that is not counted.
-	warmRound = -1
-	inFlight  = 10000
-	// seedStep keeps the rounds' loads apart.
-	seedStep = 1000
+	// warmUpRound is the round number of the warm-up slice, which is not counted.
+	warmUpRound   = -1
+	inFlightLimit = 10000
+	// seedStride gives each round a different seed.
+	seedStride = 1000
 )
 
-// system is one variant, running.
+// system is a running variant.
 type system struct {
 	variant   Variant
 	emulation *fleet.Emulation
@@ -41,7 +41,7 @@
 		Routing:    variant.Routing,
 		BundleSize: variant.BundleSize,
 		Weights:    variant.Weights,
-		InFlight:   inFlight,
+		InFlight:   inFlightLimit,
 	})
 	if variant.Naive {
 		err = s.startNaive(text)
@@ -61,7 +61,7 @@
 func (s *system) startNaive(text string) error {
 	parsed, err := catalog.Parse([]byte(text))
 	if err != nil {
-		return fault.Step("parse the emulation's text", err)
+		return fault.Step("parse the emulation's configuration", err)
 	}
 	callers := baseline.New(parsed, s.variant.Nodes, s.variant.Profile.Seed)
 	s.asker, s.stopAsker = callers, callers.Close
@@ -96,15 +96,15 @@
 	s.emulation.Close()
 }
 
-// measure runs one slice of the variant's load.
+// measure runs and measures one slice of the variant's load.
 func (s *system) measure(ctx context.Context, round int) (Slice, error) {
 	profile := s.variant.Profile
-	profile.Seed += uint64(round+1) * seedStep
+	profile.Seed += uint64(round+1) * seedStride
 	slice := Slice{Recorder: load.NewRecorder()}
 	usage := load.ReadUsage()
 	received := s.emulation.Received()
 	connections := s.emulation.Connections()
-	stop := s.disturb(ctx, round)
+	stop := s.startDisturbance(ctx, round)
 	err := load.Run(ctx, profile, s.asker, slice.Recorder)
 	stop()
 	slice.Usage = load.ReadUsage().Since(usage)
@@ -115,10 +115,10 @@
 	return slice, err
 }
 
-// disturb starts what the variant does to the replicas during a slice; the
-// function returned ends it.
-func (s *system) disturb(ctx context.Context, round int) func() {
-	if s.variant.During == nil || round == warmRound {
+// startDisturbance starts the variant's changes to the replicas during a slice. The
+// returned function stops them.
+func (s *system) startDisturbance(ctx context.Context, round int) func() {
+	if s.variant.During == nil || round == warmUpRound {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
