--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,7 @@
-// Package baseline is a naive fan-out client, for comparison only: each caller
-// process connects to the replicas itself, without owners, queues, hedges or
-// limits. It asks a random replica and tries another at once when that fails.
+// Package baseline is a naive fan-out client for comparison only: each caller
+// process connects to the replicas directly, without owners, queues, hedges or
+// limits. It sends each request to a random replica and retries at once, again on
+// a random replica, when that fails.
 package baseline
 
 import (
@@ -20,25 +21,24 @@
 )
 
 const (
-	// unlimited is more connections than any replica takes.
-	unlimited = 10000
-	// tries is how often one shard is asked.
-	tries = 3
+	// unlimitedConnections exceeds the connections that any replica accepts.
+	unlimitedConnections = 10000
+	// maxAttempts is the maximum number of attempts for one shard.
+	maxAttempts = 3
 )
 
-// Fanout is a set of naive caller processes over one text.
+// Fanout is a set of naive caller processes with the same configuration.
 type Fanout struct {
-	text    *catalog.Catalog
-	callers []*upstream.Client
-	next    atomic.Uint64
-	mutex   sync.Mutex
-	source  *rand.Rand
+	text       *catalog.Catalog
+	callers    []*upstream.Client
+	queryCount atomic.Uint64
+	mutex      sync.Mutex
+	rng        *rand.Rand
 }
 
-// New makes the given number of caller processes, each with connections of its
-// own.
+// New creates the given number of caller processes, each with its own connections.
 func New(text *catalog.Catalog, callers int, seed uint64) *Fanout {
-	fanout := &Fanout{text: text, source: rand.New(rand.NewPCG(seed, seed))}
+	fanout := &Fanout{text: text, rng: rand.New(rand.NewPCG(seed, seed))}
 	for range callers {
 		fanout.callers = append(fanout.callers, newCaller(text))
 	}
@@ -50,7 +50,7 @@
 	for _, service := range text.Services {
 		for _, shard := range service.Shards {
 			for _, replica := range shard.Replicas {
-				caller.SetConnectionShare(replica.Address, unlimited)
+				caller.SetConnectionShare(replica.Address, unlimitedConnections)
 			}
 		}
 	}
@@ -64,8 +64,8 @@
 	}
 }
 
-// question is one question on its way.
-type question struct {
+// query is a query in flight.
+type query struct {
 	id       string
 	caller   *upstream.Client
 	request  load.Request
@@ -76,19 +76,19 @@
 	answered int
 }
 
-// Ask implements load.Asker. It asks service after service in the order of
-// their dependencies, those without dependencies between them at once.
+// Ask implements load.Asker. It queries the services in the order of their
+// dependencies, and services that do not depend on each other concurrently.
 func (f *Fanout) Ask(ctx context.Context, request load.Request) load.Reply {
 	service := f.text.Services[request.Service]
 	if service == nil {
 		return load.Reply{Outcome: core.NotRun.String(), Code: fault.CodeUnknownService}
 	}
-	number := f.next.Add(1)
+	number := f.queryCount.Add(1)
 	timeout := request.Timeout
 	if timeout == 0 {
 		timeout = service.Timeout
 	}
-	q := &question{
+	q := &query{
 		id:       "naive-" + strconv.FormatUint(number, 10),
 		caller:   f.callers[number%uint64(len(f.callers))],
 		request:  request,
@@ -96,94 +96,94 @@
 		parts:    map[string][]upstream.Dependency{},
 		versions: map[core.Version]bool{},
 	}
-	asked := f.askAll(ctx, q)
+	asked := f.queryAll(ctx, q)
 	return load.Reply{Outcome: core.Done.String(), Asked: asked, Answered: q.answered, Mixed: len(q.versions) > 1}
 }
 
-func (f *Fanout) askAll(ctx context.Context, q *question) int {
+func (f *Fanout) queryAll(ctx context.Context, q *query) int {
 	asked := 0
 	pending := f.text.Closure(q.request.Service)
-	settled := map[string]bool{}
+	completed := map[string]bool{}
 	for len(pending) > 0 {
-		var ready, later []*catalog.Service
+		var ready, blocked []*catalog.Service
 		for _, service := range pending {
-			if allSettled(settled, service.DependsOn) {
+			if allCompleted(completed, service.DependsOn) {
 				ready = append(ready, service)
 			} else {
-				later = append(later, service)
+				blocked = append(blocked, service)
 			}
 		}
-		asked += f.askStep(ctx, q, ready)
+		asked += f.queryServices(ctx, q, ready)
 		for _, service := range ready {
-			settled[service.Name] = true
+			completed[service.Name] = true
 		}
-		pending = later
+		pending = blocked
 	}
 	return asked
 }
 
-func allSettled(settled map[string]bool, names []string) bool {
+func allCompleted(completed map[string]bool, names []string) bool {
 	for _, name := range names {
-		if !settled[name] {
+		if !completed[name] {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *Fanout) askStep(ctx context.Context, q *question, services []*catalog.Service) int {
-	var open sync.WaitGroup
+func (f *Fanout) queryServices(ctx context.Context, q *query, services []*catalog.Service) int {
+	var running sync.WaitGroup
 	asked := 0
 	for _, service := range services {
-		given := q.given(service.DependsOn)
+		dependencies := q.dependencyParts(service.DependsOn)
 		for i := range service.Shards {
 			asked++
-			open.Go(func() { f.askShard(ctx, q, &service.Shards[i], given) })
+			running.Go(func() { f.queryShard(ctx, q, &service.Shards[i], dependencies) })
 		}
 	}
-	open.Wait()
+	running.Wait()
 	return asked
 }
 
-// given collects the parts of the dependencies.
-func (q *question) given(names []string) []upstream.Dependency {
+// dependencyParts collects the parts of the named dependencies.
+func (q *query) dependencyParts(names []string) []upstream.Dependency {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	var given []upstream.Dependency
+	var dependencies []upstream.Dependency
 	for _, name := range names {
-		given = append(given, q.parts[name]...)
+		dependencies = append(dependencies, q.parts[name]...)
 	}
-	return given
+	return dependencies
 }
 
-func (f *Fanout) askShard(ctx context.Context, q *question, shard *catalog.Shard, given []upstream.Dependency) {
-	for range tries {
-		left := time.Until(q.deadline)
-		if left <= 0 || ctx.Err() != nil {
+func (f *Fanout) queryShard(ctx context.Context, q *query, shard *catalog.Shard, dependencies []upstream.Dependency) {
+	for range maxAttempts {
+		remaining := time.Until(q.deadline)
+		if remaining <= 0 || ctx.Err() != nil {
 			return
 		}
 		result := q.caller.Do(ctx, upstream.Call{
-			Address:       f.pick(shard),
+			Address:       f.randomReplica(shard),
 			Ref:           shard.Ref,
 			RequestID:     q.id,
 			Customer:      q.request.Customer,
-			RemainingTime: left,
-			Body:          upstream.Body{Question: json.RawMessage(`"pork shoulder"`), Dependencies: given},
+			RemainingTime: remaining,
+			Body:          upstream.Body{Question: json.RawMessage(`"pork shoulder"`), Dependencies: dependencies},
 		})
 		if result.Outcome == core.Done {
-			q.keep(shard.Ref, result)
+			q.addPart(shard.Ref, result)
 			return
 		}
 	}
 }
 
-func (f *Fanout) pick(shard *catalog.Shard) string {
+func (f *Fanout) randomReplica(shard *catalog.Shard) string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return shard.Replicas[f.source.IntN(len(shard.Replicas))].Address
+	return shard.Replicas[f.rng.IntN(len(shard.Replicas))].Address
 }
 
-func (q *question) keep(ref core.ShardRef, result upstream.Result) {
+func (q *query) addPart(ref core.ShardRef, result upstream.Result) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.answered++
