--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -96,12 +96,12 @@
 		parts:    map[string][]upstream.Dependency{},
 		versions: map[core.Version]bool{},
 	}
-	asked := f.queryAll(ctx, q)
-	return load.Reply{Outcome: core.Done.String(), Asked: asked, Answered: q.answered, Mixed: len(q.versions) > 1}
+	requestedShards := f.queryAll(ctx, q)
+	return load.Reply{Outcome: core.Done.String(), Asked: requestedShards, Answered: q.answered, Mixed: len(q.versions) > 1}
 }
 
 func (f *Fanout) queryAll(ctx context.Context, q *query) int {
-	asked := 0
+	requestedShards := 0
 	pending := f.text.Closure(q.request.Service)
 	completed := map[string]bool{}
 	for len(pending) > 0 {
@@ -113,13 +113,13 @@
 				blocked = append(blocked, service)
 			}
 		}
-		asked += f.queryServices(ctx, q, ready)
+		requestedShards += f.queryServices(ctx, q, ready)
 		for _, service := range ready {
 			completed[service.Name] = true
 		}
 		pending = blocked
 	}
-	return asked
+	return requestedShards
 }
 
 func allCompleted(completed map[string]bool, names []string) bool {
@@ -133,16 +133,16 @@
 
 func (f *Fanout) queryServices(ctx context.Context, q *query, services []*catalog.Service) int {
 	var running sync.WaitGroup
-	asked := 0
+	requestedShards := 0
 	for _, service := range services {
 		dependencies := q.dependencyParts(service.DependsOn)
 		for i := range service.Shards {
-			asked++
+			requestedShards++
 			running.Go(func() { f.queryShard(ctx, q, &service.Shards[i], dependencies) })
 		}
 	}
 	running.Wait()
-	return asked
+	return requestedShards
 }
 
 // dependencyParts collects the parts of the named dependencies.
--- a/internal/fleet/deadly_test.go
+++ b/internal/fleet/deadly_test.go
@@ -24,9 +24,9 @@
 	behaviour := standin.Behaviour{Slots: 2, Versions: []uint64{7}, Deadly: func(question string) bool { return strings.Contains(question, "deadly") }}
 	var replicas []*standin.Upstream
 	for range 2 {
-		one, err := standin.StartUpstream("127.0.0.1:0", behaviour)
+		replica, err := standin.StartUpstream("127.0.0.1:0", behaviour)
 		require.NoError(t, err)
-		replicas = append(replicas, one)
+		replicas = append(replicas, replica)
 	}
 	f := startFleet(t, 3, testConfig(replicas))
 	caller := client.New()
@@ -44,11 +44,11 @@
 		}
 		before := ended
 		_, _ = query(i%len(f.Members()), `"deadly"`)
-		for at, one := range replicas {
+		for at, replica := range replicas {
 			// The address can be bound only if the replica has ended.
-			again, err := standin.StartUpstream(one.Address(), behaviour)
+			restarted, err := standin.StartUpstream(replica.Address(), behaviour)
 			if err == nil {
-				replicas[at] = again
+				replicas[at] = restarted
 				ended++
 			}
 		}
@@ -56,8 +56,8 @@
 			late++
 		}
 	}
-	for _, one := range replicas {
-		require.NoError(t, one.Close())
+	for _, replica := range replicas {
+		require.NoError(t, replica.Close())
 	}
 	require.LessOrEqual(t, late, sendsLeft, "attempts that ended replicas after three had ended")
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -152,9 +152,9 @@
 // RemoveFromVMList removes a member's VM from the VM list.
 func (f *Fleet) RemoveFromVMList(member *Member) {
 	kept := f.members[:0]
-	for _, one := range f.members {
-		if one != member {
-			kept = append(kept, one)
+	for _, listed := range f.members {
+		if listed != member {
+			kept = append(kept, listed)
 		}
 	}
 	f.members = kept
--- a/internal/fleet/paired_test.go
+++ b/internal/fleet/paired_test.go
@@ -233,9 +233,9 @@
 // queries of another customer must be answered completely although the first
 // customer's queries occupy the remaining slots.
 func TestALostDataCentreUnderASurgeStaysWhole(t *testing.T) {
-	const limit, surge, chefs = 4, 40, 12
+	const limit, surge, chefQueries = 4, 40, 12
 	upstreams := startUpstreams(t, 6)
-	text := fmt.Sprintf("customers: [{name: large, in_flight: %d}, {name: chef, in_flight: %d}]\n", limit, chefs) + testConfig(upstreams)
+	text := fmt.Sprintf("customers: [{name: large, in_flight: %d}, {name: chef, in_flight: %d}]\n", limit, chefQueries) + testConfig(upstreams)
 	f := startFleet(t, 3, text)
 	entry := f.Members()[0]
 	f.Members()[1].Node.Kill()
@@ -262,14 +262,14 @@
 				assert.False(t, reply.Coverage.Thin, "missing: %v", reply.Coverage.Missing)
 				return
 			}
-			typed := fault.As(err)
-			assert.Equal(t, core.NotRun, typed.Outcome)
-			assert.Positive(t, typed.RetryAfter, "%v", err)
+			refusal := fault.As(err)
+			assert.Equal(t, core.NotRun, refusal.Outcome)
+			assert.Positive(t, refusal.RetryAfter, "%v", err)
 			refused.Add(1)
 		})
 	}
 	require.Eventually(t, func() bool { return refused.Load() == surge-limit }, awaitTimeout, pollInterval)
-	for range chefs {
+	for range chefQueries {
 		running.Go(func() {
 			reply, err := query("chef")
 			if assert.NoError(t, err) && assert.False(t, reply.Coverage.Thin, "missing: %v", reply.Coverage.Missing) {
@@ -277,16 +277,16 @@
 			}
 		})
 	}
-	require.Eventually(t, func() bool { return entry.Node.Status().InFlight == limit+chefs }, awaitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return entry.Node.Status().InFlight == limit+chefQueries }, awaitTimeout, pollInterval)
 	close(release)
 	running.Wait()
 	require.EqualValues(t, surge-limit, refused.Load())
-	require.EqualValues(t, chefs, complete.Load())
+	require.EqualValues(t, chefQueries, complete.Load())
 	received, services := 0, len(upstreams)/2
 	for _, u := range upstreams {
 		received += u.Received()
 	}
-	firstAttempts := services * (limit + chefs)
+	firstAttempts := services * (limit + chefQueries)
 	t.Logf("%d requests reached upstreams for %d first attempts", received, firstAttempts)
 	require.LessOrEqual(t, received, firstAttempts+firstAttempts/10+budget.DefaultFloor)
 }
--- a/internal/fleet/quarantine_test.go
+++ b/internal/fleet/quarantine_test.go
@@ -44,13 +44,13 @@
 		c.behaviours[index].Deadly = endsReplica
 	}
 	for _, behaviour := range c.behaviours {
-		one, err := standin.StartUpstream("127.0.0.1:0", behaviour)
+		replica, err := standin.StartUpstream("127.0.0.1:0", behaviour)
 		require.NoError(t, err)
-		c.replicas = append(c.replicas, one)
+		c.replicas = append(c.replicas, replica)
 	}
 	t.Cleanup(func() {
-		for _, one := range c.replicas {
-			_ = one.Close()
+		for _, replica := range c.replicas {
+			_ = replica.Close()
 		}
 	})
 	c.Fleet = startFleet(t, 3, text(c.replicas))
@@ -59,10 +59,10 @@
 
 // restartEnded restarts the replicas that ended and counts them.
 func (c *crashingFleet) restartEnded() {
-	for i, one := range c.replicas {
+	for i, replica := range c.replicas {
 		// The address can be bound only if the replica has ended.
-		if again, err := standin.StartUpstream(one.Address(), c.behaviours[i]); err == nil {
-			c.replicas[i] = again
+		if restarted, err := standin.StartUpstream(replica.Address(), c.behaviours[i]); err == nil {
+			c.replicas[i] = restarted
 			c.ended++
 		}
 	}
@@ -117,7 +117,7 @@
 // Guards against a query that ends the replicas of one service or shard while the others answer it: it must be answered
 // without that service or shard, and end no further replicas.
 func TestAQuestionThatEndsSomeReplicasIsAnsweredWithoutThem(t *testing.T) {
-	for name, text := range map[string]func([]*standin.Upstream) string{"a service that the asked one depends on": testConfig, "a shard": shardedConfig} {
+	for name, text := range map[string]func([]*standin.Upstream) string{"a dependency of the queried service": testConfig, "a shard": shardedConfig} {
 		t.Run(name, func(t *testing.T) {
 			c := startCrashingFleet(t, 6, text, 2, 3)
 			c.runAttempts(9, func(i int) { _, _ = c.query(i, `"deadly"`) })
--- a/internal/fleet/repartition_test.go
+++ b/internal/fleet/repartition_test.go
@@ -43,9 +43,9 @@
 	defer cancel()
 	for round := 1; round <= 4; round++ {
 		revision := f.Platform.Publish(layoutConfig(layouts[round%2]))
-		for question := 0; !f.isReady(revision) || question < 20; question++ {
+		for queryIndex := 0; !f.isReady(revision) || queryIndex < 20; queryIndex++ {
 			require.NoError(t, ctx.Err(), "the configuration did not come into force in time")
-			entry := f.Members()[question%len(f.Members())].Addresses.Caller
+			entry := f.Members()[queryIndex%len(f.Members())].Addresses.Caller
 			reply, err := caller.Query(ctx, entry, "prices", api.QueryRequest{Customer: "supervisor"})
 			require.NoError(t, err)
 			requireOneLayout(t, reply, layoutOf, layouts)
--- a/internal/fleet/shape.go
+++ b/internal/fleet/shape.go
@@ -82,10 +82,10 @@
 
 // ShapeOf returns the shape of an operators' configuration. All shards of a service
 // get the number of replicas of its first shard.
-func ShapeOf(text *catalog.Catalog) Shape {
+func ShapeOf(parsed *catalog.Catalog) Shape {
 	shape := Shape{Versions: []uint64{41, 42}, ServiceTime: DefaultServiceTime()}
-	for _, name := range text.Names {
-		service := text.Services[name]
+	for _, name := range parsed.Names {
+		service := parsed.Services[name]
 		shape.Services = append(shape.Services, ServiceShape{
 			Name:        name,
 			DependsOn:   service.DependsOn,
--- a/internal/fleet/stop_test.go
+++ b/internal/fleet/stop_test.go
@@ -39,8 +39,8 @@
 
 // refresh requests the addresses from a cached entry or, failing that, from a known one.
 func (b *entryCache) refresh(t *testing.T, known []string) {
-	for _, one := range b.entries {
-		known = append(known, one.Address)
+	for _, entry := range b.entries {
+		known = append(known, entry.Address)
 	}
 	for i := range known {
 		requestedAt := time.Now()
@@ -65,7 +65,7 @@
 	}
 	f := startFleet(t, nodes, testConfig(upstreams))
 	first := f.Members()[0].Addresses.Caller
-	var asked, thin atomic.Int64
+	var queryCount, incomplete atomic.Int64
 	var failures sync.Map
 	done := make(chan struct{})
 	var running sync.WaitGroup
@@ -81,11 +81,11 @@
 				}
 				address := book.address(t, []string{first})
 				reply, err := book.caller.Query(context.Background(), address, "top", api.QueryRequest{Customer: "chef", Question: json.RawMessage(`"pork"`)})
-				asked.Add(1)
+				queryCount.Add(1)
 				if err != nil {
 					failures.Store(err.Error(), errors.Unwrap(err))
 				} else if reply.Coverage.Thin {
-					thin.Add(1)
+					incomplete.Add(1)
 					failures.Store("thin", reply.Coverage.Missing)
 				}
 			}
@@ -100,9 +100,9 @@
 		assert.Fail(t, "a request failed or was answered incompletely", "%v: %v", failure, cause)
 		return true
 	})
-	require.Zero(t, thin.Load())
-	require.Greater(t, asked.Load(), int64(nodes*callers))
-	t.Logf("%d queries while %d nodes were replaced", asked.Load(), nodes)
+	require.Zero(t, incomplete.Load())
+	require.Greater(t, queryCount.Load(), int64(nodes*callers))
+	t.Logf("%d queries while %d nodes were replaced", queryCount.Load(), nodes)
 }
 
 // replaceOldest starts a node, stops the oldest and removes it from the VM list
@@ -117,8 +117,8 @@
 }
 
 func allNodesReady(f *Fleet, member *Member) bool {
-	for _, one := range f.Members() {
-		status := one.Node.Status()
+	for _, listed := range f.Members() {
+		status := listed.Node.Status()
 		if status.ConfigRevision == 0 || status.Nodes != len(f.Members()) {
 			return false
 		}
--- a/internal/fleet/submit_test.go
+++ b/internal/fleet/submit_test.go
@@ -114,10 +114,10 @@
 		{"prices", invoiceRequest(newKey(t, caller, address)), fault.CodeWrongMethod},
 		{"nothing", invoiceRequest(newKey(t, caller, address)), fault.CodeUnknownService},
 	}
-	for _, one := range cases {
-		_, refusal := caller.Submit(context.Background(), address, one.service, one.request)
-		require.Equal(t, one.code, refusal.Code, "%+v", refusal)
-		if one.code == fault.CodeHomeGone {
+	for _, test := range cases {
+		_, refusal := caller.Submit(context.Background(), address, test.service, test.request)
+		require.Equal(t, test.code, refusal.Code, "%+v", refusal)
+		if test.code == fault.CodeHomeGone {
 			require.Equal(t, "unknown", refusal.Outcome)
 			continue
 		}
