--- a/internal/fleet/stop_test.go
+++ b/internal/fleet/stop_test.go
@@ -71,16 +71,16 @@
 	var running sync.WaitGroup
 	for range callers {
 		running.Go(func() {
-			book := &entryCache{caller: client.New()}
-			defer book.caller.Close()
+			cache := &entryCache{caller: client.New()}
+			defer cache.caller.Close()
 			for {
 				select {
 				case <-done:
 					return
 				default:
 				}
-				address := book.address(t, []string{first})
-				reply, err := book.caller.Query(context.Background(), address, "top", api.QueryRequest{Customer: "chef", Question: json.RawMessage(`"pork"`)})
+				address := cache.address(t, []string{first})
+				reply, err := cache.caller.Query(context.Background(), address, "top", api.QueryRequest{Customer: "chef", Question: json.RawMessage(`"pork"`)})
 				queryCount.Add(1)
 				if err != nil {
 					failures.Store(err.Error(), errors.Unwrap(err))
