--- a/internal/confwatch/fleet_test.go
+++ b/internal/confwatch/fleet_test.go
@@ -24,7 +24,7 @@
 // Nodes with real connections in three data centres adopt a series of changes: some
 // are relays, and the others poll them.
 func TestFleetFollowsChanges(t *testing.T) {
-	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogOutput: io.Discard})
 	require.NoError(t, err)
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -37,7 +37,7 @@
 // The service is restored from a copy while the nodes run, so that it reuses revisions. Over real connections each text
 // that is published afterwards is in force at every node, even under a revision that stood for another text.
 func TestFleetFollowsItsServiceIntoTheNextEra(t *testing.T) {
-	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogOutput: io.Discard})
 	require.NoError(t, err)
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -55,7 +55,7 @@
 // BenchmarkPublishToInForce measures the time from the publication of a change until
 // it is in force at all nodes, over loopback.
 func BenchmarkPublishToInForce(b *testing.B) {
-	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: fleetNodes, LogOutput: io.Discard})
 	require.NoError(b, err)
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
--- a/internal/edge/deadly_test.go
+++ b/internal/edge/deadly_test.go
@@ -108,7 +108,7 @@
 // reviveReplicas restarts the replicas that have ended and waits until each node returns whole answers.
 func (h *harness) reviveReplicas() {
 	h.t.Helper()
-	_, err := h.fleet.Revive()
+	_, err := h.fleet.RestartCrashed()
 	require.NoError(h.t, err)
 	for _, node := range h.nodes {
 		for _, target := range []string{"/all/innocent", "/plain/innocent", "/once/innocent"} {
