--- a/internal/app/evidence.go
+++ b/internal/app/evidence.go
@@ -11,16 +11,16 @@
 
 // handleLinkUpdate reports to membership whether the traffic on a link shows its node as alive or lost,
 // and reports a silent link as a problem.
-func (n *Node) handleLinkUpdate(update peer.LinkNews) {
+func (n *Node) handleLinkUpdate(update peer.LinkEvent) {
 	switch update.State {
-	case peer.LinkAnswers:
+	case peer.LinkAnswering:
 		n.problems.Clear(observe.KindSilentConnection, "peer "+string(update.Peer.Node))
-		n.members.Answered(update.Peer.Node)
+		n.members.RecordAnswer(update.Peer.Node)
 	case peer.LinkSilent:
-		n.problems.Report(observe.KindSilentConnection, "peer "+string(update.Peer.Node), "the link to "+update.Peer.Address+" gave no answer and was replaced")
-		n.members.Lost(update.Peer.Node)
+		n.problems.Report(observe.KindSilentConnection, "peer "+string(update.Peer.Node), "the link to "+update.Peer.Address+" did not respond and was replaced")
+		n.members.RecordFailure(update.Peer.Node)
 	default:
-		n.members.Lost(update.Peer.Node)
+		n.members.RecordFailure(update.Peer.Node)
 	}
 }
 
@@ -43,7 +43,7 @@
 // handleDroppedReply reports that a replica, or the network path to it, mixes up or
 // truncates replies.
 func (n *Node) handleDroppedReply(address, why string) {
-	n.problems.ReportFor(observe.KindCrossedReply, "upstream "+address, why, crossedReplyExpiry)
+	n.problems.ReportWithTTL(observe.KindCrossedReply, "upstream "+address, why, crossedReplyExpiry)
 }
 
 // knownNodes returns the nodes of the view and of the VM list. Operators need the nodes
@@ -54,7 +54,7 @@
 		return view.Nodes()
 	}
 	nodes := slices.Clone(view.Nodes())
-	for _, listed := range n.members.Listed() {
+	for _, listed := range n.members.ListedNodes() {
 		if _, routed := view.Node(listed.ID); !routed {
 			nodes = append(nodes, listed)
 		}
--- a/internal/app/handle.go
+++ b/internal/app/handle.go
@@ -9,7 +9,7 @@
 // Handle implements peer.Handler: it passes a peer's request to the component that serves it.
 func (n *Node) Handle(inbound *peer.Inbound) {
 	if !n.ready.Load() {
-		inbound.Reply(peer.Refused(core.ReasonPeerUnreached), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonPeerUnreached), true)
 		return
 	}
 	switch body := inbound.Envelope.GetBody().(type) {
@@ -31,9 +31,9 @@
 	case *peerpb.Envelope_QuarantineNews:
 		n.quarantine.Handle(inbound)
 	case *peerpb.Envelope_ProblemsRequest:
-		n.gatherer.Answer(inbound)
+		n.gatherer.HandleRequest(inbound)
 	default:
 		// A peer of a newer version may send a body that is unknown to this node.
-		inbound.Reply(peer.Refused(core.ReasonNotAsked), true)
+		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
 	}
 }
--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -62,7 +62,7 @@
 	OwnerShards []owner.ShardDump `json:"owner_shards"`
 
 	// Quarantine lists the requests that are suspected or set aside because replicas ended while running them.
-	Quarantine []quarantine.Request `json:"quarantine"`
+	Quarantine []quarantine.RequestStatus `json:"quarantine"`
 
 	Config   confwatch.Dump `json:"config"`
 	Problems any            `json:"problems"`
@@ -72,7 +72,7 @@
 	return Dump{
 		Status:            n.Status(),
 		Nodes:             n.belief.View().Nodes(),
-		PeerLinks:         n.pool.Links(),
+		PeerLinks:         n.pool.LinkCount(),
 		EntryRings:        n.entry.Rings(),
 		OwnerRings:        n.owner.Rings(),
 		MembershipRing:    n.members.Rings(),
@@ -80,7 +80,7 @@
 		HomeRings:         n.home.Rings(),
 		DroppedReplies:    n.upstream.DroppedReplies(),
 		Config:            n.config.Dump(),
-		Problems:          n.gatherer.Own().Problems,
+		Problems:          n.gatherer.Local().Problems,
 		OwnerShards:       n.owner.Dump(),
 		Quarantine:        n.quarantine.Requests(),
 	}
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -41,7 +41,7 @@
 	metrics  observe.Registry
 	upstream *upstream.Client
 	// quarantine tracks requests that may crash the replicas that run them.
-	quarantine *quarantine.Duty
+	quarantine *quarantine.ReplicatedLedger
 	owner      *owner.Owner
 	entry      *entry.Entry
 	home       *home.Home
@@ -49,10 +49,10 @@
 	server     *peer.Server
 	platform   *confservice.Client
 	config     *confwatch.Watcher
-	members    *membership.Duty
+	members    *membership.Manager
 	caller     *httpServer
 	operator   *httpServer
-	gatherer   *gather.Gatherer
+	gatherer   *gather.Collector
 	prober     *night.Prober
 	expiry     *expiryWatcher
 	rotation   api.Rotation
@@ -84,7 +84,7 @@
 // New returns a node as an fx application, which its Run or Start method starts.
 func New(s *settings.Settings, log logrus.FieldLogger, options ...fx.Option) *fx.App {
 	base := []fx.Option{
-		fx.WithLogger(func() fxevent.Logger { return logs.Fx(log.WithField("node", s.Node)) }),
+		fx.WithLogger(func() fxevent.Logger { return logs.NewFxLogger(log.WithField("node", s.Node)) }),
 		fx.Supply(s),
 		fx.Provide(func() logrus.FieldLogger { return log }),
 		fx.Provide(newNode),
@@ -111,7 +111,7 @@
 	}
 	node.upstream.DetectEnded()
 	node.quarantine = quarantine.New(quarantine.Options{
-		Now: node.now, Changed: node.logStandingChange,
+		Now: node.now, OnChange: node.logStandingChange,
 		Self: node.identity.Node, Nodes: func() []route.Node { return node.belief.View().Nodes() },
 	})
 	return node, nil
--- a/internal/app/stop.go
+++ b/internal/app/stop.go
@@ -60,7 +60,7 @@
 func (n *Node) finishReplies(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishRepliesTimeout)
 	defer cancel()
-	n.server.Finish(ctx)
+	n.server.FlushReplies(ctx)
 }
 
 // keepAcceptingTime returns how long callers with old addresses are still served. An
@@ -83,7 +83,7 @@
 }
 
 // inFlight returns the number of queries of callers and requests of peers in flight.
-func (n *Node) inFlight() int { return n.entry.InFlight() + n.server.Open() }
+func (n *Node) inFlight() int { return n.entry.InFlight() + n.server.OpenRequests() }
 
 // close stops the components. It also cleans up after a failed start, when some of
 // them are nil. The home is closed last.
--- a/internal/catalog/diff_test.go
+++ b/internal/catalog/diff_test.go
@@ -30,7 +30,7 @@
       - replicas: [{address: "10.0.0.4:1"}]
 `
 
-func TestDiffNamesWhatAChangeDoes(t *testing.T) {
+func TestDiffListsTheEffectsOfAChange(t *testing.T) {
 	after := strings.NewReplacer(
 		`{address: "10.0.0.1:1"}`, `{address: "10.0.0.1:1", draining: true}`,
 		`{address: "10.0.0.2:1"}`, `{address: "10.0.0.5:1"}`,
@@ -44,9 +44,9 @@
 	assert.Empty(t, d.ServicesChanged)
 	assert.Equal(t, []string{"c/0"}, d.ShardsAdded)
 	assert.Equal(t, []string{"a/1", "b/0"}, d.ShardsRemoved)
-	assert.Equal(t, []ReplicaPlace{{Shard: "a/0", Address: "10.0.0.5:1"}, {Shard: "c/0", Address: "10.0.0.4:1"}}, d.ReplicasAdded)
+	assert.Equal(t, []ReplicaPlacement{{Shard: "a/0", Address: "10.0.0.5:1"}, {Shard: "c/0", Address: "10.0.0.4:1"}}, d.ReplicasAdded)
 	assert.Len(t, d.ReplicasRemoved, 3)
-	assert.Equal(t, []ReplicaPlace{{Shard: "a/0", Address: "10.0.0.1:1"}}, d.DrainsBegun)
+	assert.Equal(t, []ReplicaPlacement{{Shard: "a/0", Address: "10.0.0.1:1"}}, d.DrainsBegun)
 	assert.Equal(t, []SettingChange{{"big", "weight 4, in_flight 256", "weight 2, in_flight 256"}}, d.Customers)
 	assert.Equal(t, 1, d.BundlesKept)
 	assert.Len(t, d.BundlesMoved, 3, "a/1 and b/0 are gone, c/0 is new")
--- a/internal/command/load_test.go
+++ b/internal/command/load_test.go
@@ -15,7 +15,7 @@
 	"github.com/pistachiopier/pistachiopier/platform/platformtest"
 )
 
-func TestLoadRefusesWhatIsUnbounded(t *testing.T) {
+func TestLoadRejectsInvalidArguments(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"load", "--service", "search"},
 		{"load", "--embedded", "--rate", "0"},
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestCompareReportsBothSettings(t *testing.T) {
+func TestCompareReportsBothVariants(t *testing.T) {
 	var out, errors bytes.Buffer
 	folder := t.TempDir()
 	code := Run([]string{
@@ -54,14 +54,14 @@
 	emulation, err := fleet.StartEmulation(fleet.MainSearchOf(3), 1)
 	require.NoError(t, err)
 	defer emulation.Close()
-	running, err := fleet.Start(fleet.Options{Nodes: 2, LogTo: io.Discard})
+	running, err := fleet.Start(fleet.Options{Nodes: 2, LogOutput: io.Discard})
 	require.NoError(t, err)
 	defer running.Close()
-	text := emulation.Text(fleet.TextOptions{Routing: "owner", BundleSize: 1, InFlight: 100})
+	text := emulation.ConfigText(fleet.ConfigTextOptions{Routing: "owner", BundleSize: 1, InFlight: 100})
 	require.NoError(t, running.AwaitReady(t.Context(), running.Platform.Publish(text)))
 	var out, errors bytes.Buffer
 	code := Run([]string{
-		"load", "--address", running.Members()[0].Addresses.Caller, "--service", fleet.MainLead,
+		"load", "--address", running.Members()[0].Addresses.Caller, "--service", fleet.MainSearchService,
 		"--rate", "50", "--duration", "200ms", "--arrivals", "fixed", "--timeout", "10s", "--json",
 	}, &out, &errors)
 	require.Equal(t, ExitOK, code, errors.String())
@@ -72,8 +72,8 @@
 	require.Equal(t, 1.0, report.All.MeanCoverage)
 }
 
-// The forwarding tier has no interface of its own for questions: the load must first ask
-// where to connect and then send plain HTTP. One of its shards has no replica at all.
+// The forwarding tier has no query interface of its own: the load generator must first resolve
+// the addresses and then send plain HTTP. One of the three shards has no replica, so coverage is 2/3.
 func TestLoadDrivesTheForwardingTier(t *testing.T) {
 	running, err := edgefleet.Start()
 	require.NoError(t, err)
@@ -112,6 +112,6 @@
 	require.Equal(t, ExitOK, Run([]string{"demo", "--platform"}, &out, &errors), errors.String())
 	require.Contains(t, out.String(), "1 x done with 6 of 6 parts")
 	require.Contains(t, out.String(), "1 x done with 5 of 6 parts")
-	require.Contains(t, out.String(), "the draining replica got 0 of the last question")
-	require.Contains(t, out.String(), "100 x done with 6 of 6 parts", "a planned stop cuts nothing")
+	require.Contains(t, out.String(), "the draining replica received 0 requests of the last query")
+	require.Contains(t, out.String(), "100 x done with 6 of 6 parts", "a planned stop must not cut any request short")
 }
--- a/internal/core/budget/group.go
+++ b/internal/core/budget/group.go
@@ -40,19 +40,19 @@
 	}
 }
 
-// FirstTry records n first attempts to a service for a customer.
-func (g *Group) FirstTry(service string, customer core.Customer, n int) {
-	g.services.get(service).FirstTry(n)
-	g.customers.get(customer).FirstTry(n)
+// AddFirst records n first attempts to a service for a customer.
+func (g *Group) AddFirst(service string, customer core.Customer, n int) {
+	g.services.get(service).AddFirst(n)
+	g.customers.get(customer).AddFirst(n)
 }
 
-// TryExtra takes a token of the service and one of the customer, or neither.
-func (g *Group) TryExtra(service string, customer core.Customer) bool {
+// TakeExtra takes a token of the service and one of the customer, or neither.
+func (g *Group) TakeExtra(service string, customer core.Customer) bool {
 	serviceBudget, customerBudget := g.services.get(service), g.customers.get(customer)
-	if !serviceBudget.CanExtra() || !customerBudget.CanExtra() {
+	if !serviceBudget.CanTakeExtra() || !customerBudget.CanTakeExtra() {
 		return false
 	}
-	return serviceBudget.TryExtra() && customerBudget.TryExtra()
+	return serviceBudget.TakeExtra() && customerBudget.TakeExtra()
 }
 
 // Size returns the number of buckets.
--- a/internal/core/query/property_test.go
+++ b/internal/core/query/property_test.go
@@ -44,13 +44,13 @@
 	extra  int
 }
 
-func (b *countingBudget) FirstTry(_ string, n int) {
+func (b *countingBudget) AddFirst(_ string, n int) {
 	b.first += n
-	b.bucket.FirstTry(n)
+	b.bucket.AddFirst(n)
 }
 
-func (b *countingBudget) TryExtra(string) bool {
-	granted := b.bucket.TryExtra()
+func (b *countingBudget) TakeExtra(string) bool {
+	granted := b.bucket.TakeExtra()
 	if granted {
 		b.extra++
 	}
--- a/internal/fleet/deadly_test.go
+++ b/internal/fleet/deadly_test.go
@@ -13,42 +13,42 @@
 	"github.com/pistachiopier/pistachiopier/internal/standin"
 )
 
-// A question ends each replica that begins to run it. The caller asks it again, through any entry, once the replicas
-// are back. Each try is judged by itself: owners and entries keep nothing on a question beyond its end.
+// Guards against a query that crashes every replica that runs it and that the caller repeats, through any entry, once the
+// replicas have restarted. At most sendsLeft attempts may crash replicas after three have crashed.
 func TestAQuestionThatEndsReplicasIsSetAside(t *testing.T) {
 	const (
-		tries       = 9
+		attempts    = 9
 		enoughEnded = 3
 		sendsLeft   = 3
 	)
-	behaviour := standin.Behaviour{Slots: 2, Versions: []uint64{7}, Deadly: func(question string) bool { return strings.Contains(question, "deadly") }}
+	behaviour := standin.Behaviour{Slots: 2, Versions: []uint64{7}, CrashOn: func(question string) bool { return strings.Contains(question, "deadly") }}
 	var replicas []*standin.Upstream
 	for range 2 {
-		one, err := standin.StartUpstream("127.0.0.1:0", behaviour)
+		replica, err := standin.StartUpstream("127.0.0.1:0", behaviour)
 		require.NoError(t, err)
-		replicas = append(replicas, one)
+		replicas = append(replicas, replica)
 	}
-	f := startFleet(t, 3, testText(replicas))
+	f := startFleet(t, 3, testConfig(replicas))
 	caller := client.New()
 	defer caller.Close()
-	ask := func(entry int, question string) (api.QueryReply, error) {
+	query := func(entry int, question string) (api.QueryReply, error) {
 		return caller.Query(context.Background(), f.Members()[entry].Addresses.Caller, "top", api.QueryRequest{Customer: "chef", Question: json.RawMessage(question)})
 	}
 	ended, late := 0, 0
-	for i := range tries {
+	for i := range attempts {
 		for entry := range f.Members() {
 			require.Eventually(t, func() bool {
-				reply, err := ask(entry, `"harmless"`)
+				reply, err := query(entry, `"harmless"`)
 				return err == nil && reply.Outcome == "done"
-			}, awaitLimit, awaitPause, "other questions are answered")
+			}, awaitTimeout, awaitInterval, "other queries are answered")
 		}
 		before := ended
-		_, _ = ask(i%len(f.Members()), `"deadly"`)
-		for at, one := range replicas {
-			// Its address is free again once it has ended.
-			again, err := standin.StartUpstream(one.Address(), behaviour)
+		_, _ = query(i%len(f.Members()), `"deadly"`)
+		for at, replica := range replicas {
+			// The address can be bound only if the replica has ended.
+			restarted, err := standin.StartUpstream(replica.Address(), behaviour)
 			if err == nil {
-				replicas[at] = again
+				replicas[at] = restarted
 				ended++
 			}
 		}
@@ -56,8 +56,8 @@
 			late++
 		}
 	}
-	for _, one := range replicas {
-		require.NoError(t, one.Close())
+	for _, replica := range replicas {
+		require.NoError(t, replica.Close())
 	}
-	require.LessOrEqual(t, late, sendsLeft, "tries that were begun after it had ended three")
+	require.LessOrEqual(t, late, sendsLeft, "attempts that ended replicas after three had ended")
 }
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -6,8 +6,8 @@
 	"github.com/pistachiopier/pistachiopier/internal/core"
 )
 
-// Share is one customer asking one service, with its weight in the mix.
-type Share struct {
+// MixEntry is one customer querying one service, with its weight in the mix.
+type MixEntry struct {
 	Customer core.Customer
 	Service  string
 	Weight   float64
@@ -16,35 +16,35 @@
 	Class string
 }
 
-func (s Share) class() string {
-	if s.Class == "" {
-		return string(s.Customer)
+func (e MixEntry) class() string {
+	if e.Class == "" {
+		return string(e.Customer)
 	}
-	return s.Class
+	return e.Class
 }
 
-// mix draws shares by weight.
+// mix draws entries at random in proportion to their weights.
 type mix struct {
-	shares []Share
-	sum    float64
-	source *rand.Rand
+	entries []MixEntry
+	sum     float64
+	source  *rand.Rand
 }
 
-func newMix(shares []Share, source *rand.Rand) *mix {
-	m := &mix{shares: shares, source: source}
-	for _, share := range shares {
-		m.sum += share.Weight
+func newMix(entries []MixEntry, source *rand.Rand) *mix {
+	m := &mix{entries: entries, source: source}
+	for _, entry := range entries {
+		m.sum += entry.Weight
 	}
 	return m
 }
 
-func (m *mix) draw() Share {
-	left := m.source.Float64() * m.sum
-	for _, share := range m.shares {
-		left -= share.Weight
-		if left < 0 {
-			return share
+func (m *mix) draw() MixEntry {
+	remaining := m.source.Float64() * m.sum
+	for _, entry := range m.entries {
+		remaining -= entry.Weight
+		if remaining < 0 {
+			return entry
 		}
 	}
-	return m.shares[len(m.shares)-1]
+	return m.entries[len(m.entries)-1]
 }
--- a/test/soak/mutants_test.go
+++ b/test/soak/mutants_test.go
@@ -13,36 +13,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-var mutants = flag.Int("soak.mutants", 0, "play defects in place of the program, each with at most so many seeds; every one must be found")
+var mutants = flag.Int("soak.mutants", 0, "run programs with a built-in defect, each with at most this number of seeds; every defect must be found")
 
-// mutant is a defect, built into the program, that one of the soak's checks must find.
+// mutant is a defect, built into the program, that the checks of the soak test must find.
 type mutant struct {
 	name, file string
-	// old is replaced by new.
+	// old is replaced with new in the file.
 	old, new string
 }
 
 var defects = []mutant{
-	{"parts of two sets of shards", "internal/edge/registry.go", "	r.beliefs.config.Store(config)\n", `	if former := r.beliefs.config.Load(); former != nil {
+	{"parts of two sets of shards", "internal/edge/registry.go", "	r.state.config.Store(config)\n", `	if former := r.state.config.Load(); former != nil {
 		for i, one := range config.Routes {
 			if one.Gather != nil {
 				one.Gather.Shards[0] = former.Routes[i].Gather.Shards[0]
 			}
 		}
 	}
-	r.beliefs.config.Store(config)
+	r.state.config.Store(config)
 `},
 	{"coverage always whole", "internal/edge/merge.go", "SetCoverage(w.Header(), stamps, missing)", "SetCoverage(w.Header(), stamps, missing*0)"},
 	{"cut answers are whole", "internal/replicaconn/conn.go", "		if err != nil {\n			return nil, false, err\n		}\n		c.noteIdleLimit", "		c.noteIdleLimit"},
 	{"answers of other requests", "internal/replicaconn/conn.go", `request.ID == "" || echoed == request.ID`, "true"},
-	{"answers without a signature", "internal/edge/request.go", `case platform.Stamp(one.response.Header) == "":`, `case platform.Stamp(one.response.Header) == "?":`},
+	{"answers without a signature", "internal/edge/request.go", `case platform.Stamp(exchange.response.Header) == "":`, `case platform.Stamp(exchange.response.Header) == "?":`},
 	{"not run is said of all failures", "internal/edge/answer.go", "if !result.MayHaveRun {", "if !result.MayHaveRun || true {"},
-	{"a promise without a proof is passed on", "internal/edge/request.go", "case promises[one.response.Status]:", "case promises[one.response.Status] && false:"},
+	{"a promise without a proof is passed on", "internal/edge/request.go", "case notRunStatuses[exchange.response.Status]:", "case notRunStatuses[exchange.response.Status] && false:"},
 	{"requests run twice", "internal/core/outlook/plan.go", "MinParts: 1, Idempotent: route.Idempotent", "MinParts: 1, Idempotent: true"},
-	{"drains are passed over", "internal/edge/registry.go", "		listing = book.Put(listed)\n", "		listed.Draining = false\n		listing = book.Put(listed)\n"},
-	{"evacuations are passed over", "internal/edge/registry.go", "book.SetEvacuated(dataCentre, !item.Removed, now)", "book.SetEvacuated(dataCentre, false, now)"},
+	{"drains are passed over", "internal/edge/registry.go", "		result = table.Put(listed)\n", "		listed.Draining = false\n		result = table.Put(listed)\n"},
+	{"evacuations are passed over", "internal/edge/registry.go", "table.SetEvacuated(dataCentre, !item.Removed, now)", "table.SetEvacuated(dataCentre, false, now)"},
 	{"helpers send into an evacuated data centre", "internal/core/replica/place.go", "s.suspectedAt == 0 && !t.isEvacuated(s.DataCentre)", "s.suspectedAt == 0 && (t.dataCentre == s.DataCentre || !t.isEvacuated(s.DataCentre))"},
-	{"the first configuration stays", "internal/edge/registry.go", "	r.beliefs.config.Store(config)\n", "	if r.beliefs.config.Load() == nil {\n		r.beliefs.config.Store(config)\n	}\n"},
+	{"the first configuration stays", "internal/edge/registry.go", "	r.state.config.Store(config)\n", "	if r.state.config.Load() == nil {\n		r.state.config.Store(config)\n	}\n"},
 	{"a stop cuts what is in work", "internal/edge/listen.go", "server.Shutdown(ctx)", "server.Close()"},
 	{"no bound on extra sends", "internal/core/extra/extra.go", "if float64(extras+1) > ", "if false && float64(extras+1) > "},
 	{"404 before a configuration is known", "internal/edge/handler.go", "	if config == nil {\n", "	if config == nil {\n		http.NotFound(w, r)\n		return\n"},
@@ -57,44 +57,44 @@
 	{"what was reset has not run", "internal/replicaconn/conn.go", `outcome{err: &Error{Step: "await answer", Sent: true, Cause: cause}}`, `outcome{err: &Error{Step: "await answer", Sent: errors.Is(cause, io.ErrUnexpectedEOF), Cause: cause}}`},
 	{"the era is not read", "platform/store.go", "	return era\n", "	return era * 0\n"},
 	{"the era is not passed to other nodes", "internal/mirror/peers.go", "Delta{Era: reply.GetEra(), ", "Delta{"},
-	{"deadly requests are not told to other nodes", "internal/quarantine/share.go", "if record, ok := decode(one, now); ok {", "if record, ok := decode(one, now); ok && false {"},
+	{"deadly requests are not told to other nodes", "internal/quarantine/share.go", "if record, ok := decode(encoded, now); ok {", "if record, ok := decode(encoded, now); ok && false {"},
 	{"deadly requests are known by their ids", "internal/edge/quarantine.go", "Host: q.template.Host, Path: path, ", "Host: q.template.Host + q.id, Path: path + q.id, "},
 	{"deadly requests are known by each send", "internal/core/scatter/unproven.go", "return (m.plan.Suspect || m.broken) && !m.answered", "return m.broken && !m.answered && false"},
 	{"bodies do not tell requests apart", "internal/core/quarantine/key.go", "	digest.Write(body)\n", "	digest.Write(body[:0])\n"},
-	{"an outage of the store takes the configuration away", "internal/edge/registry.go", "	r.log.Life(\"dependency_lost\"", "	r.beliefs.config.Store(nil)\n	r.log.Life(\"dependency_lost\""},
+	{"an outage of the store takes the configuration away", "internal/edge/registry.go", "	r.log.Life(\"dependency_lost\"", "	r.state.config.Store(nil)\n	r.log.Life(\"dependency_lost\""},
 }
 
-// rareDefects need two failures within a moment, which seeds draw too rarely: the tests of a package must find
-// them.
+// rareDefects show only if two faults coincide, which is too rare in the soak test: the tests of a package must
+// find them.
 var rareDefects = []struct {
 	mutant
-	by string
+	testPackage string
 }{
 	{mutant{"an era is another one, not a newer one", "internal/mirror/copy.go", "	if delta.Era < c.era || delta.Era > c.era && !delta.Whole {", "	if delta.Era != c.era && !delta.Whole {"}, "./internal/mirror"},
 	{mutant{"deltas of an older era are taken", "internal/mirror/copy.go", "	if delta.Era < c.era || delta.Era > c.era && !delta.Whole {", "	if delta.Era > c.era && !delta.Whole {"}, "./internal/mirror"},
 	{mutant{"the ends that a helper saw are not counted", "internal/edge/quarantine.go", "		if q.answered.Load() {\n", "		if q.answered.Load() || q.remote == \"\" {\n"}, "./internal/edge"},
-	{mutant{"deadly requests are forgotten at the restart of a node", "internal/quarantine/share.go", "	if digest == d.digest.Load() {\n", "	if digest == d.digest.Load() || true {\n"}, "./internal/edge"},
+	{mutant{"deadly requests are forgotten at the restart of a node", "internal/quarantine/share.go", "	if digest == r.digest.Load() {\n", "	if digest == r.digest.Load() || true {\n"}, "./internal/edge"},
 	{mutant{"an answer clears no request", "internal/core/quarantine/ledger.go", "			known.Facts[life] = fact | Cleared\n", "			known.Facts[life] = fact\n"}, "./internal/core/quarantine"},
 	{mutant{"a restore takes the configuration back", "platform/store.go", "	return wire.Version\n", "	return wire.Version * 0\n"}, "./internal/edge"},
 }
 
-// TestMutants shows that no check is blind: each defect must be found by a few seeds.
+// TestMutants tests the checks of the soak test: a few seeds must find each defect.
 func TestMutants(t *testing.T) {
 	if *mutants == 0 {
-		t.Skip("by hand: go test ./test/soak -run TestMutants -soak.mutants 4 -timeout 60m")
+		t.Skip("run by hand: go test ./test/soak -run TestMutants -soak.mutants 4 -timeout 60m")
 	}
-	for _, one := range rareDefects {
-		t.Run(strings.ReplaceAll(one.name, " ", "_"), func(t *testing.T) { one.requireFound(t, one.by) })
+	for _, defect := range rareDefects {
+		t.Run(strings.ReplaceAll(defect.name, " ", "_"), func(t *testing.T) { defect.requireFound(t, defect.testPackage) })
 	}
-	for number, one := range defects {
-		t.Run(strings.ReplaceAll(one.name, " ", "_"), func(t *testing.T) {
+	for number, defect := range defects {
+		t.Run(strings.ReplaceAll(defect.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
-			binary := one.build(t)
-			for try := range *mutants {
-				// The first worlds of the loopback block are those of TestSoak.
-				broken := play(t, binary, run{rand.Uint64() >> 1, len(drawn)}, 100+number)
-				if len(broken) > 0 {
-					t.Logf("found by seed %d: %s", try+1, broken[0])
+			binary := defect.build(t)
+			for attempt := range *mutants {
+				// The first numbers of the loopback block are those of TestSoak.
+				violations := runSeed(t, binary, seedRun{rand.Uint64() >> 1, len(drawnKinds)}, 100+number)
+				if len(violations) > 0 {
+					t.Logf("found by seed %d: %s", attempt+1, violations[0])
 					return
 				}
 			}
@@ -104,16 +104,16 @@
 }
 
 // requireFound requires that the tests of a package fail with the defect.
-func (m mutant) requireFound(t *testing.T, by string) {
+func (m mutant) requireFound(t *testing.T, testPackage string) {
 	root, overlay := m.overlay(t)
-	test := exec.Command("go", "test", "-overlay", overlay, by)
+	test := exec.Command("go", "test", "-overlay", overlay, testPackage)
 	test.Dir = root
 	out, err := test.CombinedOutput()
 	require.Error(t, err)
-	require.Contains(t, string(out), "--- FAIL", "it must build: %s", out)
+	require.Contains(t, string(out), "--- FAIL", "the tests must build and fail: %s", out)
 }
 
-// build builds the program with the defect in place of the text.
+// build builds the program with the defect.
 func (m mutant) build(t *testing.T) string {
 	_, overlay := m.overlay(t)
 	binary := filepath.Join(t.TempDir(), "pistachiopier")
@@ -123,14 +123,14 @@
 	return binary
 }
 
-// overlay writes the source with the defect, and the overlay that puts it in place of the file.
+// overlay writes the source with the defect, and the build overlay that replaces the file with it.
 func (m mutant) overlay(t *testing.T) (root, overlay string) {
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	source := filepath.Join(root, m.file)
 	text, err := os.ReadFile(source)
 	require.NoError(t, err)
-	require.Equal(t, 1, strings.Count(string(text), m.old), "%s must hold the text once", m.file)
+	require.Equal(t, 1, strings.Count(string(text), m.old), "%s must contain the text to replace exactly once", m.file)
 	folder := t.TempDir()
 	changed, overlay := filepath.Join(folder, "changed.go"), filepath.Join(folder, "overlay.json")
 	require.NoError(t, os.WriteFile(changed, []byte(strings.Replace(string(text), m.old, m.new, 1)), 0o600))
