--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -18,7 +18,7 @@
 	localDelay             = 100 * time.Microsecond
 	remoteDelay            = 900 * time.Microsecond
 	withdrawnExchangeLimit = 250 * time.Millisecond
-	// replyTransitTime is the time that a node reserves for its answer to hedges the caller.
+	// replyTransitTime is the time that a node reserves for its answer to reach the caller.
 	replyTransitTime = 9 * time.Millisecond
 )
 
