--- a/internal/app/handle.go
+++ b/internal/app/handle.go
@@ -31,7 +31,7 @@
 	case *peerpb.Envelope_QuarantineNews:
 		n.quarantine.Handle(inbound)
 	case *peerpb.Envelope_ProblemsRequest:
-		n.gatherer.HandleRequest(inbound)
+		n.collector.HandleRequest(inbound)
 	default:
 		// A peer of a newer version may send a body that is unknown to this node.
 		inbound.Reply(peer.NewRefusal(core.ReasonNotAsked), true)
--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -46,8 +46,8 @@
 		Status:        func() any { return n.Status() },
 		Dump:          n.dump,
 		Nodes:         n.nodeAddresses,
-		Problems:      func() api.ProblemsReport { return api.ProblemsReport{Nodes: []api.NodeProblems{n.gatherer.Local()}} },
-		FleetProblems: n.gatherer.FleetProblems,
+		Problems:      func() api.ProblemsReport { return api.ProblemsReport{Nodes: []api.NodeProblems{n.collector.Local()}} },
+		FleetProblems: n.collector.FleetProblems,
 		Metrics:       func(out io.Writer) { observe.WriteText(out, n.metrics) },
 	})
 }
--- a/internal/app/look.go
+++ b/internal/app/look.go
@@ -80,7 +80,7 @@
 		HomeRings:         n.home.Rings(),
 		DroppedReplies:    n.upstream.DroppedReplies(),
 		Config:            n.config.Dump(),
-		Problems:          n.gatherer.Local().Problems,
+		Problems:          n.collector.Local().Problems,
 		OwnerShards:       n.owner.Dump(),
 		Quarantine:        n.quarantine.Requests(),
 	}
--- a/internal/app/node.go
+++ b/internal/app/node.go
@@ -52,7 +52,7 @@
 	members    *membership.Manager
 	caller     *httpServer
 	operator   *httpServer
-	gatherer   *gather.Collector
+	collector  *gather.Collector
 	prober     *night.Prober
 	expiry     *expiryWatcher
 	rotation   api.Rotation
--- a/internal/app/operate.go
+++ b/internal/app/operate.go
@@ -10,9 +10,9 @@
 )
 
 // startOperating starts the components for operators: probes of idle replicas,
-// certificate checks, the gathering of problems, and metrics.
+// certificate checks, the collection of problems, and metrics.
 func (n *Node) startOperating(tlsConfig *tls.Config, certificates []certificateExpiry) {
-	n.gatherer = &gather.Collector{
+	n.collector = &gather.Collector{
 		Self:     n.identity,
 		TLS:      tlsConfig,
 		Nodes:    n.knownNodes,
