--- a/internal/core/extra/extra.go
+++ b/internal/core/extra/extra.go
@@ -2,9 +2,11 @@
 // request: hedges, retries, and sends that the replica refuses. The limit is a fraction of the
 // requests within a sliding window plus a fixed allowance.
 //
-// Each node keeps to its own part: the fraction of the requests that it received itself, and a part of
-// the allowance. The fractions of all nodes add up to that of the fleet whatever nodes know of each
-// other, so a partitioned or partly restarted fleet keeps the limit without communication.
+// Each node keeps to its own part of the limit: the fraction of the requests that it received itself,
+// and an equal part of the allowance among the nodes; those that callers are sent to have a further
+// equal part among themselves. The fractions of all nodes add up to that of the fleet whatever nodes
+// know of each other, so a partitioned or partly restarted fleet keeps the limit without
+// communication.
 package extra
 
 import (
--- a/internal/core/member/event.go
+++ b/internal/core/member/event.go
@@ -93,8 +93,8 @@
 // PublishDrains replaces the set of upstreams seen draining.
 type PublishDrains struct{ Addresses []string }
 
-// SetPaused reports whether the node's view may have expired. Meanwhile the node accepts no new
-// work and sends none.
+// SetPaused reports whether the node's routing view and its configuration may have expired.
+// Meanwhile the node accepts no new work and sends none.
 type SetPaused struct {
 	Paused bool
 	// Late is the delay of the tick that revealed the pause.
--- a/internal/core/query/version.go
+++ b/internal/core/query/version.go
@@ -89,8 +89,9 @@
 }
 
 // dependentAsked reports whether a dependent of the service was already asked at the version and
-// has answered or may still answer. Its part would not include a further part of the service, so
-// such a part is neither requested nor merged.
+// has answered or may still answer. A further part of the service would then stand in the answer
+// beside a dependent's part that was computed without it. Therefore, no further part of the service
+// is requested or merged at that version.
 func (m *Machine) dependentAsked(service int, version core.Version) bool {
 	for _, dependent := range m.plan.Services[service].dependents {
 		for _, index := range m.plan.Services[dependent].Shards {
